--- /dev/null
+++ b/src/test/java/magpiewheel/membership/MessageGoldenTest.java
@@ -0,0 +1,71 @@
+package magpiewheel.membership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.HexFormat;
+import java.util.List;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+
+/** The octets of the membership's datagrams: other versions of the program read them. */
+class MessageGoldenTest {
+    private static final int ADDRESS = 0x0a010203;
+    private static final long INCARNATION = 1_764_576_000_123L;
+
+    private static Word sender() {
+        return Word.own(17, Status.ALIVE, INCARNATION, 3, ADDRESS);
+    }
+
+    @Test
+    void updates() {
+        Message message = new Message(
+                Message.Kind.WORDS,
+                sender(),
+                true,
+                false,
+                Verdict.PARTIAL,
+                1_764_576_000_123_456L,
+                50,
+                0x01020304,
+                List.of(
+                        Word.own(4, Status.LEFT, INCARNATION - 5, 1, ADDRESS + 1),
+                        new Word(5, Status.SUSPECT, INCARNATION, 2, ADDRESS + 2, 17, Word.NOBODY, 130_000, 0),
+                        new Word(
+                                6,
+                                Status.DEAD,
+                                INCARNATION,
+                                Word.NOWHERE,
+                                0,
+                                Word.NOBODY,
+                                Word.NOBODY,
+                                0,
+                                INCARNATION)),
+                new int[0]);
+        assertEquals(
+                "4d01010a0011019ad8ecf87b030a010203000644df5daaa24000320102030403000405019ad8ecf8"
+                        + "76010a010204000503019ad8ecf87b020a0102050011ffff000d000684019ad8ecf87bff00000000"
+                        + "019ad8ecf87b",
+                HexFormat.of().formatHex(message.encode()));
+    }
+
+    @Test
+    void digestsOfBuckets() {
+        Message message = new Message(
+                Message.Kind.BUCKETS,
+                sender(),
+                false,
+                true,
+                Verdict.WHOLE,
+                5,
+                70_000,
+                -1,
+                List.of(),
+                IntStream.range(0, Message.BUCKETS).toArray());
+        assertEquals(
+                "4d0106020011019ad8ecf87b030a0102030000000000000005ffffffffffff000000000000000001"
+                        + "00000002000000030000000400000005000000060000000700000008000000090000000a0000000b"
+                        + "0000000c0000000d0000000e0000000f000000100000001100000012000000130000001400000015"
+                        + "000000160000001700000018000000190000001a0000001b0000001c0000001d0000001e0000001f",
+                HexFormat.of().formatHex(message.encode()));
+    }
+}
--- a/src/test/java/magpiewheel/membership/SimFleet.java
+++ b/src/test/java/magpiewheel/membership/SimFleet.java
@@ -9,6 +9,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import magpiewheel.support.Fingerprint;
 
 /**
  * Memberships of a whole fleet on a clock of their own: one thread, one queue of events, and a network between them
@@ -132,6 +133,7 @@
             }
             messages++;
             bytes += message.length;
+            actions.add(now).add((long) front).add((long) to).add(message);
             tap.accept(message);
             post(this, to, message);
         }
@@ -142,6 +144,7 @@
                 throw new AssertionError("knock from " + front + " to " + to);
             }
             knocks++;
+            actions.add(now).add((long) front).add((long) to).add(asked);
             knocked.accept(this, to);
             int copies = chance(doubled) ? 2 : 1;
             for (int i = 0; i < copies; i++) {
@@ -170,6 +173,8 @@
     }
 
     final Plan plan;
+    /** Of all messages and knocks, with their times. */
+    final Fingerprint actions = new Fingerprint();
     /**
      * Shares of datagrams that are lost, doubled, overtaken (up to 60 ms late) and held back (up to {@link #heldUs}).
      */
--- a/src/test/java/magpiewheel/module/ColdFleet.java
+++ b/src/test/java/magpiewheel/module/ColdFleet.java
@@ -17,6 +17,7 @@
 import magpiewheel.module.Director.Result;
 import magpiewheel.module.Director.State;
 import magpiewheel.region.Net;
+import magpiewheel.support.Fingerprint;
 
 /**
  * Many fronts with the real module, in virtual time, and one node that started a moment ago. Everything that reaches
@@ -94,7 +95,7 @@
             rules = new Rules(
                     settings,
                     net.random.nextLong(),
-                    this,
+                    new FingerprintedActions(this, actions, me, () -> net.now),
                     settings.place().setup(0, 100 * MS, Math.max(1, clock() / MS), false),
                     null,
                     false);
@@ -147,6 +148,7 @@
         }
     }
 
+    final Fingerprint actions = new Fingerprint();
     final List<Arrival> arrivals = new ArrayList<>();
     private final Plans plans;
     private final Net net;
--- /dev/null
+++ b/src/test/java/magpiewheel/module/DecisionFingerprintTest.java
@@ -0,0 +1,95 @@
+package magpiewheel.module;
+
+import static magpiewheel.module.ColdFleet.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.stream.IntStream;
+import java.util.stream.LongStream;
+import magpiewheel.module.Director.Note;
+import magpiewheel.module.Director.Result;
+import magpiewheel.module.Director.State;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * Fingerprints of every action of seeded simulations. They hold a change of names and shape to what it is: a change of
+ * behaviour has new ones, and its commit says why.
+ */
+class DecisionFingerprintTest {
+    private static final int EVENTS = 6_000;
+
+    @ParameterizedTest
+    @CsvSource({
+        "1, 84728:c15161b7056f118f",
+        "2, 80547:803e154b45a17610",
+        "3, 80448:7df2477dad756f83",
+        "4, 76598:802e1eff48cd770e",
+        "5, 76856:01a297566a77edb5",
+        "6, 81637:13689933c4743c18",
+        "7, 80056:c937cb00b858ba7a",
+        "8, 71890:3cd1683d40c07a2f",
+        "9, 85077:f7cda5c5621806b3",
+        "10, 81998:99ca0e9ed337585c",
+        "11, 82843:8b219f8884001bfd",
+        "12, 65437:91518be0186c4091"
+    })
+    void randomEventsWithRegionsAndBoundedReads(long seed, String fingerprint) {
+        assertEquals(fingerprint, new RandomEvents(seed).play(EVENTS).toString());
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "true, true, 99515:72f7a8b577e62b0b",
+        "true, false, 109530:2859671cd732d8c9",
+        "false, true, 91940:8d51333a16842ce8",
+        "false, false, 102010:a83ed0bcc03f35be"
+    })
+    void eightFrontsOfFourBranches(boolean led, boolean joins, String fingerprint) {
+        LedWorld world = new LedWorld(5, led, 4, 40, joins);
+        world.wanted(0, 9 * SECOND, 50 * LedWorld.MS, 20 * LedWorld.MS);
+        world.net.at(4 * SECOND, () -> world.hangs(LedWorld.PARENTS + 1));
+        world.net.at(6 * SECOND, () -> world.becomes(LedWorld.PARENTS + 2, State.DRAINING));
+        world.runTo(10 * SECOND);
+        assertEquals(fingerprint, world.actions.toString());
+    }
+
+    @ParameterizedTest
+    @CsvSource({"1, 20, 100435:dde8951db726986d", "101, 20, 100435:2165c63e2d7a0f74", "1, 30, 164080:969067aca9fb88bf"})
+    void fleetWithANodeThatStarted(long cold, int fronts, String fingerprint) {
+        ColdFleet.Plans plans =
+                ColdFleet.Plans.of(3, fronts, cold).whereFrontsRestart().weighing(6);
+        ColdFleet fleet = new ColdFleet(plans).run(5 * SECOND, 10);
+        assertEquals(fingerprint, fleet.actions.toString());
+    }
+
+    @Test
+    void oneRouterOfTheDesign() {
+        DesignWorld world = new DesignWorld();
+        IntStream.rangeClosed(1, 6).forEach(cache -> world.listed(cache, State.READY, 0));
+        world.listed(101, State.READY, 0);
+        world.listed(102, State.READY, 0);
+        world.listed(DesignWorld.ORIGIN, State.READY, 0);
+        world.meets(1);
+        world.meets(2);
+        world.pick(200);
+        world.scan(300, DesignWorld.object("B"), 3);
+        world.holds(1, world.now, 4, DesignWorld.object("C"), 200 * DesignWorld.MS);
+        world.busy(2, 4, 30);
+        world.read(DesignWorld.object("C"));
+        world.answer(Result.UNREACHED, Note.NONE);
+        world.answer(Result.OK, Note.FILLED);
+        world.purge(DesignWorld.object("B"), true, 100 * DesignWorld.MS);
+        world.readWithOwn(DesignWorld.object("B"), 2 * DesignWorld.SECOND);
+        world.write(DesignWorld.object("D"), true);
+        world.answer(Result.BROKEN, Note.NONE);
+        world.fills(12, 101, 900 * DesignWorld.MS);
+        world.pick(LongStream.rangeClosed(1, 60).map(i -> 20_000 + i).toArray());
+        world.crowd();
+        world.listed(3, State.DRAINING, 0);
+        world.listed(7, State.READY, world.now);
+        world.pick(100);
+        world.pass(3 * DesignWorld.SECOND);
+        assertEquals("22683:f769fe633ce66147", world.actions.toString());
+    }
+}
--- a/src/test/java/magpiewheel/module/DesignWorld.java
+++ b/src/test/java/magpiewheel/module/DesignWorld.java
@@ -23,6 +23,7 @@
 import magpiewheel.module.Director.Request;
 import magpiewheel.module.Director.Result;
 import magpiewheel.module.Director.State;
+import magpiewheel.support.Fingerprint;
 
 /**
  * One router's module with all that it meets, for rows of the design. Caches go by 1, 2, ..., parents by 101, 102, ...
@@ -41,6 +42,7 @@
     private static final int MANY = 10_000;
 
     final Recorder router = new Recorder();
+    final Fingerprint actions = new Fingerprint();
     final Map<Long, Member> list = new TreeMap<>();
     private final PriorityQueue<long[]> timers = new PriorityQueue<>(Comparator.comparingLong(t -> t[0]));
     private final Map<Long, Long> askedAt = new HashMap<>();
@@ -112,7 +114,9 @@
 
     private Rules rules() {
         if (rules == null) {
-            rules = new Rules(settings(0), 42, router, settings(0).place().setup(0, 400 * MS, 1, false), null, false);
+            Director.Actions actionsOut = new FingerprintedActions(router, actions, 0, () -> now);
+            rules = new Rules(
+                    settings(0), 42, actionsOut, settings(0).place().setup(0, 400 * MS, 1, false), null, false);
             rules.members(now, ListMode.CACHED, List.copyOf(list.values()));
             collectTimers();
         }
--- a/src/test/java/magpiewheel/module/LedWorld.java
+++ b/src/test/java/magpiewheel/module/LedWorld.java
@@ -20,6 +20,7 @@
 import magpiewheel.module.Director.Result;
 import magpiewheel.module.Director.State;
 import magpiewheel.region.Net;
+import magpiewheel.support.Fingerprint;
 
 /**
  * Four branches of two routers with the real module, in virtual time: their datagrams pass between them late, doubled
@@ -100,7 +101,7 @@
             this.rules = new Rules(
                     settings,
                     net.random.nextLong(),
-                    this,
+                    new FingerprintedActions(this, actions, me, () -> net.now),
                     settings.place().setup(0, 50 * MS, clock() / MS, false),
                     led ? settings.regions(clock() / MS, originTransfers) : null,
                     false);
@@ -195,6 +196,7 @@
     record Answer(long askedAt, long tookUs, int front, String how) {}
 
     final Net net;
+    final Fingerprint actions = new Fingerprint();
     final List<Sent> sent = new ArrayList<>();
     final List<Answer> answers = new ArrayList<>();
     final Map<Long, Integer> fetches = new HashMap<>();
--- /dev/null
+++ b/src/test/java/magpiewheel/module/ModuleFiguresGoldenTest.java
@@ -0,0 +1,29 @@
+package magpiewheel.module;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import magpiewheel.module.Director.ListMode;
+import org.junit.jupiter.api.Test;
+
+/** Names and order of the figures of parts that are off by preset: operators' tools read them. */
+class ModuleFiguresGoldenTest {
+    @Test
+    void figuresOfRegionsAndBoundedReads() {
+        Director.Settings settings = LedWorld.settings(0);
+        Rules rules = new Rules(
+                settings,
+                1,
+                new Recorder(),
+                settings.place().setup(0, 50_000, 1_800_000_000_000L, false),
+                settings.regions(1_800_000_000_000L, 0),
+                true);
+        rules.members(1_800_000_000_000_000L, ListMode.CACHED, List.of());
+        assertEquals(
+                "region_verdict region_leader region_term region_branches region_led region_spilled "
+                        + "region_no_region region_cut_off region_no_lease region_gone region_doubted "
+                        + "region_not_moved region_cold region_paced pins_held pins_uncertain_ms pins_board "
+                        + "pins_clock_steps pins_spoilt",
+                String.join(" ", rules.figures(1_800_000_000_000_000L).keySet()));
+    }
+}
--- /dev/null
+++ b/src/test/java/magpiewheel/pins/GossipGoldenTest.java
@@ -0,0 +1,49 @@
+package magpiewheel.pins;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** The octets of the datagrams of bounded reads: other versions of the program read them. */
+class GossipGoldenTest {
+    private static final long NOW = 1_764_576_000_000_000L;
+    private final List<String> sent = new ArrayList<>();
+    private final Pins pins = new Pins(
+            NOW,
+            0,
+            0,
+            new FixedView(List.of(1)),
+            (front, message) -> sent.add(front + " " + HexFormat.of().formatHex(message)));
+
+    @Test
+    void copiesPinsAndQuestions() {
+        Hint hint = new Hint(1_500_000, 0, 0x1122334455667788L, true);
+        pins.nodes(NOW, List.of(new Cache(5, false, 1, 0)));
+        pins.served(NOW, hint, 77, 3, 5, NOW - 1_000);
+        pins.tick(NOW);
+        assertEquals(
+                "1 e2010301000644df5da8c000\n" + "1 e2010201000000000000004d00000000000000051122334455667788\n"
+                        + "1 e2010101000000000000004d0000000000000005000644df5da8bc180003",
+                String.join("\n", sent));
+    }
+
+    @Test
+    void answers() {
+        Hint hint = new Hint(1_500_000, 0, 0x1122334455667788L, true);
+        pins.nodes(NOW, List.of(new Cache(5, false, 1, 0)));
+        pins.served(NOW, hint, 77, 3, 5, NOW - 1_000);
+        pins.fetched(NOW - 20_000, NOW - 10_000, NOW - 5_000, true);
+        pins.tick(NOW);
+        sent.clear();
+        pins.heard(NOW + 100, 1, HexFormat.of().parseHex("e2010301" + "000644f0dd3c8000"));
+        pins.tick(NOW + 300_000);
+        assertEquals(
+                "1 e2010400000644f0dd3c8000000644df5da8d3e0000644df5da8fefc\n" + "1 e2010301000644df5dad53e0\n"
+                        + "1 e2010501000000000000004d00000000000000051122334455667788\n"
+                        + "1 e2010101000000000000004d0000000000000005000644df5da8bc180003",
+                String.join("\n", sent));
+    }
+}
--- a/src/test/java/magpiewheel/pins/PinWorld.java
+++ b/src/test/java/magpiewheel/pins/PinWorld.java
@@ -12,6 +12,7 @@
 import magpiewheel.membership.Status;
 import magpiewheel.membership.Verdict;
 import magpiewheel.membership.View;
+import magpiewheel.support.Fingerprint;
 
 /**
  * Fronts with their pins, caches, parents, an origin that takes writes, a board and sessions, in virtual time. Whether
@@ -116,6 +117,8 @@
     private final List<long[]> published = new ArrayList<>();
 
     final Tally tally = new Tally();
+    /** Of all messages between fronts, attempts and replies, with their times. */
+    final Fingerprint actions = new Fingerprint();
 
     PinWorld(long seed, Fault fault, Hints hints) {
         random = new SplittableRandom(seed);
@@ -389,6 +392,7 @@
             learning = 0;
             pins = new Pins(clock(), me, 0, this, (to, bytes) -> {
                 tally.sent++;
+                actions.add(now).add((long) me).add((long) to).add(bytes);
                 tally.mostBytes = Math.max(tally.mostBytes, bytes.length);
                 if (!cut[me][to] && !lost() && !lost()) {
                     after(
@@ -538,6 +542,12 @@
             limit = purge > 0 ? Math.min(limit, Math.max(1, sent - purge)) : limit;
             limit = tries > 0 || only ? 1 : limit;
             long fresh = Math.max(MS, limit);
+            actions.add(now)
+                    .add((long) me)
+                    .add((long) object)
+                    .add(node)
+                    .add(byParent)
+                    .add(fresh);
             int mine = life;
             boolean[] ended = new boolean[1];
             after(
@@ -785,6 +795,10 @@
                 seen.merge(object, reply.copy().version(), Math::max);
                 marks.merge(object, Pins.mark(reply.copy().mintedMs() * MS, false), Math::max);
             }
+            actions.add(now)
+                    .add(id)
+                    .add(reply.copy() == null ? 0 : reply.copy().mintedMs())
+                    .add(reply.aged());
             again(reply);
         }
 
--- a/src/test/java/magpiewheel/region/Net.java
+++ b/src/test/java/magpiewheel/region/Net.java
@@ -3,6 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
+import magpiewheel.support.Fingerprint;
 
 /** A world's events in virtual time, and a network that loses, doubles, delays, splits and cuts one way. */
 public final class Net {
@@ -25,6 +26,8 @@
     double late;
 
     long sent;
+    /** Of all messages, with their times, senders and receivers. */
+    public final Fingerprint messages = new Fingerprint();
 
     /** A network of so many fronts; loss and late are shares of its messages, and all chance comes from the seed. */
     public Net(long seed, int fronts, double loss, double late) {
@@ -50,6 +53,7 @@
     /** Sends a message, which may be lost, doubled or late, and is dropped where the way is cut. */
     public void send(int from, int to, byte[] message, Receiver receiver) {
         sent++;
+        messages.add(now).add((long) from).add((long) to).add(message);
         if (message.length > Codec.MOST_BYTES) {
             throw new AssertionError("message of " + message.length);
         }
--- /dev/null
+++ b/src/test/java/magpiewheel/region/RegionFingerprintTest.java
@@ -0,0 +1,41 @@
+package magpiewheel.region;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * Fingerprints of all messages and decisions of seeded regions; a change of names and shape leaves them as they are.
+ */
+class RegionFingerprintTest {
+    private static final long S = 1_000_000;
+
+    @ParameterizedTest
+    @CsvSource({
+        "1, LED, 11976:a7e9453c433b4ca9, 30545:ab03d194c7bda932",
+        "2, LED, 12476:15cbcc35fc180b17, 27340:20bcc934101c0ca0",
+        "3, LED, 11372:c3fa538e70784c53, 27170:a6ef07bede9d4535",
+        "4, PAIR_BY_OBJECT, 11480:0e0aa5eecf71af69, 30205:ed819bce0f8dfd83"
+    })
+    void fourBranches(long seed, RegionWorld.Way way, String messages, String decisions) {
+        RegionWorld world = new RegionWorld(seed, way, 0.05, 4, 300);
+        world.wanted(2 * S, 20 * S, 15_000, 40_000, 1);
+        world.grows(1, 5 * S, 18 * S, 8_000, 70);
+        world.net.at(6 * S, () -> world.parents.get(1L + seed % 4).hangs = true);
+        world.net.at(8 * S, () -> world.kill((int) (seed % RegionWorld.FRONTS)));
+        world.net.at(9 * S, () -> drain(world, 1 + (seed + 1) % 4));
+        world.net.at(11 * S, () -> world.net.cut(2, 5, true));
+        world.net.at(15 * S, world.net::heal);
+        world.net.runUntil(22 * S, () -> {});
+        assertEquals(messages, world.net.messages.toString());
+        assertEquals(decisions, world.decisions.toString());
+    }
+
+    private static void drain(RegionWorld world, long id) {
+        RegionWorld.StandIn parent = world.parents.get(id);
+        Parent old = parent.listed;
+        parent.listed = new Parent(id, old.hub(), old.carries(), old.capacity(), old.startedUs(), true);
+        world.list();
+    }
+}
--- a/src/test/java/magpiewheel/region/RegionWorld.java
+++ b/src/test/java/magpiewheel/region/RegionWorld.java
@@ -11,6 +11,7 @@
 import magpiewheel.membership.Status;
 import magpiewheel.membership.Verdict;
 import magpiewheel.membership.View;
+import magpiewheel.support.Fingerprint;
 
 /**
  * Four branches of two fronts, stand-in parents and an origin, in virtual time. Parents join fetches, start cold, fall
@@ -169,6 +170,9 @@
     final List<long[]> took = new ArrayList<>();
 
     final double[] rate = new double[FRONTS];
+    /** Of the parents that fills went to. */
+    final Fingerprint decisions = new Fingerprint();
+
     long firstOverdueAt;
     long replacedAt;
     long byLeader;
@@ -253,6 +257,8 @@
         Leader leader = way == Way.LED && avoid == 0 ? front.region.leaderFor(now, me / 2, object, work) : null;
         StandIn parent = leader != null ? parents.get(leader.parent()) : pair(front, now, object, work, avoid);
         byLeader += leader != null ? 1 : 0;
+        decisions.add(net.now).add((long) me).add(object);
+        decisions.add(leader == null ? -1 : leader.parent()).add(parent == null ? -1 : parent.id);
         namedGone += leader != null && (parent == null || parent.listed.draining()) ? 1 : 0;
         if (parent == null) {
             direct++;
--- /dev/null
+++ b/src/test/java/magpiewheel/support/package-info.java
@@ -0,0 +1,2 @@
+/** Helpers shared by the tests of several packages. */
+package magpiewheel.support;
