--- a/src/main/java/magpiewheel/Startup.java
+++ b/src/main/java/magpiewheel/Startup.java
@@ -33,8 +33,11 @@
 import magpiewheel.region.RegionConfig;
 import magpiewheel.resp.ListeningSocket;
 import magpiewheel.resp.RespServer;
+import magpiewheel.routing.EndpointListMode;
+import magpiewheel.routing.RequestClass;
 import magpiewheel.routing.RequestRouter;
-import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.RouterTopology;
+import magpiewheel.routing.RoutingSettings;
 import magpiewheel.upstream.UpstreamPool;
 
 /**
@@ -52,7 +55,7 @@
 
     private final AppConfig app;
     private final FrontConfig config;
-    private final RoutingPolicy.Settings settings;
+    private final RoutingSettings settings;
     private final Reload reload;
     private final Counters counters;
     private final UnixClock clock;
@@ -88,7 +91,7 @@
         peers = config.peerListen() == null
                 ? null
                 : new PeerTransport(
-                        config.peerListen(), config.peers(), settings.place().me(), counters);
+                        config.peerListen(), config.peers(), settings.topology().routerId(), counters);
         engine = engine(nodes, copies);
         nodes.report(engine);
         FlowRing ring = app.flows() == null ? null : new FlowRing(FLOWS_ON_THE_WAY);
@@ -142,7 +145,7 @@
         return new UpstreamPool(
                 pool,
                 counters,
-                settings.profiles(),
+                settings.requestClasses(),
                 config.dialTimeoutUs(),
                 config.settings().idleCloseUs(),
                 descriptors.nodeConnections(),
@@ -152,8 +155,8 @@
     }
 
     private Engine engine(UpstreamPool nodes, ResponseCache copies) {
-        MembershipConfig setup = settings.place()
-                .setup(
+        MembershipConfig setup = settings.topology()
+                .membershipConfig(
                         Ipv4.number(config.listen()),
                         app.beatMs() * 1_000L,
                         clock.now() / 1_000,
@@ -172,7 +175,7 @@
     /** What a front is told of regions; null where they are off, or can't be on, which is said. */
     private RegionConfig regions(MembershipConfig setup) {
         RegionConfig regions =
-                app.regions() && peers != null ? settings.regions(setup.startedMs(), app.originTransfers()) : null;
+                app.regions() && peers != null ? settings.regionConfig(setup.startedMs(), app.originTransfers()) : null;
         if (app.regions() && regions == null) {
             System.err.println(
                     "magpiewheel: fleet.regions needs peers, parents and branches that are attached to a hub: off");
@@ -184,15 +187,17 @@
         return new Metering(
                 ring,
                 clock,
-                settings.place(),
+                settings.topology(),
                 Ipv4.number(config.listen()),
                 config.listen().getPort());
     }
 
     private FlowExporter.Settings exportSettings() {
         AppConfig.Flows flows = app.flows();
-        RoutingPolicy.Place place = settings.place();
-        double link = place.zone() < place.linkKbPerS().length ? place.linkKbPerS()[place.zone()] * OCTETS_A_KB : 0;
+        RouterTopology place = settings.topology();
+        double link = place.zone() < place.linkKbPerSByZone().length
+                ? place.linkKbPerSByZone()[place.zone()] * OCTETS_A_KB
+                : 0;
         return new FlowExporter.Settings(
                 flows.collectors(),
                 flows.domain(),
@@ -205,7 +210,7 @@
                 config.settings().classes(),
                 config.settings().zones(),
                 place.zone(),
-                link / place.directorsIn(place.zone()),
+                link / place.routersIn(place.zone()),
                 config.seed());
     }
 
@@ -236,11 +241,11 @@
         }
     }
 
-    private static RoutingPolicy.ListMode listMode(FrontConfig.Notice notice, boolean first) {
+    private static EndpointListMode listMode(FrontConfig.Notice notice, boolean first) {
         if (first) {
-            return RoutingPolicy.ListMode.CACHED;
+            return EndpointListMode.CACHED;
         }
-        return notice.whole() ? RoutingPolicy.ListMode.FULL : RoutingPolicy.ListMode.DELTA;
+        return notice.whole() ? EndpointListMode.FULL : EndpointListMode.DELTA;
     }
 
     /** Follows the notice board, as soon as one is named, and from then on the configuration's word on where it is. */
@@ -256,9 +261,8 @@
     }
 
     private RespServer respFront(ServiceStats figures) {
-        List<Long> deadlines = settings.profiles().stream()
-                .map(RoutingPolicy.Profile::deadlineUs)
-                .toList();
+        List<Long> deadlines =
+                settings.requestClasses().stream().map(RequestClass::deadlineUs).toList();
         return new RespServer(
                 descriptors.clients(),
                 engine,
--- a/src/main/java/magpiewheel/WarmUp.java
+++ b/src/main/java/magpiewheel/WarmUp.java
@@ -25,8 +25,10 @@
 import magpiewheel.engine.WorkerPool;
 import magpiewheel.membership.MembershipConfig;
 import magpiewheel.resp.RespServer;
+import magpiewheel.routing.EndpointListMode;
+import magpiewheel.routing.RequestClass;
 import magpiewheel.routing.RequestRouter;
-import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.RoutingSettings;
 import magpiewheel.upstream.UpstreamPool;
 
 /**
@@ -69,7 +71,7 @@
         BufferPool pool = new BufferPool(BUFFERS, counters);
         Engine engine = engine(config, crew, clock, pool, counters);
         engine.start();
-        engine.members(RoutingPolicy.ListMode.CACHED, listed(config));
+        engine.members(EndpointListMode.CACHED, listed(config));
         RespServer front = front(config, crew, clock, pool, counters, engine);
         try (ClientLine client = new ClientLine()) {
             front.take(client);
@@ -85,11 +87,11 @@
     /** An engine and a module of their own, with nodes that are in memory. */
     private static Engine engine(
             FrontConfig config, WorkerPool crew, UnixClock clock, BufferPool pool, Counters counters) {
-        RoutingPolicy.Settings settings = config.settings().module();
+        RoutingSettings settings = config.settings().module();
         UpstreamPool nodes = new UpstreamPool(
                 pool,
                 counters,
-                settings.profiles(),
+                settings.requestClasses(),
                 config.dialTimeoutUs(),
                 config.settings().idleCloseUs(),
                 CONNECTIONS,
@@ -102,7 +104,8 @@
                         settings,
                         config.seed(),
                         actions,
-                        settings.place().setup(0, MembershipConfig.SLOW_BEAT_US, clock.now() / 1_000, false),
+                        settings.topology()
+                                .membershipConfig(0, MembershipConfig.SLOW_BEAT_US, clock.now() / 1_000, false),
                         null,
                         false),
                 clock,
@@ -123,8 +126,8 @@
 
     private static RespServer front(
             FrontConfig config, WorkerPool crew, UnixClock clock, BufferPool pool, Counters counters, Engine engine) {
-        List<Long> deadlines = config.settings().module().profiles().stream()
-                .map(RoutingPolicy.Profile::deadlineUs)
+        List<Long> deadlines = config.settings().module().requestClasses().stream()
+                .map(RequestClass::deadlineUs)
                 .toList();
         return new RespServer(
                 1,
--- a/src/main/java/magpiewheel/adapter/Adapter.java
+++ b/src/main/java/magpiewheel/adapter/Adapter.java
@@ -13,16 +13,26 @@
 import magpiewheel.config.ConfigException;
 import magpiewheel.config.Settings;
 import magpiewheel.membership.MembershipConfig;
+import magpiewheel.routing.AttemptOutcome;
+import magpiewheel.routing.AttemptResult;
+import magpiewheel.routing.CacheStatus;
+import magpiewheel.routing.EndpointInfo;
+import magpiewheel.routing.EndpointListMode;
+import magpiewheel.routing.EndpointState;
+import magpiewheel.routing.HealthCheckResult;
+import magpiewheel.routing.Purge;
 import magpiewheel.routing.RequestRouter;
 import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.RoutingRequest;
+import magpiewheel.routing.RoutingSettings;
 
 /** Drives instances of the decision module from the wire's batches. It decides nothing. */
 public final class Adapter {
     private static final String USAGE = "usage: magpiewheel.jar adapter";
     private static final int CLIENT_REPEAT = 2;
     private static final int WRITE = 4;
-    private static final RoutingPolicy.Note[] NOTES = RoutingPolicy.Note.values();
-    private static final RoutingPolicy.ListMode[] MODES = RoutingPolicy.ListMode.values();
+    private static final CacheStatus[] NOTES = CacheStatus.values();
+    private static final EndpointListMode[] MODES = EndpointListMode.values();
     private final Map<Integer, RoutingPolicy> instances = new HashMap<>();
     private final FrameReader reader;
     private final FrameWriter writer = new FrameWriter();
@@ -72,7 +82,7 @@
         }
     }
 
-    private static RoutingPolicy.Settings settings(byte[] text) throws IOException {
+    private static RoutingSettings settings(byte[] text) throws IOException {
         try {
             return Settings.parse(new String(text, StandardCharsets.UTF_8)).module();
         } catch (ConfigException e) {
@@ -91,17 +101,18 @@
     private Runnable decode(int code, int who) throws IOException {
         if (code == Wire.IN_INIT) {
             long seed = reader.u64();
-            RoutingPolicy.Settings settings = settings(reader.bytes(reader.u32()));
+            RoutingSettings settings = settings(reader.bytes(reader.u32()));
             long now = reader.clock();
             return () -> {
                 RoutingPolicy made = new RequestRouter(
                         settings,
                         seed,
                         writer.actionsOf(who),
-                        settings.place().setup(0, MembershipConfig.SLOW_BEAT_US, Math.max(1, now / 1_000), false),
+                        settings.topology()
+                                .membershipConfig(0, MembershipConfig.SLOW_BEAT_US, Math.max(1, now / 1_000), false),
                         null,
                         false);
-                made.serving(now, true);
+                made.setServing(now, true);
                 instances.put(who, made);
             };
         }
@@ -117,17 +128,17 @@
             case Wire.IN_ANSWER -> answer(director, now);
             case Wire.IN_CANCELLED_BY_CLIENT -> {
                 long request = reader.u64();
-                yield () -> director.clientGone(now, request);
+                yield () -> director.clientDisconnected(now, request);
             }
             case Wire.IN_BELL -> {
                 long handle = reader.u64();
-                yield () -> director.timer(now, handle);
+                yield () -> director.timerExpired(now, handle);
             }
             case Wire.IN_STATUS_BACK -> statusBack(director, now);
             case Wire.IN_MEMO -> {
                 long sender = reader.u32();
                 byte[] message = reader.bytes(reader.u16());
-                yield () -> director.peer(now, sender, message);
+                yield () -> director.peerMessageReceived(now, sender, message);
             }
             default -> purged(director, now);
         };
@@ -140,7 +151,7 @@
         }
         reader.u32();
         long rows = reader.u32();
-        List<RoutingPolicy.Member> members = new ArrayList<>();
+        List<EndpointInfo> members = new ArrayList<>();
         for (long i = 0; i < rows; i++) {
             int kind = reader.u16();
             long started = reader.u64();
@@ -148,13 +159,17 @@
             double weight = reader.f32();
             long node = reader.node();
             int state = reader.u8();
-            if (state >= RoutingPolicy.State.values().length) {
+            if (state >= EndpointState.values().length) {
                 throw new FrameReader.MalformedInput("unknown availability " + state);
             }
-            members.add(new RoutingPolicy.Member(
-                    node, kind, started, zone, weight, RoutingPolicy.State.values()[state], reader.u16()));
+            members.add(EndpointInfo.builder(node, kind, zone)
+                    .startedUs(started)
+                    .weight(weight)
+                    .state(EndpointState.values()[state])
+                    .cell(reader.u16())
+                    .build());
         }
-        return () -> director.members(now, MODES[mode], members);
+        return () -> director.endpointsChanged(now, MODES[mode], members);
     }
 
     private Runnable ingress(RoutingPolicy director, long now) throws IOException {
@@ -166,18 +181,16 @@
         long budget = reader.u32();
         int part = (int) reader.f32();
         int profile = reader.u8();
-        RoutingPolicy.Request request = new RoutingPolicy.Request(
-                id,
-                profile,
-                tenant,
-                group,
-                kbytes,
-                budget,
-                part,
-                reader.u64(),
-                (bits & CLIENT_REPEAT) != 0,
-                (bits & WRITE) != 0);
-        return () -> director.request(now, request);
+        RoutingRequest request = RoutingRequest.builder(id, profile, reader.u64())
+                .tenant(tenant)
+                .group(group)
+                .sizeKb(kbytes)
+                .timeBudgetUs(budget)
+                .part(part)
+                .clientRetry((bits & CLIENT_REPEAT) != 0)
+                .write((bits & WRITE) != 0)
+                .build();
+        return () -> director.requestArrived(now, request);
     }
 
     private Runnable accepted(RoutingPolicy director, long now) throws IOException {
@@ -185,45 +198,52 @@
         reader.u32();
         reader.node();
         int attempt = reader.u8();
-        return () -> director.begun(now, request, attempt);
+        return () -> director.streamStarted(now, request, attempt);
     }
 
     private Runnable answer(RoutingPolicy director, long now) throws IOException {
         long request = reader.u64();
         int attempt = reader.u8();
         long node = reader.node();
-        RoutingPolicy.Result result = Wire.result(reader.u16());
+        AttemptResult result = Wire.result(reader.u16());
         long took = reader.u32();
         boolean over = reader.u8() != 0;
         int note = reader.u8();
         if (note >= NOTES.length) {
             throw new FrameReader.MalformedInput("unknown note " + note);
         }
-        RoutingPolicy.Outcome outcome = new RoutingPolicy.Outcome(
-                request, attempt, node, result, took, over, NOTES[note], reader.u32(), load());
-        return () -> director.outcome(now, outcome);
+        long firstByteUs = reader.u32();
+        skipLoad();
+        AttemptOutcome outcome = AttemptOutcome.builder(request, attempt, node, result)
+                .durationUs(took)
+                .requestCompleted(over)
+                .cacheStatus(NOTES[note])
+                .firstByteUs(firstByteUs)
+                .build();
+        return () -> director.attemptEnded(now, outcome);
     }
 
-    private double[] load() throws IOException {
-        double[] load = new double[reader.u8()];
-        for (int i = 0; i < load.length; i++) {
-            load[i] = reader.f32();
+    /** A load report: no decision needs it. */
+    private void skipLoad() throws IOException {
+        int values = reader.u8();
+        for (int i = 0; i < values; i++) {
+            reader.f32();
         }
-        return load;
     }
 
     private Runnable statusBack(RoutingPolicy director, long now) throws IOException {
         long took = reader.u32();
         long node = reader.node();
-        RoutingPolicy.Result result = Wire.result(reader.u16());
-        RoutingPolicy.ProbeResult probe = new RoutingPolicy.ProbeResult(node, result, took, load());
-        return () -> director.probed(now, probe);
+        AttemptResult result = Wire.result(reader.u16());
+        skipLoad();
+        HealthCheckResult probe = new HealthCheckResult(node, result, took);
+        return () -> director.healthCheckEnded(now, probe);
     }
 
     private Runnable purged(RoutingPolicy director, long now) throws IOException {
         long ago = reader.u32();
         long object = reader.u64();
-        RoutingPolicy.Purge purge = new RoutingPolicy.Purge(ago, object, reader.u16());
-        return () -> director.purged(now, purge);
+        Purge purge = new Purge(ago, object, reader.u16());
+        return () -> director.objectsPurged(now, purge);
     }
 }
--- a/src/main/java/magpiewheel/adapter/FrameWriter.java
+++ b/src/main/java/magpiewheel/adapter/FrameWriter.java
@@ -6,7 +6,8 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.AttemptPlan;
+import magpiewheel.routing.RoutingActions;
 
 /** Collects the actions of one reply and writes it. */
 final class FrameWriter {
@@ -71,11 +72,11 @@
     }
 
     /** The actions of one instance. */
-    RoutingPolicy.Actions actionsOf(int who) {
+    RoutingActions actionsOf(int who) {
         return new InstanceActions(who);
     }
 
-    private final class InstanceActions implements RoutingPolicy.Actions {
+    private final class InstanceActions implements RoutingActions {
         private final int who;
 
         InstanceActions(int who) {
@@ -83,29 +84,29 @@
         }
 
         @Override
-        public void attempt(long request, long node, RoutingPolicy.Plan plan) {
+        public void startAttempt(long request, long node, AttemptPlan plan) {
             int start = begin(Wire.OUT_READ_THROUGH, who, 0);
             buffer.putLong(request);
             node(node);
-            int manner = (plan.join() ? Wire.JOIN : 0)
-                    | (plan.heldOnly() ? Wire.HELD_ONLY : 0)
-                    | (plan.parentKeepsNone() ? Wire.PARENT_KEEPS_NONE : 0)
-                    | (plan.renew() ? Wire.RENEW : 0);
-            buffer.put((byte) plan.keep()).putLong(plan.stopAtUs()).put((byte) manner);
-            node(plan.source());
+            int manner = (plan.joinFill() ? Wire.JOIN : 0)
+                    | (plan.cachedOnly() ? Wire.HELD_ONLY : 0)
+                    | (plan.bypassParentCache() ? Wire.PARENT_KEEPS_NONE : 0)
+                    | (plan.revalidate() ? Wire.RENEW : 0);
+            buffer.put((byte) plan.retentionRank()).putLong(plan.deadlineUs()).put((byte) manner);
+            node(plan.fillSource());
             buffer.putInt((int) Math.min(plan.maxAgeUs(), 0xffffffffL));
             end(start);
         }
 
         @Override
-        public void cancel(long request, int attempt) {
+        public void cancelAttempt(long request, int attempt) {
             int start = begin(Wire.OUT_CANCEL, who, 0);
             buffer.putLong(request).put((byte) attempt);
             end(start);
         }
 
         @Override
-        public void refuse(long request, long backoffUs) {
+        public void reject(long request, long backoffUs) {
             int start = begin(Wire.OUT_SHED, who, 0);
             buffer.putLong(request).putInt((int) Math.min(backoffUs, 0xffffffffL));
             end(start);
@@ -119,21 +120,21 @@
         }
 
         @Override
-        public void timer(long atUs, long handle) {
+        public void setTimer(long atUs, long handle) {
             int start = begin(Wire.OUT_REMIND, who, 0);
             buffer.putLong(atUs).putLong(handle);
             end(start);
         }
 
         @Override
-        public void probe(long node) {
+        public void checkHealth(long node) {
             int start = begin(Wire.OUT_POLL, who, 0);
             node(node);
             end(start);
         }
 
         @Override
-        public void tell(int recipient, byte[] message) {
+        public void sendToPeer(int recipient, byte[] message) {
             int start = begin(Wire.OUT_SAY, who, message.length);
             buffer.putShort((short) recipient).putShort((short) message.length).put(message);
             end(start);
@@ -147,7 +148,7 @@
         }
 
         @Override
-        public void fetchList() {
+        public void fetchEndpointList() {
             end(begin(Wire.OUT_QUERY_ALL, who, 0));
         }
 
--- a/src/main/java/magpiewheel/adapter/Wire.java
+++ b/src/main/java/magpiewheel/adapter/Wire.java
@@ -1,6 +1,6 @@
 package magpiewheel.adapter;
 
-import magpiewheel.routing.RoutingPolicy.Result;
+import magpiewheel.routing.AttemptResult;
 
 /** Codes of the wire. */
 final class Wire {
@@ -37,17 +37,17 @@
 
     private Wire() {}
 
-    static Result result(int code) throws FrameReader.MalformedInput {
+    static AttemptResult result(int code) throws FrameReader.MalformedInput {
         return switch (code) {
-            case 0 -> Result.OK;
-            case 1 -> Result.MISS;
-            case 249 -> Result.MOOT;
-            case 250 -> Result.CANCELLED;
-            case 251 -> Result.BROKEN;
-            case 252 -> Result.UNREACHED;
-            case 253 -> Result.TIMEOUT;
-            case 254 -> Result.FULL;
-            case 255 -> Result.ERROR;
+            case 0 -> AttemptResult.OK;
+            case 1 -> AttemptResult.MISS;
+            case 249 -> AttemptResult.EXPIRED;
+            case 250 -> AttemptResult.CANCELLED;
+            case 251 -> AttemptResult.CONNECTION_LOST;
+            case 252 -> AttemptResult.UNREACHABLE;
+            case 253 -> AttemptResult.TIMEOUT;
+            case 254 -> AttemptResult.REJECTED;
+            case 255 -> AttemptResult.ERROR;
             default -> throw new FrameReader.MalformedInput("unknown outcome " + code);
         };
     }
--- a/src/main/java/magpiewheel/config/FrontConfig.java
+++ b/src/main/java/magpiewheel/config/FrontConfig.java
@@ -12,7 +12,8 @@
 import java.util.Map;
 import magpiewheel.engine.Ipv4;
 import magpiewheel.engine.ListedEndpoint;
-import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.EndpointInfo;
+import magpiewheel.routing.EndpointState;
 
 /** What a front is told at its start: the environment, and the JSON file that it names. */
 public record FrontConfig(
@@ -51,7 +52,7 @@
         }
         Json root = Json.parse(text, "GW_CONFIG");
         Settings settings = Settings.of(root.group("settings"));
-        RequiredSettings.check(root.group("settings"), settings.module().profiles());
+        RequiredSettings.check(root.group("settings"), settings.module().requestClasses());
         List<InetSocketAddress> peers = new ArrayList<>();
         for (JsonElement peer : root.array("peers")) {
             peers.add(address("peers", peer.isJsonPrimitive() ? peer.getAsString() : ""));
@@ -76,7 +77,7 @@
                 inherits(env),
                 known.whole("rev", 0, 0, Long.MAX_VALUE),
                 List.copyOf(notices),
-                settings.module().limits().dialTimeoutUs(),
+                settings.module().limits().connectTimeoutUs(),
                 root.number("flow_bytes_per_s", 0),
                 root.number("link_bytes_per_s", 0),
                 settings);
@@ -144,21 +145,22 @@
     private static ListedEndpoint node(Json at, Settings settings) throws ConfigException {
         String id = at.text("instanceId", "");
         InetSocketAddress address = address("instances.hostPort", at.text("hostPort", null));
-        RoutingPolicy.State state = switch (at.text("lifecycle", "")) {
-            case "active" -> RoutingPolicy.State.READY;
-            case "leaving" -> RoutingPolicy.State.DRAINING;
-            case "left" -> RoutingPolicy.State.GONE;
+        EndpointState state = switch (at.text("lifecycle", "")) {
+            case "active" -> EndpointState.READY;
+            case "leaving" -> EndpointState.DRAINING;
+            case "left" -> EndpointState.REMOVED;
             default -> throw at.wrong("lifecycle", "active, leaving or left");
         };
         return new ListedEndpoint(
-                new RoutingPolicy.Member(
-                        hex("instances.instanceId", id.startsWith("s-") ? id.substring(2) : id),
-                        settings.kinds().indexOf(at.text("machineType", "")),
-                        at.whole("startedAtMs", 0, 0, Long.MAX_VALUE / 4_000) * 1000,
-                        settings.zones().indexOf(at.text("zone", "")),
-                        at.number("weight", 1),
-                        state,
-                        at.whole("cell", 0)),
+                EndpointInfo.builder(
+                                hex("instances.instanceId", id.startsWith("s-") ? id.substring(2) : id),
+                                settings.kinds().indexOf(at.text("machineType", "")),
+                                settings.zones().indexOf(at.text("zone", "")))
+                        .startedUs(at.whole("startedAtMs", 0, 0, Long.MAX_VALUE / 4_000) * 1000)
+                        .weight(at.number("weight", 1))
+                        .state(state)
+                        .cell(at.whole("cell", 0))
+                        .build(),
                 Ipv4.number(address),
                 address.getPort());
     }
--- a/src/main/java/magpiewheel/config/RequiredSettings.java
+++ b/src/main/java/magpiewheel/config/RequiredSettings.java
@@ -1,15 +1,15 @@
 package magpiewheel.config;
 
 import java.util.List;
-import magpiewheel.routing.RoutingPolicy.Effect;
-import magpiewheel.routing.RoutingPolicy.Profile;
+import magpiewheel.routing.Idempotency;
+import magpiewheel.routing.RequestClass;
 
 /** What the settings of a site have to tell before a front can serve: without it, none of its requests could be. */
 final class RequiredSettings {
     private RequiredSettings() {}
 
     /** Names the first key that is missing, or whose value leaves nothing to serve with. */
-    static void check(Json settings, List<Profile> classes) throws ConfigException {
+    static void check(Json settings, List<RequestClass> classes) throws ConfigException {
         settings.group("limits").whole("max_attempts", 0, 1, Integer.MAX_VALUE);
         Json rules = settings.group("rules");
         if (!rules.has("drain_grace_us")) {
@@ -19,7 +19,7 @@
             Json profile = settings.item("profiles", i);
             profile.span("goal_time_us");
             profile.span("deadline_us");
-            if (classes.get(i).effect() == Effect.KEYED) {
+            if (classes.get(i).idempotency() == Idempotency.KEYED) {
                 profile.span("repeat_window_us");
             }
         }
--- a/src/main/java/magpiewheel/discovery/DiscoveryClient.java
+++ b/src/main/java/magpiewheel/discovery/DiscoveryClient.java
@@ -15,7 +15,9 @@
 import magpiewheel.engine.Engine;
 import magpiewheel.engine.ListedEndpoint;
 import magpiewheel.engine.WorkerPool;
-import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.EndpointInfo;
+import magpiewheel.routing.EndpointListMode;
+import magpiewheel.routing.EndpointState;
 
 /**
  * The actor of the list: it holds the number of the last event and passes on what is new. A reader keeps the connection
@@ -36,9 +38,7 @@
 
     private static final int CONNECT_MS = 600;
     private static final int AGAIN_MS = 100;
-    private static final RoutingPolicy.State[] STATES = {
-        RoutingPolicy.State.READY, RoutingPolicy.State.DRAINING, RoutingPolicy.State.GONE
-    };
+    private static final EndpointState[] STATES = {EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED};
 
     private final Engine engine;
     private final Runnable lost;
@@ -220,10 +220,15 @@
                 throw garbage();
             }
             nodes.add(new ListedEndpoint(
-                    new RoutingPolicy.Member(id, hardware, started * 1000, zone, weight, STATES[state], cell),
+                    EndpointInfo.builder(id, hardware, zone)
+                            .startedUs(started * 1000)
+                            .weight(weight)
+                            .state(STATES[state])
+                            .cell(cell)
+                            .build(),
                     ip,
                     port));
         }
-        return () -> engine.members(kind == 1 ? RoutingPolicy.ListMode.FULL : RoutingPolicy.ListMode.DELTA, nodes);
+        return () -> engine.members(kind == 1 ? EndpointListMode.FULL : EndpointListMode.DELTA, nodes);
     }
 }
--- a/src/main/java/magpiewheel/engine/Attempt.java
+++ b/src/main/java/magpiewheel/engine/Attempt.java
@@ -1,13 +1,13 @@
 package magpiewheel.engine;
 
-import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.AttemptPlan;
 
 /** One try of a call at a node. The module's actor owns it; the node's actor reads what does not change. */
 public final class Attempt {
     private final PendingRequest call;
     final int index;
     private final long node;
-    private final RoutingPolicy.Plan plan;
+    private final AttemptPlan plan;
     private final long sentAt;
     private final long stopAt;
     private Object carrier;
@@ -16,7 +16,7 @@
     boolean timedOut;
     private volatile boolean calledOff;
 
-    Attempt(PendingRequest call, int index, long node, RoutingPolicy.Plan plan, long sentAt, long stopAt) {
+    Attempt(PendingRequest call, int index, long node, AttemptPlan plan, long sentAt, long stopAt) {
         this.call = call;
         this.index = index;
         this.node = node;
@@ -36,7 +36,7 @@
     }
 
     /** How it is to be served. */
-    public RoutingPolicy.Plan plan() {
+    public AttemptPlan plan() {
         return plan;
     }
 
@@ -52,7 +52,7 @@
 
     /** From when on it may not begin any more: what its module decided by may not hold any longer. */
     public long beginBy() {
-        return plan.beginBy();
+        return plan.startByUs();
     }
 
     /** Whether it is to be given up. */
@@ -62,7 +62,7 @@
 
     /** Whether it may still be written to its node at a time; looked at right before that, on the node's actor. */
     public boolean mayBegin(long now) {
-        return !calledOff && !call.abandoned() && now < plan.beginBy();
+        return !calledOff && !call.abandoned() && now < plan.startByUs();
     }
 
     /** Marks it; false where it was marked before, so that it is called off once. */
--- a/src/main/java/magpiewheel/engine/AttemptListener.java
+++ b/src/main/java/magpiewheel/engine/AttemptListener.java
@@ -1,6 +1,7 @@
 package magpiewheel.engine;
 
-import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.AttemptResult;
+import magpiewheel.routing.CacheStatus;
 
 /** Sees every attempt end. Called on the module's actor, so it must not wait. */
 public interface AttemptListener {
@@ -9,8 +10,8 @@
             PendingRequest.Ask ask,
             ListedEndpoint target,
             ListedEndpoint source,
-            RoutingPolicy.Result result,
-            RoutingPolicy.Note note,
+            AttemptResult result,
+            CacheStatus note,
             long sentAtUs,
             long endedAtUs,
             int octets);
--- a/src/main/java/magpiewheel/engine/Engine.java
+++ b/src/main/java/magpiewheel/engine/Engine.java
@@ -5,8 +5,12 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Function;
+import magpiewheel.routing.EndpointListMode;
+import magpiewheel.routing.EndpointState;
+import magpiewheel.routing.Purge;
+import magpiewheel.routing.RoutingActions;
 import magpiewheel.routing.RoutingPolicy;
-import magpiewheel.routing.RoutingPolicy.Actions;
+import magpiewheel.routing.RoutingSettings;
 
 /**
  * The module's actor: what others tell the module comes in here, in order, and one thread works it off. The life of
@@ -43,8 +47,8 @@
 
     /** An engine for the module that the function makes from the engine's actions. */
     public Engine(
-            RoutingPolicy.Settings settings,
-            Function<Actions, RoutingPolicy> module,
+            RoutingSettings settings,
+            Function<RoutingActions, RoutingPolicy> module,
             UnixClock clock,
             Counters counters,
             Upstream upstream,
@@ -71,10 +75,11 @@
     /** Keeps the figures of the nodes up to date; only before the start. */
     public void show(ServiceStats figures) {
         timers.at(clock.now() + SHOW_US, () -> {
-            figures.nodes(listed.size(), director.avoided(clock.now()));
+            figures.nodes(listed.size(), director.avoidedEndpoints(clock.now()));
             figures.fleet(
-                    director.view().verdict().ordinal(), director.view().heard().size());
-            figures.parts(director.figures(clock.now()));
+                    director.membership().verdict().ordinal(),
+                    director.membership().heard().size());
+            figures.parts(director.statistics(clock.now()));
             show(figures);
         });
     }
@@ -109,24 +114,24 @@
     }
 
     /** The list of nodes has changed. */
-    public void members(RoutingPolicy.ListMode mode, List<ListedEndpoint> nodes) {
+    public void members(EndpointListMode mode, List<ListedEndpoint> nodes) {
         put(() -> {
-            upstream.listed(nodes, mode != RoutingPolicy.ListMode.DELTA);
-            if (mode != RoutingPolicy.ListMode.DELTA) {
+            upstream.listed(nodes, mode != EndpointListMode.DELTA);
+            if (mode != EndpointListMode.DELTA) {
                 listed.clear();
             }
             for (ListedEndpoint node : nodes) {
-                if (node.member().state() == RoutingPolicy.State.GONE) {
-                    listed.remove(node.member().node());
+                if (node.member().state() == EndpointState.REMOVED) {
+                    listed.remove(node.member().id());
                 } else {
-                    listed.put(node.member().node(), node);
+                    listed.put(node.member().id(), node);
                 }
             }
-            director.members(
+            director.endpointsChanged(
                     clock.now(),
                     mode,
                     nodes.stream().map(ListedEndpoint::member).toList());
-            nodesReady = listed.values().stream().anyMatch(node -> node.member().state() == RoutingPolicy.State.READY);
+            nodesReady = listed.values().stream().anyMatch(node -> node.member().state() == EndpointState.READY);
         });
     }
 
@@ -137,35 +142,35 @@
             // A purge stamped ahead of this clock counts as made now.
             long ago = Math.max(0, now - atMs * 1000);
             copies.purge(object, group);
-            director.purged(now, new RoutingPolicy.Purge(ago, object == null ? 0 : number(object), group, atMs));
+            director.objectsPurged(now, new Purge(ago, object == null ? 0 : number(object), group, atMs));
         });
     }
 
     /** The board was heard at a time, with all that it told before. */
     public void boardHeard(long at) {
-        put(() -> director.reads().board(Math.min(clock.now(), at)));
+        put(() -> director.boundedReads().discoveryHeard(Math.min(clock.now(), at)));
     }
 
     /** A message from another front. */
     public void heard(int sender, byte[] message) {
-        if (!offer(() -> director.peer(clock.now(), sender, message))) {
+        if (!offer(() -> director.peerMessageReceived(clock.now(), sender, message))) {
             counters.add(Counter.PEER_DROPPED);
         }
     }
 
     /** The machine of another front said that nobody listens there. */
     public void refused(int front, long askedAt) {
-        offer(() -> director.refused(clock.now(), front, askedAt));
+        offer(() -> director.reachabilityRefused(clock.now(), front, askedAt));
     }
 
     /** The front may be named to clients from now on. */
     public void announce() {
-        put(() -> director.serving(clock.now(), true));
+        put(() -> director.setServing(clock.now(), true));
     }
 
     /** The front wants no more clients: the others are told at once, and again with each beat. */
     public void leave() {
-        put(() -> director.serving(clock.now(), false));
+        put(() -> director.setServing(clock.now(), false));
     }
 
     /**
@@ -182,9 +187,9 @@
     private List<Integer> found(int zone, Long object) {
         long now = clock.now();
         if (object == null) {
-            return director.view().addresses(zone);
+            return director.membership().addresses(zone);
         }
-        ListedEndpoint node = listed.get(director.lookup(now, zone, number(object)));
+        ListedEndpoint node = listed.get(director.selectCache(now, zone, number(object)));
         return node == null ? List.of() : List.of(node.address());
     }
 
--- a/src/main/java/magpiewheel/engine/EngineRoutingActions.java
+++ b/src/main/java/magpiewheel/engine/EngineRoutingActions.java
@@ -1,11 +1,11 @@
 package magpiewheel.engine;
 
+import magpiewheel.routing.AttemptPlan;
+import magpiewheel.routing.RoutingActions;
 import magpiewheel.routing.RoutingPolicy;
-import magpiewheel.routing.RoutingPolicy.Actions;
-import magpiewheel.routing.RoutingPolicy.Plan;
 
 /** What the module asks for. The module is never called from inside one of its own calls. */
-final class EngineRoutingActions implements Actions {
+final class EngineRoutingActions implements RoutingActions {
     private final UnixClock clock;
     private final Timers timers;
     private final RequestLifecycle requests;
@@ -25,22 +25,22 @@
     }
 
     @Override
-    public void attempt(long request, long node, Plan plan) {
+    public void startAttempt(long request, long node, AttemptPlan plan) {
         requests.attempt(request, node, plan);
     }
 
     @Override
-    public void cancel(long request, int attempt) {
+    public void cancelAttempt(long request, int attempt) {
         requests.cancel(request, attempt);
     }
 
     @Override
-    public void own(long request) {
+    public void serveLocalCopy(long request) {
         requests.serveOwn(request);
     }
 
     @Override
-    public void refuse(long request, long backoffUs) {
+    public void reject(long request, long backoffUs) {
         requests.refuse(request, backoffUs);
     }
 
@@ -50,22 +50,22 @@
     }
 
     @Override
-    public void timer(long atUs, long handle) {
-        timers.at(atUs, () -> director.timer(clock.now(), handle));
+    public void setTimer(long atUs, long handle) {
+        timers.at(atUs, () -> director.timerExpired(clock.now(), handle));
     }
 
     @Override
-    public void probe(long node) {
+    public void checkHealth(long node) {
         // Nodes are never probed on this platform; the module knows from its settings.
     }
 
     @Override
-    public void tell(int recipient, byte[] message) {
+    public void sendToPeer(int recipient, byte[] message) {
         peers.tell(recipient, message);
     }
 
     @Override
-    public void knock(int recipient, long at) {
+    public void probeReachability(int recipient, long at) {
         peers.knock(recipient, at);
     }
 
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpointList() {
         // Likewise.
     }
 
--- a/src/main/java/magpiewheel/engine/ListedEndpoint.java
+++ b/src/main/java/magpiewheel/engine/ListedEndpoint.java
@@ -1,6 +1,6 @@
 package magpiewheel.engine;
 
-import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.EndpointInfo;
 
 /** A node of the list and where it can be reached: an IPv4 address and a port. */
-public record ListedEndpoint(RoutingPolicy.Member member, int address, int port) {}
+public record ListedEndpoint(EndpointInfo member, int address, int port) {}
--- a/src/main/java/magpiewheel/engine/PendingRequest.java
+++ b/src/main/java/magpiewheel/engine/PendingRequest.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
-import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.CacheStatus;
 import magpiewheel.staleness.ReadHint;
 
 /** A client's request from when it was taken until its last attempt has ended. The module's actor owns it. */
@@ -53,22 +53,15 @@
      * they are not 0.
      */
     public record Answer(
-            End end,
-            Body body,
-            String tag,
-            long pauseUs,
-            boolean own,
-            RoutingPolicy.Note note,
-            long markMs,
-            long agedMs) {
+            End end, Body body, String tag, long pauseUs, boolean own, CacheStatus note, long markMs, long agedMs) {
         /** Turned away before anything was done. */
         public static Answer refused(long pauseUs) {
-            return new Answer(End.REFUSED, null, null, pauseUs, false, RoutingPolicy.Note.NONE, 0, 0);
+            return new Answer(End.REFUSED, null, null, pauseUs, false, CacheStatus.UNKNOWN, 0, 0);
         }
 
         /** Failed. */
         public static Answer failed() {
-            return new Answer(End.FAILED, null, null, 0, false, RoutingPolicy.Note.NONE, 0, 0);
+            return new Answer(End.FAILED, null, null, 0, false, CacheStatus.UNKNOWN, 0, 0);
         }
     }
 
--- a/src/main/java/magpiewheel/engine/RequestLifecycle.java
+++ b/src/main/java/magpiewheel/engine/RequestLifecycle.java
@@ -6,9 +6,16 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongFunction;
+import magpiewheel.routing.AttemptOutcome;
+import magpiewheel.routing.AttemptPlan;
+import magpiewheel.routing.AttemptResult;
+import magpiewheel.routing.CacheStatus;
+import magpiewheel.routing.DeliveryDecision;
+import magpiewheel.routing.LocalCopy;
+import magpiewheel.routing.RequestClass;
 import magpiewheel.routing.RoutingPolicy;
-import magpiewheel.routing.RoutingPolicy.Plan;
-import magpiewheel.routing.RoutingPolicy.Result;
+import magpiewheel.routing.RoutingRequest;
+import magpiewheel.routing.RoutingSettings;
 import magpiewheel.staleness.ReadHint;
 
 /**
@@ -34,7 +41,7 @@
     private final Set<String> traces = new HashSet<>();
     private final int mostOpen;
     private final long pauseUs;
-    private final List<RoutingPolicy.Profile> profiles;
+    private final List<RequestClass> profiles;
     private RoutingPolicy director;
     private AttemptListener watch = (ask, target, source, result, note, sentAt, endedAt, octets) -> {};
     private long lastId;
@@ -42,7 +49,7 @@
 
     /** Requests by these settings; {@code listed} gives a node of the list by its id, or null. */
     RequestLifecycle(
-            RoutingPolicy.Settings settings,
+            RoutingSettings settings,
             UnixClock clock,
             Timers timers,
             Counters counters,
@@ -55,9 +62,9 @@
         this.upstream = upstream;
         this.copies = copies;
         this.listed = listed;
-        this.profiles = settings.profiles();
-        this.mostOpen = Math.min(settings.limits().maxOpen(), MOST_OPEN);
-        this.pauseUs = settings.limits().advisedUs(PAUSE_US);
+        this.profiles = settings.requestClasses();
+        this.mostOpen = Math.min(settings.limits().maxInFlight(), MOST_OPEN);
+        this.pauseUs = settings.limits().retryAfterUs(PAUSE_US);
     }
 
     /** Names the module that is asked; before anything else. */
@@ -110,25 +117,21 @@
         if (!write && !ask.hint().equals(ReadHint.NONE)) {
             counters.add(Counter.HINTED);
         }
-        director.request(
+        director.requestArrived(
                 now,
-                new RoutingPolicy.Request(
-                        call.id,
-                        ask.profile(),
-                        0,
-                        ask.group(),
-                        ask.kbytes(),
-                        call.deadline - now,
-                        ask.part(),
-                        Engine.number(ask.object()),
-                        false,
-                        write,
-                        ask.hint()),
+                RoutingRequest.builder(call.id, ask.profile(), Engine.number(ask.object()))
+                        .group(ask.group())
+                        .sizeKb(ask.kbytes())
+                        .timeBudgetUs(call.deadline - now)
+                        .part(ask.part())
+                        .write(write)
+                        .hint(ask.hint())
+                        .build(),
                 write ? null : own(now, call));
     }
 
     /** What this front holds itself of what is asked for; held on to until the request is over. */
-    private RoutingPolicy.Copy own(long now, PendingRequest call) {
+    private LocalCopy own(long now, PendingRequest call) {
         ResponseCache.Copy copy = copies.find(call.ask);
         if (copy == null) {
             return null;
@@ -138,8 +141,7 @@
         int bytes = unchanged(call)
                 ? copy.body().length() / HOLDS_PART
                 : copy.body().length();
-        return new RoutingPolicy.Copy(
-                Math.max(0, now - copy.mintedMs() * 1_000), copies.flowUs(bytes), copies.linkUs(bytes));
+        return new LocalCopy(Math.max(0, now - copy.mintedMs() * 1_000), copies.flowUs(bytes), copies.linkUs(bytes));
     }
 
     /** Whether the client's copy is the one that is held here, too. */
@@ -167,24 +169,18 @@
         long now = clock.now();
         for (Attempt attempt : List.copyOf(call.attempts)) {
             if (!attempt.ended && !call.answered) {
-                Result result = attempt.calledOff() && !attempt.timedOut ? Result.CANCELLED : Result.TIMEOUT;
-                director.outcome(
+                AttemptResult result =
+                        attempt.calledOff() && !attempt.timedOut ? AttemptResult.CANCELLED : AttemptResult.TIMEOUT;
+                director.attemptEnded(
                         now,
-                        new RoutingPolicy.Outcome(
-                                call.id,
-                                attempt.index,
-                                attempt.node(),
-                                result,
-                                now - attempt.sentAt(),
-                                false,
-                                RoutingPolicy.Note.NONE,
-                                0,
-                                new double[0]));
+                        AttemptOutcome.builder(call.id, attempt.index, attempt.node(), result)
+                                .durationUs(now - attempt.sentAt())
+                                .build());
             }
         }
         if (!call.answered) {
             answer(call, outOfTime(clock.now(), call));
-            director.clientGone(clock.now(), call.id);
+            director.clientDisconnected(clock.now(), call.id);
             forget(call);
         }
     }
@@ -212,7 +208,7 @@
             counters.add(Counter.GIVEN_UP_BY_CLIENT);
             call.answered = true;
             letGo(call);
-            director.clientGone(clock.now(), call.id);
+            director.clientDisconnected(clock.now(), call.id);
             forget(call);
         }
     }
@@ -270,45 +266,43 @@
             // The word of it may be behind this one: the module must not try again for nobody.
             left(call);
         }
-        Result result = outcome.result() == Result.CANCELLED && attempt.timedOut ? Result.TIMEOUT : outcome.result();
+        AttemptResult result = outcome.result() == AttemptResult.CANCELLED && attempt.timedOut
+                ? AttemptResult.TIMEOUT
+                : outcome.result();
         long now = clock.now();
         int octets = outcome.body() == null ? 0 : outcome.body().length();
-        long minted = result != Result.OK ? 0 : outcome.mintedMs() > 0 ? outcome.mintedMs() : -1;
+        long minted = result != AttemptResult.OK ? 0 : outcome.mintedMs() > 0 ? outcome.mintedMs() : -1;
         long at = Math.min(now, Math.max(attempt.sentAt(), outcome.atUs()));
-        if (result == Result.OK) {
-            director.reads().came(call.id, attempt.index, at, outcome.note(), minted);
-            result = passOn(now, call, outcome, minted) ? Result.OK : Result.MISS;
+        if (result == AttemptResult.OK) {
+            director.boundedReads().responseReceived(call.id, attempt.index, at, outcome.note(), minted);
+            result = passOn(now, call, outcome, minted) ? AttemptResult.OK : AttemptResult.MISS;
         }
         count(result, outcome.unchanged());
         watch.ended(
                 call.ask,
                 listed.apply(attempt.node()),
-                listed.apply(attempt.plan().source()),
+                listed.apply(attempt.plan().fillSource()),
                 result,
                 outcome.note(),
                 attempt.sentAt(),
                 now,
                 octets);
-        director.outcome(
+        director.attemptEnded(
                 now,
-                new RoutingPolicy.Outcome(
-                        call.id,
-                        attempt.index,
-                        attempt.node(),
-                        result,
-                        at - attempt.sentAt(),
-                        call.answered,
-                        outcome.note(),
-                        outcome.firstByteUs(),
-                        new double[0],
-                        minted));
+                AttemptOutcome.builder(call.id, attempt.index, attempt.node(), result)
+                        .durationUs(at - attempt.sentAt())
+                        .requestCompleted(call.answered)
+                        .cacheStatus(outcome.note())
+                        .firstByteUs(outcome.firstByteUs())
+                        .originTimeMs(minted)
+                        .build());
         forget(call);
     }
 
     /** Passes an answer on, if its copy will do; else nothing of it is kept, and to the module its cache lacked it. */
     private boolean passOn(long now, PendingRequest call, UpstreamOutcome outcome, long mintedMs) {
-        RoutingPolicy.Passing passing = director.admits(now, call.id, mintedMs);
-        if (!passing.passes()) {
+        DeliveryDecision passing = director.evaluateDelivery(now, call.id, mintedMs);
+        if (!passing.deliver()) {
             if (outcome.body() != null) {
                 outcome.body().release();
             }
@@ -327,46 +321,46 @@
                         false,
                         outcome.note(),
                         passing.markMs(),
-                        passing.agedMs()));
+                        passing.ageMs()));
         return true;
     }
 
-    private void count(Result result, boolean unchanged) {
+    private void count(AttemptResult result, boolean unchanged) {
         counters.add(
                 switch (result) {
                     case OK -> unchanged ? Counter.KEPT : Counter.DONE;
                     case MISS -> Counter.LACKED;
-                    case FULL -> Counter.TURNED_AWAY;
+                    case REJECTED -> Counter.TURNED_AWAY;
                     case ERROR -> Counter.ERRORS;
-                    case MOOT -> Counter.PAST;
+                    case EXPIRED -> Counter.PAST;
                     case TIMEOUT -> Counter.TIMED_OUT;
                     case CANCELLED -> Counter.CANCELLED;
-                    case UNREACHED -> Counter.DIALS_FAILED;
-                    case BROKEN -> Counter.NODE_BROKEN;
-                    case SPOILT -> Counter.SPOILT;
+                    case UNREACHABLE -> Counter.DIALS_FAILED;
+                    case CONNECTION_LOST -> Counter.NODE_BROKEN;
+                    case CORRUPT -> Counter.SPOILT;
                 });
     }
 
     // ---------------------------------------------------------------- what the module asks for
 
     /** An attempt of a request is to go to a node. */
-    void attempt(long request, long node, Plan plan) {
+    void attempt(long request, long node, AttemptPlan plan) {
         PendingRequest call = calls.get(request);
         if (call == null || call.answered) {
             return;
         }
         long now = clock.now();
-        long stop = plan.stopAtUs() > 0 ? Math.min(plan.stopAtUs(), call.deadline) : call.deadline;
+        long stop = plan.deadlineUs() > 0 ? Math.min(plan.deadlineUs(), call.deadline) : call.deadline;
         Attempt attempt = new Attempt(call, call.attempts.size(), node, plan, now, stop);
         call.attempts.add(attempt);
         call.open++;
         counters.add(Counter.ATTEMPTS);
         if (call.abandoned()) {
-            timers.afterwards(() -> ending(attempt, UpstreamOutcome.of(Result.CANCELLED)));
+            timers.afterwards(() -> ending(attempt, UpstreamOutcome.of(AttemptResult.CANCELLED)));
             return;
         }
         if (!upstream.send(attempt)) {
-            timers.afterwards(() -> ending(attempt, UpstreamOutcome.of(Result.FULL)));
+            timers.afterwards(() -> ending(attempt, UpstreamOutcome.of(AttemptResult.REJECTED)));
             return;
         }
         attempt.stopTimer = timers.at(stop, () -> {
@@ -387,8 +381,8 @@
     void serveOwn(long request) {
         PendingRequest call = calls.get(request);
         if (call != null && call.own != null && !call.answered) {
-            RoutingPolicy.Passing passing = director.admits(clock.now(), request, call.own.mintedMs());
-            if (!passing.passes()) {
+            DeliveryDecision passing = director.evaluateDelivery(clock.now(), request, call.own.mintedMs());
+            if (!passing.deliver()) {
                 counters.add(Counter.REFUSED_BY_HINT);
                 answer(call, PendingRequest.Answer.refused(pauseUs));
                 return;
@@ -406,15 +400,15 @@
                             call.own.tag(),
                             0,
                             true,
-                            RoutingPolicy.Note.NONE,
+                            CacheStatus.UNKNOWN,
                             passing.markMs(),
-                            passing.agedMs()));
+                            passing.ageMs()));
         }
     }
 
     /** A request is to be refused. */
     void refuse(long request, long backoffUs) {
-        counters.add(Counter.REFUSED_BY_HINT, director.reads().unproven(request) ? 1 : 0);
+        counters.add(Counter.REFUSED_BY_HINT, director.boundedReads().isUnproven(request) ? 1 : 0);
         end(request, PendingRequest.Answer.refused(backoffUs));
     }
 
--- a/src/main/java/magpiewheel/engine/UpstreamOutcome.java
+++ b/src/main/java/magpiewheel/engine/UpstreamOutcome.java
@@ -1,14 +1,15 @@
 package magpiewheel.engine;
 
-import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.AttemptResult;
+import magpiewheel.routing.CacheStatus;
 
 /**
  * How a node's side saw an attempt end, and when (Unix us): an answer that waited here for its turn says nothing of how
  * long its node took. The body is set with {@code OK} unless the client's copy holds.
  */
 public record UpstreamOutcome(
-        RoutingPolicy.Result result,
-        RoutingPolicy.Note note,
+        AttemptResult result,
+        CacheStatus note,
         long firstByteUs,
         Body body,
         String tag,
@@ -16,7 +17,7 @@
         long atUs,
         long mintedMs) {
     /** An end that brought no copy. */
-    public static UpstreamOutcome of(RoutingPolicy.Result result) {
-        return new UpstreamOutcome(result, RoutingPolicy.Note.NONE, 0, null, null, false, Long.MAX_VALUE, 0);
+    public static UpstreamOutcome of(AttemptResult result) {
+        return new UpstreamOutcome(result, CacheStatus.UNKNOWN, 0, null, null, false, Long.MAX_VALUE, 0);
     }
 }
--- a/src/main/java/magpiewheel/flows/Metering.java
+++ b/src/main/java/magpiewheel/flows/Metering.java
@@ -7,7 +7,9 @@
 import magpiewheel.engine.UnixClock;
 import magpiewheel.records.FlowRecord;
 import magpiewheel.records.FlowRing;
-import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.AttemptResult;
+import magpiewheel.routing.CacheStatus;
+import magpiewheel.routing.RouterTopology;
 
 /**
  * Turns what the core tells of answers and attempts into flows. It runs on the threads of clients' actors and the
@@ -18,12 +20,12 @@
     private static final double OCTETS_A_KB = 1_000;
     private final FlowRing ring;
     private final UnixClock clock;
-    private final RoutingPolicy.Place place;
+    private final RouterTopology place;
     private final int front;
     private final int frontPort;
 
     /** Of the front at an address. */
-    public Metering(FlowRing ring, UnixClock clock, RoutingPolicy.Place place, int front, int frontPort) {
+    public Metering(FlowRing ring, UnixClock clock, RouterTopology place, int front, int frontPort) {
         this.ring = ring;
         this.clock = clock;
         this.place = place;
@@ -78,17 +80,17 @@
             PendingRequest.Ask ask,
             ListedEndpoint target,
             ListedEndpoint source,
-            RoutingPolicy.Result result,
-            RoutingPolicy.Note note,
+            AttemptResult result,
+            CacheStatus note,
             long sentAtUs,
             long endedAtUs,
             int octets) {
         if (target == null) {
             return;
         }
-        boolean filled = note == RoutingPolicy.Note.FILLED || note == RoutingPolicy.Note.VIA_ORIGIN;
+        boolean filled = note == CacheStatus.FILLED || note == CacheStatus.FILLED_BY_ORIGIN;
         boolean past = kind(target) != FlowRecord.SourceKind.CACHE;
-        if (result == RoutingPolicy.Result.OK) {
+        if (result == AttemptResult.OK) {
             // Past the caches the bytes come over the same link, only into the front itself.
             ListedEndpoint from = past ? target : source;
             if (from == null || !past && !filled) {
@@ -111,10 +113,10 @@
                     hit(note),
                     ask.object(),
                     ask.part(),
-                    target.member().node());
-        } else if (result != RoutingPolicy.Result.CANCELLED
-                && result != RoutingPolicy.Result.MOOT
-                && result != RoutingPolicy.Result.MISS) {
+                    target.member().id());
+        } else if (result != AttemptResult.CANCELLED
+                && result != AttemptResult.EXPIRED
+                && result != AttemptResult.MISS) {
             ring.offer(
                     FlowRecord.Kind.FAILED_ATTEMPT,
                     sentAtUs / 1_000,
@@ -132,7 +134,7 @@
                     hit(note),
                     ask.object(),
                     ask.part(),
-                    target.member().node());
+                    target.member().id());
         }
     }
 
@@ -144,24 +146,24 @@
                         : FlowRecord.SourceKind.CACHE;
     }
 
-    private static FlowRecord.End end(RoutingPolicy.Result result) {
+    private static FlowRecord.End end(AttemptResult result) {
         return switch (result) {
             case TIMEOUT -> FlowRecord.End.TIMED_OUT;
-            case UNREACHED -> FlowRecord.End.UNREACHED;
-            case BROKEN -> FlowRecord.End.BROKEN;
-            case FULL -> FlowRecord.End.TURNED_AWAY;
-            case SPOILT -> FlowRecord.End.SPOILT;
+            case UNREACHABLE -> FlowRecord.End.UNREACHED;
+            case CONNECTION_LOST -> FlowRecord.End.BROKEN;
+            case REJECTED -> FlowRecord.End.TURNED_AWAY;
+            case CORRUPT -> FlowRecord.End.SPOILT;
             case ERROR -> FlowRecord.End.FAILED;
             default -> FlowRecord.End.OTHER;
         };
     }
 
-    private static FlowRecord.Hit hit(RoutingPolicy.Note note) {
+    private static FlowRecord.Hit hit(CacheStatus note) {
         return switch (note) {
             case HIT -> FlowRecord.Hit.HIT;
             case FILLED -> FlowRecord.Hit.FILLED;
-            case VIA_ORIGIN -> FlowRecord.Hit.VIA_ORIGIN;
-            case JOINED -> FlowRecord.Hit.JOINED;
+            case FILLED_BY_ORIGIN -> FlowRecord.Hit.VIA_ORIGIN;
+            case COALESCED -> FlowRecord.Hit.JOINED;
             case STALE -> FlowRecord.Hit.STALE;
             default -> FlowRecord.Hit.NONE;
         };
--- a/src/main/java/magpiewheel/region/SlowStartProfile.java
+++ b/src/main/java/magpiewheel/region/SlowStartProfile.java
@@ -5,6 +5,11 @@
  * up in {@code warmUpUs}; more than {@code multiple} of what it bears, within {@code tipAfterUs}, makes it fall.
  */
 public record SlowStartProfile(double from, long warmUpUs, double multiple, long tipAfterUs) {
+    /** The same profile with another time within which too much work makes it fall. */
+    public SlowStartProfile withOverloadWindow(long windowUs) {
+        return new SlowStartProfile(from, warmUpUs, multiple, windowUs);
+    }
+
     /** The part of its capacity that it has so long after its start. */
     double present(long sinceUs) {
         double warmed = (double) Math.max(0, sinceUs) / Math.max(1, warmUpUs);
--- /dev/null
+++ b/src/main/java/magpiewheel/routing/EndpointInfo.java
@@ -0,0 +1,56 @@
+package magpiewheel.routing;
+
+/** One line of discovery's list. {@code startedUs} is 0 for a node that has run for long. */
+public record EndpointInfo(long id, int kind, long startedUs, int zone, double weight, EndpointState state, int cell) {
+
+    /** Starts an endpoint info with what it can't do without; all else has its preset. */
+    public static Builder builder(long id, int kind, int zone) {
+        return new Builder(id, kind, zone);
+    }
+
+    /** Collects the parts of an endpoint info; for one thread. */
+    public static final class Builder {
+        private final long id;
+        private final int kind;
+        private final int zone;
+        private long startedUs;
+        private double weight = 1;
+        private EndpointState state = EndpointState.READY;
+        private int cell;
+
+        private Builder(long id, int kind, int zone) {
+            this.id = id;
+            this.kind = kind;
+            this.zone = zone;
+        }
+
+        /** Sets {@link EndpointInfo#startedUs}. */
+        public Builder startedUs(long value) {
+            startedUs = value;
+            return this;
+        }
+
+        /** Sets {@link EndpointInfo#weight}. */
+        public Builder weight(double value) {
+            weight = value;
+            return this;
+        }
+
+        /** Sets {@link EndpointInfo#state}. */
+        public Builder state(EndpointState value) {
+            state = value;
+            return this;
+        }
+
+        /** Sets {@link EndpointInfo#cell}. */
+        public Builder cell(int value) {
+            cell = value;
+            return this;
+        }
+
+        /** The endpoint info as set so far. */
+        public EndpointInfo build() {
+            return new EndpointInfo(id, kind, startedUs, zone, weight, state, cell);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiewheel/routing/EndpointState.java
@@ -0,0 +1,8 @@
+package magpiewheel.routing;
+
+/** What discovery says of a node. */
+public enum EndpointState {
+    REMOVED,
+    READY,
+    DRAINING
+}
--- a/src/main/java/magpiewheel/routing/FillCoalescer.java
+++ b/src/main/java/magpiewheel/routing/FillCoalescer.java
@@ -7,9 +7,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import magpiewheel.routing.PeerMessageCodec.Holder;
-import magpiewheel.routing.State.Flight;
-import magpiewheel.routing.State.Node;
 
 /** Where parts of objects were lately sent to be filled, and which requests wait for such a fill. It only stores. */
 final class FillCoalescer {
@@ -17,11 +14,11 @@
     private record Part(long object, int part) {}
 
     /** A fill of a part was sent to a cache. */
-    record Fill(long object, int part, int group, Node cache, long since) {}
+    record Fill(long object, int part, int group, Endpoint cache, long since) {}
 
     private final int most;
     private final Map<Part, Fill> fills = new LinkedHashMap<>();
-    private final Set<Flight> waiting = new LinkedHashSet<>();
+    private final Set<InFlightRequest> waiting = new LinkedHashSet<>();
     private final List<Fill> news = new ArrayList<>();
 
     FillCoalescer(int most) {
@@ -29,8 +26,8 @@
     }
 
     /** A fill of this front goes out; the others are to be told. */
-    void sent(RoutingPolicy.Request request, Node cache, long now) {
-        Fill fill = new Fill(request.object(), request.part(), request.group(), cache, now);
+    void sent(RoutingRequest request, Endpoint cache, long now) {
+        Fill fill = new Fill(request.objectId(), request.part(), request.group(), cache, now);
         told(fill);
         if (news.size() < most) {
             news.add(fill);
@@ -51,21 +48,21 @@
     }
 
     /** Where a part was sent last, or null. */
-    Fill of(RoutingPolicy.Request request) {
-        return fills.get(new Part(request.object(), request.part()));
+    Fill of(RoutingRequest request) {
+        return fills.get(new Part(request.objectId(), request.part()));
     }
 
     /** A cache has not got a part, and it is not on its way there. */
-    void lacks(RoutingPolicy.Request request, Node cache) {
+    void lacks(RoutingRequest request, Endpoint cache) {
         fills.computeIfPresent(
-                new Part(request.object(), request.part()), (part, fill) -> fill.cache() == cache ? null : fill);
+                new Part(request.objectId(), request.part()), (part, fill) -> fill.cache() == cache ? null : fill);
         ended(request, cache);
     }
 
     /** A fill of this front is out no longer: that it was sent is no news. */
-    void ended(RoutingPolicy.Request request, Node cache) {
+    void ended(RoutingRequest request, Endpoint cache) {
         news.removeIf(
-                fill -> fill.object() == request.object() && fill.part() == request.part() && fill.cache() == cache);
+                fill -> fill.object() == request.objectId() && fill.part() == request.part() && fill.cache() == cache);
     }
 
     /** Forgets those of the fills. */
@@ -75,9 +72,9 @@
     }
 
     /** Fills that are still out and that the others were not told of: they are told once. */
-    List<Holder> takeNews(long now) {
-        List<Holder> taken = news.stream()
-                .map(fill -> new Holder(fill.object(), fill.part(), fill.cache().id, fill.group(), (int)
+    List<HolderHint> takeNews(long now) {
+        List<HolderHint> taken = news.stream()
+                .map(fill -> new HolderHint(fill.object(), fill.part(), fill.cache().id, fill.group(), (int)
                         ((now - fill.since()) / 1_000)))
                 .toList();
         news.clear();
@@ -90,23 +87,23 @@
     }
 
     /** A request waits for what is on its way to a cache; it counts in hand there. */
-    void await(Flight flight, Node cache) {
-        flight.waitsFor = cache;
-        cache.inHand++;
+    void await(InFlightRequest flight, Endpoint cache) {
+        flight.awaitedCache = cache;
+        cache.ownInFlight++;
         waiting.add(flight);
     }
 
     /** It waits no longer. */
-    void release(Flight flight) {
+    void release(InFlightRequest flight) {
         if (waiting.remove(flight)) {
-            flight.waitsFor.inHand--;
-            flight.waitsFor = null;
+            flight.awaitedCache.ownInFlight--;
+            flight.awaitedCache = null;
         }
     }
 
     /** Those of the waiting that may go on now. */
-    List<Flight> released(Predicate<Flight> which) {
-        List<Flight> released = waiting.stream().filter(which).toList();
+    List<InFlightRequest> released(Predicate<InFlightRequest> which) {
+        List<InFlightRequest> released = waiting.stream().filter(which).toList();
         released.forEach(this::release);
         return released;
     }
--- a/src/main/java/magpiewheel/routing/FleetProtocols.java
+++ b/src/main/java/magpiewheel/routing/FleetProtocols.java
@@ -37,7 +37,7 @@
 
     private final MembershipProtocol membership;
     private final RegionConfig regions;
-    private final RoutingPolicy.Actions out;
+    private final RoutingActions out;
     private final long handle;
     private final boolean speaks;
     private final List<Speaker> speakers = new ArrayList<>();
@@ -49,8 +49,7 @@
     private long pausedTo = Long.MIN_VALUE;
 
     /** {@code regions} is null where they are off; timers bear the handle; {@code speaks} is whether fronts may. */
-    FleetProtocols(
-            MembershipConfig setup, RegionConfig regions, RoutingPolicy.Actions actions, long handle, boolean speaks) {
+    FleetProtocols(MembershipConfig setup, RegionConfig regions, RoutingActions actions, long handle, boolean speaks) {
         this.regions = speaks ? regions : null;
         this.out = actions;
         this.handle = handle;
@@ -58,12 +57,12 @@
         membership = new MembershipProtocol(setup.startedMs() * 1_000, setup, new DatagramSender() {
             @Override
             public void send(int front, byte[] message) {
-                out.tell(front, message);
+                out.sendToPeer(front, message);
             }
 
             @Override
             public void knock(int front, long at) {
-                out.knock(front, at);
+                out.probeReachability(front, at);
             }
         });
     }
@@ -78,7 +77,7 @@
         started = true;
         if (regions != null) {
             // Its clock starts now: promises of an earlier process may stand for a lease.
-            region = new RegionCoordinator(now, regions, membership, out::tell);
+            region = new RegionCoordinator(now, regions, membership, out::sendToPeer);
             add(new Speaker(RegionCoordinator::isOurs, region::heard, region::due, region::tick));
         }
         wake(now);
@@ -142,7 +141,7 @@
             long due = due(now);
             if (due < wakeAt) {
                 wakeAt = due;
-                out.timer(due, handle);
+                out.setTimer(due, handle);
             }
         }
     }
--- a/src/main/java/magpiewheel/routing/FleetRouter.java
+++ b/src/main/java/magpiewheel/routing/FleetRouter.java
@@ -5,7 +5,6 @@
 import magpiewheel.membership.MembershipConfig;
 import magpiewheel.membership.MembershipView;
 import magpiewheel.region.RegionConfig;
-import magpiewheel.routing.State.Flight;
 
 /**
  * What a director passes on as it is: to the membership, to the regions and to the pinned reads. Nothing is decided
@@ -13,7 +12,7 @@
  */
 abstract class FleetRouter implements RoutingPolicy {
     /** Requests in hand, in the order of their arrival. */
-    final Map<Long, Flight> flights = new LinkedHashMap<>();
+    final Map<Long, InFlightRequest> flights = new LinkedHashMap<>();
     /** What speaks to other fronts, and which fronts of this location it heard. */
     final FleetProtocols fleet;
 
@@ -21,37 +20,43 @@
     final RegionBridge leading;
 
     /** Regions may be null; the fleet's timers bear the handle. */
-    FleetRouter(Settings set, Actions out, MembershipConfig setup, RegionConfig regions, boolean pins, long handle) {
+    FleetRouter(
+            RoutingSettings set,
+            RoutingActions out,
+            MembershipConfig setup,
+            RegionConfig regions,
+            boolean pins,
+            long handle) {
         if (set == null || out == null) {
             throw new IllegalArgumentException((set == null ? "settings" : "actions") + " are missing");
         }
-        fleet = new FleetProtocols(setup, regions, out, handle, set.limits().peers());
-        pinning = new StalenessBridge(pins, setup.startedMs() * 1_000, set.place(), fleet, flights, out);
+        fleet = new FleetProtocols(setup, regions, out, handle, set.limits().mayMessagePeers());
+        pinning = new StalenessBridge(pins, setup.startedMs() * 1_000, set.topology(), fleet, flights, out);
         leading = new RegionBridge(fleet, set);
     }
 
     @Override
-    public Reads reads() {
+    public BoundedReads boundedReads() {
         return pinning;
     }
 
     @Override
-    public MembershipView view() {
+    public MembershipView membership() {
         return fleet.view();
     }
 
     @Override
-    public Map<String, Long> figures(long now) {
+    public Map<String, Long> statistics(long now) {
         return pinning.figures(now, leading.figures(now));
     }
 
     @Override
-    public void serving(long now, boolean serves) {
+    public void setServing(long now, boolean serves) {
         fleet.serving(now, serves);
     }
 
     @Override
-    public void refused(long now, int director, long askedAt) {
+    public void reachabilityRefused(long now, int director, long askedAt) {
         fleet.refused(now, director, askedAt);
     }
 }
--- /dev/null
+++ b/src/main/java/magpiewheel/routing/Idempotency.java
@@ -0,0 +1,8 @@
+package magpiewheel.routing;
+
+/** What running a request twice does: nothing, nothing while its key is remembered, or harm. */
+public enum Idempotency {
+    IDEMPOTENT,
+    KEYED,
+    NOT_IDEMPOTENT
+}
--- a/src/main/java/magpiewheel/routing/PeerMessageCodec.java
+++ b/src/main/java/magpiewheel/routing/PeerMessageCodec.java
@@ -29,72 +29,45 @@
     /** A part of an object that nobody told. */
     static final int NO_PART = MOST_BYTE;
 
-    /**
-     * A cache was seen to hold a part of an object, or to be sent a fill of it, {@code ageMs} before the message went
-     * out.
-     */
-    record Holder(long object, int part, long node, int group, int ageMs) {
-        /** Of the part that a request asks for. */
-        static Holder of(RoutingPolicy.Request request, long node, int ageMs) {
-            return new Holder(request.object(), request.part(), node, request.group(), ageMs);
-        }
-    }
-
-    /** Attempts that the sender has in hand at a cache, and how many it thinks the cache carries. */
-    record Load(long node, int inHand, double limit) {}
-
-    /**
-     * One message; {@code fills} are the sender's fills in hand, {@code fillLimit} what it thinks fits,
-     * {@code originLate} the share of its fills from the origin that came late lately, 0 to 1.
-     */
-    record Message(
-            int zone,
-            long clock,
-            double fills,
-            double fillLimit,
-            double originLate,
-            List<Load> loads,
-            List<Holder> sent,
-            List<Holder> holders) {}
-
     /** What is to be told of the nodes at which attempts are in hand. */
-    static List<Load> loads(List<State.Node> nodes) {
+    static List<EndpointLoad> loads(List<Endpoint> nodes) {
         return nodes.stream()
-                .filter(node -> node.inHand > 0)
-                .map(node -> new Load(node.id, node.inHand, node.limit))
+                .filter(node -> node.ownInFlight > 0)
+                .map(node -> new EndpointLoad(node.id, node.ownInFlight, node.concurrencyLimit))
                 .toList();
     }
 
     /** As many messages as the fills sent and the holders need; each repeats the loads, which never fill one. */
-    static List<byte[]> encode(Message message) {
+    static List<byte[]> encode(PeerMessage message) {
         List<byte[]> messages = new ArrayList<>();
-        List<Load> loads = message.loads().subList(0, Math.min(message.loads().size(), MOST_LOADS));
+        List<EndpointLoad> loads =
+                message.loads().subList(0, Math.min(message.loads().size(), MOST_LOADS));
         int room = (MOST_BYTES - HEAD_BYTES - loads.size() * LOAD_BYTES) / HOLDER_BYTES;
-        List<Holder> all = new ArrayList<>(message.sent());
+        List<HolderHint> all = new ArrayList<>(message.fillsStarted());
         all.addAll(message.holders());
         int from = 0;
         do {
             int to = Math.min(all.size(), from + room);
-            int sent = Math.max(0, Math.min(to, message.sent().size()) - from);
+            int sent = Math.max(0, Math.min(to, message.fillsStarted().size()) - from);
             messages.add(one(message, loads, sent, all.subList(from, to)));
             from = to;
         } while (from < all.size());
         return messages;
     }
 
-    private static byte[] one(Message message, List<Load> loads, int sent, List<Holder> holders) {
+    private static byte[] one(PeerMessage message, List<EndpointLoad> loads, int sent, List<HolderHint> holders) {
         ByteBuffer at = ByteBuffer.allocate(HEAD_BYTES + loads.size() * LOAD_BYTES + holders.size() * HOLDER_BYTES);
-        at.put(VERSION).putShort((short) message.zone()).putLong(message.clock());
-        at.put(small(message.fills())).putShort(steps(message.fillLimit()));
-        at.put(small(Math.max(0, Math.min(1, message.originLate())) * MOST_BYTE));
+        at.put(VERSION).putShort((short) message.zone()).putLong(message.sentAtUs());
+        at.put(small(message.fillsInFlight())).putShort(steps(message.fillLimit()));
+        at.put(small(Math.max(0, Math.min(1, message.originLateRatio())) * MOST_BYTE));
         at.put((byte) sent).put((byte) loads.size());
-        for (Load load : loads) {
-            node(at, load.node());
-            at.put(small(load.inHand())).putShort(steps(load.limit()));
+        for (EndpointLoad load : loads) {
+            node(at, load.endpointId());
+            at.put(small(load.inFlight())).putShort(steps(load.concurrencyLimit()));
         }
-        for (Holder holder : holders) {
-            at.putLong(holder.object());
-            node(at, holder.node());
+        for (HolderHint holder : holders) {
+            at.putLong(holder.objectId());
+            node(at, holder.endpointId());
             // Ages are rounded up: what was told before a purge must not seem to come after it.
             at.putShort((short) holder.group())
                     .put(small(Math.ceil((double) holder.ageMs() / AGE_STEP_MS)))
@@ -125,7 +98,7 @@
     }
 
     /** The message, or null where the bytes are none of ours: another version, or a length that is off. */
-    static Message decode(byte[] bytes) {
+    static PeerMessage decode(byte[] bytes) {
         ByteBuffer at = ByteBuffer.wrap(bytes);
         byte version = bytes.length > 0 ? at.get() : 0;
         // Version 3, of the release before, tells of no fills sent and of no parts: its head is a byte shorter.
@@ -144,15 +117,15 @@
         if (rest < sent * HOLDER_BYTES || rest % HOLDER_BYTES != 0) {
             return null;
         }
-        List<Load> loads = new ArrayList<>();
+        List<EndpointLoad> loads = new ArrayList<>();
         while (loads.size() < count) {
-            loads.add(new Load(node(at), Byte.toUnsignedInt(at.get()), steps(at)));
+            loads.add(new EndpointLoad(node(at), Byte.toUnsignedInt(at.get()), steps(at)));
         }
-        List<Holder> holders = new ArrayList<>();
+        List<HolderHint> holders = new ArrayList<>();
         while (at.hasRemaining()) {
             holders.add(holder(at, version));
         }
-        return new Message(
+        return new PeerMessage(
                 zone,
                 clock,
                 fills,
@@ -163,11 +136,11 @@
                 holders.subList(sent, holders.size()));
     }
 
-    private static Holder holder(ByteBuffer at, byte version) {
+    private static HolderHint holder(ByteBuffer at, byte version) {
         long object = at.getLong();
         long node = node(at);
         int group = Short.toUnsignedInt(at.getShort());
         int age = version == VERSION ? AGE_STEP_MS * Byte.toUnsignedInt(at.get()) : Short.toUnsignedInt(at.getShort());
-        return new Holder(object, version == VERSION ? Byte.toUnsignedInt(at.get()) : NO_PART, node, group, age);
+        return new HolderHint(object, version == VERSION ? Byte.toUnsignedInt(at.get()) : NO_PART, node, group, age);
     }
 }
--- a/src/main/java/magpiewheel/routing/PeerReports.java
+++ b/src/main/java/magpiewheel/routing/PeerReports.java
@@ -4,8 +4,6 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import magpiewheel.routing.State.Node;
-import magpiewheel.routing.State.Peer;
 
 /** The other fronts of this location: who is to be told, and what each told last. It only stores. */
 final class PeerReports {
@@ -13,18 +11,18 @@
      * A message that is not older than the last of its sender, when that was sent, and whether it is the first of its
      * time.
      */
-    record Heard(PeerMessageCodec.Message message, long at, boolean first) {}
+    record Heard(PeerMessage message, long at, boolean first) {}
 
     private final int zone;
     private final int most;
     private final long forgetUs;
-    private final Map<Long, Node> nodes;
-    private final TreeMap<Long, Peer> peers = new TreeMap<>();
+    private final Map<Long, Endpoint> nodes;
+    private final TreeMap<Long, PeerState> peers = new TreeMap<>();
     private List<Integer> met = List.of();
     private double fills;
 
     /** Of one location; so many are remembered at most, and for so long. Loads told are counted at the nodes given. */
-    PeerReports(int zone, int most, long forgetUs, Map<Long, Node> nodes) {
+    PeerReports(int zone, int most, long forgetUs, Map<Long, Endpoint> nodes) {
         this.zone = zone;
         this.most = most;
         this.forgetUs = forgetUs;
@@ -39,7 +37,7 @@
         peers.forEach((number, peer) -> {
             if (now - peer.heardAt > silentUs) {
                 // What it told of its load is out of date, whether it lives or not.
-                fills += peer.tells(0, List.of(), nodes);
+                fills += peer.update(0, List.of(), nodes);
             } else {
                 // Fronts of the release before are no members; they are met by what they tell.
                 all.add(number.intValue());
@@ -50,22 +48,22 @@
     }
 
     /** Takes a message in; null where it is none, another location's, or older than what was heard. */
-    Heard heard(long now, long sender, PeerMessageCodec.Message message) {
+    Heard heard(long now, long sender, PeerMessage message) {
         if (message == null || message.zone() != zone || peers.size() >= most) {
             return null;
         }
-        Peer peer = peers.computeIfAbsent(sender, key -> new Peer());
-        if (message.clock() < peer.lastClock) {
+        PeerState peer = peers.computeIfAbsent(sender, key -> new PeerState());
+        if (message.sentAtUs() < peer.lastSentAt) {
             return null;
         }
-        boolean first = message.clock() > peer.lastClock;
+        boolean first = message.sentAtUs() > peer.lastSentAt;
         peer.heardAt = now;
-        peer.leastDelay = Math.min(peer.leastDelay, now - message.clock());
-        peer.lastClock = message.clock();
+        peer.leastDelay = Math.min(peer.leastDelay, now - message.sentAtUs());
+        peer.lastSentAt = message.sentAtUs();
         if (first) {
-            fills += peer.tells(message.fills(), message.loads(), nodes);
+            fills += peer.update(message.fillsInFlight(), message.loads(), nodes);
         }
-        return new Heard(message, message.clock() + peer.leastDelay, first);
+        return new Heard(message, message.sentAtUs() + peer.leastDelay, first);
     }
 
     List<Integer> all() {
--- a/src/main/java/magpiewheel/routing/RegionBridge.java
+++ b/src/main/java/magpiewheel/routing/RegionBridge.java
@@ -15,11 +15,6 @@
 import magpiewheel.region.Parent;
 import magpiewheel.region.RegionCoordinator;
 import magpiewheel.region.RouteReason;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Outcome;
-import magpiewheel.routing.RoutingPolicy.Result;
-import magpiewheel.routing.State.Attempt;
-import magpiewheel.routing.State.Node;
 
 /**
  * Between the module and its regions: turns nodes into parents, measures what the own branch fills and keeps which
@@ -43,11 +38,11 @@
     /** A fill that a parent owes an answer. */
     private static final class Owed {
         final Attempt attempt;
-        final Node parent;
+        final Endpoint parent;
         final long dueAt;
         boolean told;
 
-        Owed(Attempt attempt, Node parent, long dueAt) {
+        Owed(Attempt attempt, Endpoint parent, long dueAt) {
             this.attempt = attempt;
             this.parent = parent;
             this.dueAt = dueAt;
@@ -55,7 +50,7 @@
     }
 
     private final FleetProtocols fleet;
-    private final RoutingPolicy.Place place;
+    private final RouterTopology place;
     private final double windowUs;
     private final PriorityQueue<Owed> owed = new PriorityQueue<>(Comparator.comparingLong(fill -> fill.dueAt));
     private final List<Owed> late = new ArrayList<>();
@@ -64,14 +59,16 @@
     private List<Parent> parents = List.of();
     private long lookAt = Long.MAX_VALUE;
 
-    RegionBridge(FleetProtocols fleet, RoutingPolicy.Settings settings) {
+    RegionBridge(FleetProtocols fleet, RoutingSettings settings) {
         this.fleet = fleet;
-        this.place = settings.place();
-        this.windowUs = settings.guards().tipAfterUs() > 0 ? settings.guards().tipAfterUs() : SECOND_US;
+        this.place = settings.topology();
+        this.windowUs = settings.safetyLimits().overloadWindowUs() > 0
+                ? settings.safetyLimits().overloadWindowUs()
+                : SECOND_US;
     }
 
     /** The list as it stands; the function tells how many transfers at once a node bears. */
-    void listed(long now, Collection<Node> nodes, ToDoubleFunction<Node> capacity) {
+    void listed(long now, Collection<Endpoint> nodes, ToDoubleFunction<Endpoint> capacity) {
         RegionCoordinator region = fleet.region();
         if (region == null) {
             return;
@@ -81,16 +78,16 @@
             fleet.add(new FleetProtocols.Speaker(message -> false, (at, sender, message) -> {}, this::due, this::tick));
         }
         parents = nodes.stream()
-                .filter(node -> node.id != 0 && node.state != RoutingPolicy.State.GONE && node.isParent())
+                .filter(node -> node.id != 0 && node.state != EndpointState.REMOVED && node.isParent())
                 .map(node -> {
                     double bears = capacity.applyAsDouble(node);
                     return new Parent(
                             node.id,
-                            node.member.zone(),
+                            node.info.zone(),
                             bears,
                             bears,
-                            node.member.startedUs(),
-                            node.state == RoutingPolicy.State.DRAINING);
+                            node.info.startedUs(),
+                            node.state == EndpointState.DRAINING);
                 })
                 .toList();
         sent.keySet().retainAll(parents.stream().map(Parent::id).toList());
@@ -99,7 +96,7 @@
     }
 
     /** The one of these parents that leads for an object of this branch, or null. */
-    Node among(long now, List<Node> fit, long object, double workUs) {
+    Endpoint among(long now, List<Endpoint> fit, long object, double workUs) {
         RegionCoordinator region = fleet.region();
         Leader leader = region == null ? null : region.leaderFor(now, place.zone(), object, workUs / windowUs);
         return leader == null
@@ -118,47 +115,52 @@
     /** An attempt goes out that may become a fill; {@code ownUs} is its own sending time. */
     void began(long now, Attempt attempt, long object, double workUs, double ownUs) {
         RegionCoordinator region = fleet.region();
-        if (region == null || attempt.fill <= 0) {
+        if (region == null || attempt.fillProbability <= 0) {
             return;
         }
-        double amount = attempt.fill * ownUs / SECOND_US;
+        double amount = attempt.fillProbability * ownUs / SECOND_US;
         filled.add(now, amount);
-        Node parent = parentOf(attempt);
+        Endpoint parent = parentOf(attempt);
         if (parent != null) {
             region.began(now, parent.id, object, workUs / windowUs, amount);
             sent.computeIfAbsent(parent.id, id -> new SlidingWindowSum(SPAN_US)).add(now, amount);
             owed.add(new Owed(
-                    attempt, parent, now + OVERDUE_US + (long) (USUAL * (ownUs + parent.latency.or(now, 0)))));
+                    attempt, parent, now + OVERDUE_US + (long) (USUAL * (ownUs + parent.fillLatency.or(now, 0)))));
             fleet.wake(now);
         }
     }
 
     /** The parent that serves an attempt, or that fills for it; null where it is neither. */
-    private Node parentOf(Attempt attempt) {
+    private Endpoint parentOf(Attempt attempt) {
         return attempt.target.isParent() ? attempt.target : attempt.source.isParent() ? attempt.source : null;
     }
 
     /** Such an attempt has ended. */
-    void ended(long now, Attempt attempt, long object, Outcome outcome, double ownUs) {
+    void ended(long now, Attempt attempt, long object, AttemptOutcome outcome, double ownUs) {
         RegionCoordinator region = fleet.region();
-        if (region == null || attempt.fill <= 0) {
+        if (region == null || attempt.fillProbability <= 0) {
             return;
         }
-        Node parent = parentOf(attempt);
+        Endpoint parent = parentOf(attempt);
         boolean past = parent == attempt.target;
-        Note note = outcome.note();
+        CacheStatus note = outcome.cacheStatus();
         boolean ok = past
-                ? outcome.result() == Result.OK
-                : note == Note.FILLED || note == Note.VIA_ORIGIN || note == Note.SOURCE_LACKS;
+                ? outcome.result() == AttemptResult.OK
+                : note == CacheStatus.FILLED || note == CacheStatus.FILLED_BY_ORIGIN || note == CacheStatus.SOURCE_MISS;
         boolean refused = past
-                ? outcome.result() == Result.ERROR || outcome.result() == Result.FULL
-                : note == Note.SOURCE_REFUSED;
-        boolean silent = past ? outcome.result() == Result.UNREACHED : note == Note.SOURCE_UNREACHED;
+                ? outcome.result() == AttemptResult.ERROR || outcome.result() == AttemptResult.REJECTED
+                : note == CacheStatus.SOURCE_REJECTED;
+        boolean silent = past ? outcome.result() == AttemptResult.UNREACHABLE : note == CacheStatus.SOURCE_UNREACHABLE;
         if (parent != null && (ok || refused)) {
             region.answered(
-                    now, parent.id, object, (long) outcome.waitUs(ownUs), ok, note == (past ? Note.HIT : Note.FILLED));
+                    now,
+                    parent.id,
+                    object,
+                    (long) outcome.waitUs(ownUs),
+                    ok,
+                    note == (past ? CacheStatus.HIT : CacheStatus.FILLED));
         } else {
-            region.ended(object, outcome.result() == Result.OK);
+            region.ended(object, outcome.result() == AttemptResult.OK);
             if (parent != null && silent) {
                 region.overdue(now, parent.id, attempt.sentAt);
             }
@@ -196,9 +198,9 @@
 
     /** Whether the silence is the parent's: its cache speaks, or a second one is silent for the same parent. */
     private boolean atFault(Owed fill) {
-        Node target = fill.attempt.target;
+        Endpoint target = fill.attempt.target;
         return target == fill.parent
-                || target.answeredAt >= fill.attempt.sentAt
+                || target.lastAnsweredAt >= fill.attempt.sentAt
                 || late.stream().anyMatch(other -> other.parent == fill.parent && other.attempt.target != target);
     }
 
--- a/src/main/java/magpiewheel/routing/RendezvousHash.java
+++ b/src/main/java/magpiewheel/routing/RendezvousHash.java
@@ -22,12 +22,12 @@
     }
 
     /** From the first to the last for an object. */
-    static Comparator<State.Node> order(long object) {
+    static Comparator<Endpoint> order(long object) {
         return Comparator.comparingLong(node -> mix(object ^ node.hash));
     }
 
     /** The first for an object. */
-    static State.Node first(List<State.Node> from, long object) {
+    static Endpoint first(List<Endpoint> from, long object) {
         return Collections.min(from, order(object));
     }
 }
--- /dev/null
+++ b/src/main/java/magpiewheel/routing/RequestClass.java
@@ -0,0 +1,138 @@
+package magpiewheel.routing;
+
+/** A request class: its aim grows by {@code objectiveStretch} times the request's own sending time. */
+public record RequestClass(
+        long latencyObjectiveUs,
+        double objectiveStretch,
+        long deadlineUs,
+        double priorityWeight,
+        double latePriorityWeight,
+        Idempotency idempotency,
+        IdempotencyKeyScope keyScope,
+        long idempotencyWindowUs,
+        boolean streaming,
+        boolean write,
+        boolean multipart,
+        long freshUs,
+        long staleGraceUs,
+        double stalePriorityWeight) {
+
+    /** Starts a request class with what it can't do without; all else has its preset. */
+    public static Builder builder(long latencyObjectiveUs, long deadlineUs) {
+        return new Builder(latencyObjectiveUs, deadlineUs);
+    }
+
+    /** Collects the parts of a request class; for one thread. */
+    public static final class Builder {
+        private final long latencyObjectiveUs;
+        private final long deadlineUs;
+        private double objectiveStretch;
+        private double priorityWeight = 1;
+        private double latePriorityWeight;
+        private Idempotency idempotency = Idempotency.IDEMPOTENT;
+        private IdempotencyKeyScope keyScope = IdempotencyKeyScope.ALL;
+        private long idempotencyWindowUs;
+        private boolean streaming;
+        private boolean write;
+        private boolean multipart;
+        private long freshUs;
+        private long staleGraceUs;
+        private double stalePriorityWeight = 1;
+
+        private Builder(long latencyObjectiveUs, long deadlineUs) {
+            this.latencyObjectiveUs = latencyObjectiveUs;
+            this.deadlineUs = deadlineUs;
+        }
+
+        /** Sets {@link RequestClass#objectiveStretch}. */
+        public Builder objectiveStretch(double value) {
+            objectiveStretch = value;
+            return this;
+        }
+
+        /** Sets {@link RequestClass#priorityWeight}. */
+        public Builder priorityWeight(double value) {
+            priorityWeight = value;
+            return this;
+        }
+
+        /** Sets {@link RequestClass#latePriorityWeight}. */
+        public Builder latePriorityWeight(double value) {
+            latePriorityWeight = value;
+            return this;
+        }
+
+        /** Sets {@link RequestClass#idempotency}. */
+        public Builder idempotency(Idempotency value) {
+            idempotency = value;
+            return this;
+        }
+
+        /** Sets {@link RequestClass#keyScope}. */
+        public Builder keyScope(IdempotencyKeyScope value) {
+            keyScope = value;
+            return this;
+        }
+
+        /** Sets {@link RequestClass#idempotencyWindowUs}. */
+        public Builder idempotencyWindowUs(long value) {
+            idempotencyWindowUs = value;
+            return this;
+        }
+
+        /** Sets {@link RequestClass#streaming}. */
+        public Builder streaming(boolean value) {
+            streaming = value;
+            return this;
+        }
+
+        /** Sets {@link RequestClass#write}. */
+        public Builder write(boolean value) {
+            write = value;
+            return this;
+        }
+
+        /** Sets {@link RequestClass#multipart}. */
+        public Builder multipart(boolean value) {
+            multipart = value;
+            return this;
+        }
+
+        /** Sets {@link RequestClass#freshUs}. */
+        public Builder freshUs(long value) {
+            freshUs = value;
+            return this;
+        }
+
+        /** Sets {@link RequestClass#staleGraceUs}. */
+        public Builder staleGraceUs(long value) {
+            staleGraceUs = value;
+            return this;
+        }
+
+        /** Sets {@link RequestClass#stalePriorityWeight}. */
+        public Builder stalePriorityWeight(double value) {
+            stalePriorityWeight = value;
+            return this;
+        }
+
+        /** The request class as set so far. */
+        public RequestClass build() {
+            return new RequestClass(
+                    latencyObjectiveUs,
+                    objectiveStretch,
+                    deadlineUs,
+                    priorityWeight,
+                    latePriorityWeight,
+                    idempotency,
+                    keyScope,
+                    idempotencyWindowUs,
+                    streaming,
+                    write,
+                    multipart,
+                    freshUs,
+                    staleGraceUs,
+                    stalePriorityWeight);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiewheel/routing/RoutingSettings.java
@@ -0,0 +1,164 @@
+package magpiewheel.routing;
+
+import java.util.List;
+import magpiewheel.region.RegionConfig;
+
+/** Everything the module is told at its start. */
+public record RoutingSettings(
+        RouterTopology topology,
+        List<RequestClass> requestClasses,
+        List<Tenant> tenants,
+        double overQuotaPriorityWeight,
+        RequestLimits limits,
+        SafetyLimits safetyLimits,
+        boolean mustSubscribe,
+        SiblingFills siblingFills,
+        boolean cachesJoinFills,
+        boolean mayBypassCaches,
+        boolean detailedCacheStatus,
+        WeightSource weightSource,
+        List<LoadMetric> loadMetrics) {
+    /** us; over so long work is counted where no time is told in which a cold node falls. */
+    private static final long WINDOW_US = 1_000_000;
+    /** Work a second that nothing bounds: transfers at once of an origin of which nothing is told. */
+    private static final double UNBOUNDED = 1e9;
+
+    /** The longest time that a request of any class may take, us. */
+    long longestDeadlineUs() {
+        return requestClasses.stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
+    }
+
+    /**
+     * What regions are told of this place; null where there are no parents, none is attached to a hub, or fronts may
+     * not speak. The origin bears so many transfers at once, 0 where that is not told.
+     */
+    public RegionConfig regionConfig(long startedMs, int originTransfers) {
+        int[] hubs = topology.hubByZone();
+        if (topology.parentKind() < 0
+                || !limits.mayMessagePeers()
+                || topology.zone() < 0
+                || topology.zone() >= hubs.length) {
+            return null;
+        }
+        long window = safetyLimits.overloadWindowUs() > 0 ? safetyLimits.overloadWindowUs() : WINDOW_US;
+        // No load until it is measured: what is too little is known before much of it has moved to a leader.
+        return new RegionConfig(
+                topology.routerId(),
+                topology.zone(),
+                topology.routersByZone(),
+                hubs,
+                new double[hubs.length],
+                safetyLimits.parentSlowStart().withOverloadWindow(window),
+                originTransfers > 0 ? originTransfers * 1e6 / window : UNBOUNDED,
+                startedMs);
+    }
+
+    /** Starts a routing settings with what it can't do without; all else has its preset. */
+    public static Builder builder(
+            RouterTopology topology,
+            List<RequestClass> requestClasses,
+            RequestLimits limits,
+            SafetyLimits safetyLimits) {
+        return new Builder(topology, requestClasses, limits, safetyLimits);
+    }
+
+    /** Collects the parts of a routing settings; for one thread. */
+    public static final class Builder {
+        private final RouterTopology topology;
+        private final List<RequestClass> requestClasses;
+        private final RequestLimits limits;
+        private final SafetyLimits safetyLimits;
+        private List<Tenant> tenants = List.of();
+        private double overQuotaPriorityWeight = 1;
+        private boolean mustSubscribe;
+        private SiblingFills siblingFills = SiblingFills.OFF;
+        private boolean cachesJoinFills;
+        private boolean mayBypassCaches;
+        private boolean detailedCacheStatus;
+        private WeightSource weightSource = WeightSource.OFF;
+        private List<LoadMetric> loadMetrics = List.of();
+
+        private Builder(
+                RouterTopology topology,
+                List<RequestClass> requestClasses,
+                RequestLimits limits,
+                SafetyLimits safetyLimits) {
+            this.topology = topology;
+            this.requestClasses = requestClasses;
+            this.limits = limits;
+            this.safetyLimits = safetyLimits;
+        }
+
+        /** Sets {@link RoutingSettings#tenants}. */
+        public Builder tenants(List<Tenant> value) {
+            tenants = value;
+            return this;
+        }
+
+        /** Sets {@link RoutingSettings#overQuotaPriorityWeight}. */
+        public Builder overQuotaPriorityWeight(double value) {
+            overQuotaPriorityWeight = value;
+            return this;
+        }
+
+        /** Sets {@link RoutingSettings#mustSubscribe}. */
+        public Builder mustSubscribe(boolean value) {
+            mustSubscribe = value;
+            return this;
+        }
+
+        /** Sets {@link RoutingSettings#siblingFills}. */
+        public Builder siblingFills(SiblingFills value) {
+            siblingFills = value;
+            return this;
+        }
+
+        /** Sets {@link RoutingSettings#cachesJoinFills}. */
+        public Builder cachesJoinFills(boolean value) {
+            cachesJoinFills = value;
+            return this;
+        }
+
+        /** Sets {@link RoutingSettings#mayBypassCaches}. */
+        public Builder mayBypassCaches(boolean value) {
+            mayBypassCaches = value;
+            return this;
+        }
+
+        /** Sets {@link RoutingSettings#detailedCacheStatus}. */
+        public Builder detailedCacheStatus(boolean value) {
+            detailedCacheStatus = value;
+            return this;
+        }
+
+        /** Sets {@link RoutingSettings#weightSource}. */
+        public Builder weightSource(WeightSource value) {
+            weightSource = value;
+            return this;
+        }
+
+        /** Sets {@link RoutingSettings#loadMetrics}. */
+        public Builder loadMetrics(List<LoadMetric> value) {
+            loadMetrics = value;
+            return this;
+        }
+
+        /** The routing settings as set so far. */
+        public RoutingSettings build() {
+            return new RoutingSettings(
+                    topology,
+                    requestClasses,
+                    tenants,
+                    overQuotaPriorityWeight,
+                    limits,
+                    safetyLimits,
+                    mustSubscribe,
+                    siblingFills,
+                    cachesJoinFills,
+                    mayBypassCaches,
+                    detailedCacheStatus,
+                    weightSource,
+                    loadMetrics);
+        }
+    }
+}
--- a/src/main/java/magpiewheel/routing/TransferTimes.java
+++ b/src/main/java/magpiewheel/routing/TransferTimes.java
@@ -1,8 +1,6 @@
 package magpiewheel.routing;
 
 import java.util.List;
-import magpiewheel.routing.RoutingPolicy.Profile;
-import magpiewheel.routing.RoutingPolicy.Request;
 
 /**
  * How long transfers take: that of a request where its size is told, else the mean of its class; and how many of each
@@ -10,7 +8,7 @@
  */
 final class TransferTimes {
     private static final double SECOND_US = 1e6;
-    private final List<Profile> profiles;
+    private final List<RequestClass> profiles;
     private final double flowKbPerS;
     private final double carefulWeight;
     private final Ewma[] mean;
@@ -21,45 +19,46 @@
      * For classes at a client's pace (0 where that is not told); means move by these weights, those for hard limits by
      * the second.
      */
-    TransferTimes(List<Profile> profiles, double flowKbPerS, double weight, double carefulWeight) {
+    TransferTimes(List<RequestClass> profiles, double flowKbPerS, double weight, double carefulWeight) {
         this.profiles = profiles;
         this.flowKbPerS = flowKbPerS;
         this.carefulWeight = carefulWeight;
         mean = new Ewma[profiles.size()];
         answered = new AnswerRateBySize(profiles.size());
-        careful = profiles.stream().mapToDouble(Profile::aimUs).toArray();
+        careful =
+                profiles.stream().mapToDouble(RequestClass::latencyObjectiveUs).toArray();
         for (int i = 0; i < mean.length; i++) {
             mean[i] = new Ewma(weight);
         }
     }
 
     /** Whether the request's own size tells how long its transfer takes. */
-    boolean sized(Request request) {
-        return request.kbytes() > 0 && flowKbPerS > 0;
+    boolean sized(RoutingRequest request) {
+        return request.sizeKb() > 0 && flowKbPerS > 0;
     }
 
     /** A request came: where it tells its size, that is what its transfer takes. */
-    void asked(Request request) {
+    void asked(RoutingRequest request) {
         if (sized(request)) {
-            double mostUs = profiles.get(request.profile()).deadlineUs();
-            add(request.profile(), Math.min(ownUs(request), mostUs), true);
+            double mostUs = profiles.get(request.requestClass()).deadlineUs();
+            add(request.requestClass(), Math.min(ownUs(request), mostUs), true);
         }
     }
 
     /** A request got its final answer: it was answered, or refused or failed. */
-    void ended(Request request, boolean served) {
-        answered.add(request.profile(), ownUs(request), served);
+    void ended(RoutingRequest request, boolean served) {
+        answered.add(request.requestClass(), ownUs(request), served);
     }
 
     /** Whether requests as large as this one are answered less than so much of their class's share. */
-    boolean fallsShort(Request request, double floor) {
-        return answered.fallsShort(request.profile(), ownUs(request), floor);
+    boolean fallsShort(RoutingRequest request, double floor) {
+        return answered.fallsShort(request.requestClass(), ownUs(request), floor);
     }
 
     /** A copy that was held took so long to come; it tells where no size does. */
-    void took(Request request, double us, boolean quiet) {
+    void took(RoutingRequest request, double us, boolean quiet) {
         if (!sized(request)) {
-            add(request.profile(), us, quiet || !mean[request.profile()].heard());
+            add(request.requestClass(), us, quiet || !mean[request.requestClass()].heard());
         }
     }
 
@@ -73,7 +72,7 @@
 
     /** Mean sending time of a class, us; before anything was seen its aim, which is longer. */
     double workUs(int profile) {
-        return mean[profile].or(profiles.get(profile).aimUs());
+        return mean[profile].or(profiles.get(profile).latencyObjectiveUs());
     }
 
     /**
@@ -94,7 +93,7 @@
     }
 
     /** Sending time of this very request where its size is told, else its class's mean, us. */
-    double ownUs(Request request) {
-        return sized(request) ? request.kbytes() / flowKbPerS * SECOND_US : workUs(request.profile());
+    double ownUs(RoutingRequest request) {
+        return sized(request) ? request.sizeKb() / flowKbPerS * SECOND_US : workUs(request.requestClass());
     }
 }
--- a/src/main/java/magpiewheel/upstream/ResponseLine.java
+++ b/src/main/java/magpiewheel/upstream/ResponseLine.java
@@ -2,19 +2,26 @@
 
 import java.io.IOException;
 import java.util.List;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Result;
+import magpiewheel.routing.AttemptResult;
+import magpiewheel.routing.CacheStatus;
 
 /**
  * The line that an answer begins with, checked word by word: {@code ID WORD FIELDS LENGTH}. Nodes' answers arrive
  * spoilt now and then, and what is not wholly in order must not be passed on as an answer.
  */
 record ResponseLine(
-        String id, Result result, boolean unchanged, Note note, long lagUs, String tag, long mintedMs, int length) {
+        String id,
+        AttemptResult result,
+        boolean unchanged,
+        CacheStatus note,
+        long lagUs,
+        String tag,
+        long mintedMs,
+        int length) {
     private static final int WORDS = 4;
     private static final int LARGEST_BODY = 240_000;
     private static final int LONGEST_ID = 64;
-    private static final Note[] NOTES = Note.values();
+    private static final CacheStatus[] NOTES = CacheStatus.values();
     private static final List<String> NOTE_WORDS = List.of(
             "",
             "hit",
@@ -48,25 +55,25 @@
         if (words.length != WORDS || words[0].isEmpty() || words[0].length() > LONGEST_ID) {
             throw new Garbage("a line of " + words.length + " words");
         }
-        Result result = switch (words[1]) {
-            case "DONE", "KEEP" -> Result.OK;
-            case "LACK" -> Result.MISS;
-            case "WAIT" -> Result.FULL;
-            case "BROKE" -> Result.ERROR;
-            case "PAST" -> Result.MOOT;
+        AttemptResult result = switch (words[1]) {
+            case "DONE", "KEEP" -> AttemptResult.OK;
+            case "LACK" -> AttemptResult.MISS;
+            case "WAIT" -> AttemptResult.REJECTED;
+            case "BROKE" -> AttemptResult.ERROR;
+            case "PAST" -> AttemptResult.EXPIRED;
             default -> throw new Garbage("an unknown word");
         };
         boolean unchanged = words[1].equals("KEEP");
         int length = (int) number(words[3], LARGEST_BODY);
-        if (length > 0 && (unchanged || result != Result.OK)) {
+        if (length > 0 && (unchanged || result != AttemptResult.OK)) {
             throw new Garbage("a body behind " + words[1]);
         }
         return fields(words[0], result, unchanged, words[2], length);
     }
 
-    private static ResponseLine fields(String id, Result result, boolean unchanged, String fields, int length)
+    private static ResponseLine fields(String id, AttemptResult result, boolean unchanged, String fields, int length)
             throws Garbage {
-        Note note = Note.NONE;
+        CacheStatus note = CacheStatus.UNKNOWN;
         long lag = 0;
         String tag = null;
         long minted = -1;
--- a/src/main/java/magpiewheel/upstream/UpstreamConnection.java
+++ b/src/main/java/magpiewheel/upstream/UpstreamConnection.java
@@ -18,8 +18,8 @@
 import magpiewheel.engine.ListedEndpoint;
 import magpiewheel.engine.PendingRequest;
 import magpiewheel.engine.UpstreamOutcome;
-import magpiewheel.routing.RoutingPolicy.Plan;
-import magpiewheel.routing.RoutingPolicy.Result;
+import magpiewheel.routing.AttemptPlan;
+import magpiewheel.routing.AttemptResult;
 import magpiewheel.upstream.UpstreamPool.Shared;
 
 /** One connection to a node, in the line protocol: its reader dials and then reads, the node's actor writes. */
@@ -92,14 +92,14 @@
     }
 
     private void run() {
-        Result ended = Result.UNREACHED;
+        AttemptResult ended = AttemptResult.UNREACHABLE;
         try {
             socket.setTcpNoDelay(true);
             socket.setSendBufferSize(SEND_BUFFER);
             socket.connect(
                     new InetSocketAddress(Ipv4.address(listed.address()), listed.port()), shared.dialTimeoutMs());
             out = socket.getOutputStream();
-            ended = Result.BROKEN;
+            ended = AttemptResult.CONNECTION_LOST;
             node.up(this);
             InputStream in = new BufferedInputStream(socket.getInputStream(), READ_BUFFER);
             while (answer(in)) {
@@ -107,7 +107,7 @@
             }
         } catch (ResponseLine.Garbage e) {
             shared.counters().add(Counter.NODE_GARBAGE);
-            ended = Result.SPOILT;
+            ended = AttemptResult.CORRUPT;
         } catch (IOException e) {
             // Refused, reset or closed: told by `down`.
         } catch (RuntimeException e) {
@@ -127,27 +127,27 @@
      */
     boolean serve(Attempt attempt) throws IOException {
         PendingRequest.Ask ask = attempt.call().ask();
-        Plan plan = attempt.plan();
+        AttemptPlan plan = attempt.plan();
         StringBuilder line =
                 new StringBuilder("serve ").append(ask.trace()).append(" cls=").append(ask.className());
         line.append(",item=").append(hex(ask.object())).append(",chunk=").append(ask.part());
         long now = shared.clock().now() / 1_000;
         line.append(",limit=").append(Math.max(1, attempt.stopAt() / 1000 - now));
         field(line, "nonce", ask.nonce());
-        if (plan.source() != attempt.node()) {
-            line.append(",via=").append(nodeName(plan.source()));
+        if (plan.fillSource() != attempt.node()) {
+            line.append(",via=").append(nodeName(plan.fillSource()));
         }
-        if (plan.keep() > 0) {
-            line.append(",tier=").append(plan.keep());
+        if (plan.retentionRank() > 0) {
+            line.append(",tier=").append(plan.retentionRank());
         }
         if (plan.maxAgeUs() > 0) {
             line.append(",fresh=").append(Math.max(1, plan.maxAgeUs() / 1000));
         }
         List<String> options = new ArrayList<>();
-        option(options, plan.join(), "ride");
-        option(options, plan.heldOnly(), "have-only");
-        option(options, plan.parentKeepsNone(), "through");
-        option(options, plan.renew(), "update");
+        option(options, plan.joinFill(), "ride");
+        option(options, plan.cachedOnly(), "have-only");
+        option(options, plan.bypassParentCache(), "through");
+        option(options, plan.revalidate(), "update");
         field(line, "opts", options.isEmpty() ? null : String.join("+", options));
         field(line, "known", ask.held());
         Body body = ask.body();
@@ -219,7 +219,7 @@
             node.strayed(this);
             return true;
         }
-        boolean brings = line.result() == Result.OK && !line.unchanged();
+        boolean brings = line.result() == AttemptResult.OK && !line.unchanged();
         Body body = brings ? shared.pool().take(line.length(), BUFFER_WAIT_MS) : null;
         boolean handed = false;
         try {
@@ -230,7 +230,7 @@
             }
             lineEnd(in, line.length());
             boolean misfit =
-                    line.result() == Result.OK && !fits(line, mine.call().ask());
+                    line.result() == AttemptResult.OK && !fits(line, mine.call().ask());
             if (misfit) {
                 throw new ResponseLine.Garbage("a copy without its tag, or one that was not held");
             }
@@ -240,7 +240,7 @@
                 outOfStep = true;
             }
             UpstreamOutcome outcome = brings && body == null
-                    ? UpstreamOutcome.of(Result.ERROR)
+                    ? UpstreamOutcome.of(AttemptResult.ERROR)
                     : new UpstreamOutcome(
                             line.result(),
                             line.note(),
--- a/src/main/java/magpiewheel/upstream/UpstreamEndpoint.java
+++ b/src/main/java/magpiewheel/upstream/UpstreamEndpoint.java
@@ -14,7 +14,7 @@
 import magpiewheel.engine.Counter;
 import magpiewheel.engine.ListedEndpoint;
 import magpiewheel.engine.UpstreamOutcome;
-import magpiewheel.routing.RoutingPolicy.Result;
+import magpiewheel.routing.AttemptResult;
 import magpiewheel.upstream.UpstreamPool.Shared;
 
 /**
@@ -43,7 +43,7 @@
     private boolean retired;
 
     UpstreamEndpoint(ListedEndpoint listed, Shared shared) {
-        super("node-" + Long.toHexString(listed.member().node()), MAILBOX, MOST_TAKEN + 1, shared.counters());
+        super("node-" + Long.toHexString(listed.member().id()), MAILBOX, MOST_TAKEN + 1, shared.counters());
         this.listed = listed;
         this.shared = shared;
     }
@@ -85,7 +85,7 @@
             hand(attempt, connection);
             write(connection);
         } else if (!connect(attempt)) {
-            end(attempt, UpstreamOutcome.of(Result.FULL));
+            end(attempt, UpstreamOutcome.of(AttemptResult.REJECTED));
         }
     }
 
@@ -115,7 +115,7 @@
         return !retired
                 && attempt.mayBegin(shared.clock().now())
                 && ready.contains(attempt.node())
-                && ready.contains(attempt.plan().source());
+                && ready.contains(attempt.plan().fillSource());
     }
 
     private void hand(Attempt attempt, UpstreamConnection connection) {
@@ -162,7 +162,7 @@
             }
         } catch (IOException e) {
             // Its line arrived, and part of its body may have: that does not prove that nothing ran.
-            drop(connection, Result.BROKEN);
+            drop(connection, AttemptResult.CONNECTION_LOST);
         }
     }
 
@@ -176,7 +176,7 @@
         if (connection.wasIdle()) {
             sending(attempt);
         } else {
-            end(attempt, UpstreamOutcome.of(Result.UNREACHED));
+            end(attempt, UpstreamOutcome.of(AttemptResult.UNREACHABLE));
         }
     }
 
@@ -200,7 +200,7 @@
         }
         // Closed behind the cancel: a machine that has fallen silent must not get the next request too.
         connection.cancel(attempt);
-        end(attempt, UpstreamOutcome.of(Result.CANCELLED));
+        end(attempt, UpstreamOutcome.of(AttemptResult.CANCELLED));
     }
 
     /**
@@ -208,7 +208,9 @@
      * nothing to decide any more, and the node is not to blame.
      */
     private void endUnwritten(Attempt attempt) {
-        end(attempt, UpstreamOutcome.of(attempt.call().abandoned() ? Result.CANCELLED : Result.UNREACHED));
+        end(
+                attempt,
+                UpstreamOutcome.of(attempt.call().abandoned() ? AttemptResult.CANCELLED : AttemptResult.UNREACHABLE));
     }
 
     private void end(Attempt attempt, UpstreamOutcome outcome) {
@@ -255,7 +257,7 @@
     }
 
     /** The connection has ended, and how; its room is free again. */
-    void down(UpstreamConnection connection, Result ended) {
+    void down(UpstreamConnection connection, AttemptResult ended) {
         put(() -> {
             connections--;
             shared.room().incrementAndGet();
@@ -265,7 +267,7 @@
         });
     }
 
-    private void drop(UpstreamConnection connection, Result result) {
+    private void drop(UpstreamConnection connection, AttemptResult result) {
         connection.close();
         if (connection.attempt != null) {
             end(unhand(connection), UpstreamOutcome.of(result));
--- a/src/main/java/magpiewheel/upstream/UpstreamPool.java
+++ b/src/main/java/magpiewheel/upstream/UpstreamPool.java
@@ -16,7 +16,8 @@
 import magpiewheel.engine.UnixClock;
 import magpiewheel.engine.Upstream;
 import magpiewheel.engine.WorkerPool;
-import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.EndpointState;
+import magpiewheel.routing.RequestClass;
 
 /**
  * The nodes of the list, each with its actor. A node is its id: a successor may come under the address of one that has
@@ -50,7 +51,7 @@
     public UpstreamPool(
             BufferPool pool,
             Counters counters,
-            List<RoutingPolicy.Profile> classes,
+            List<RequestClass> classes,
             long dialTimeoutUs,
             long idleCloseUs,
             int connections,
@@ -83,24 +84,24 @@
     @Override
     public void listed(List<ListedEndpoint> list, boolean whole) {
         Map<Long, ListedEndpoint> now = new HashMap<>();
-        list.forEach(node -> now.put(node.member().node(), node));
+        list.forEach(node -> now.put(node.member().id(), node));
         if (whole) {
             shared.ready().retainAll(now.keySet());
         }
         ready(list);
         nodes.entrySet().removeIf(entry -> {
             ListedEndpoint listed = now.get(entry.getKey());
-            boolean gone = listed == null ? whole : listed.member().state() == RoutingPolicy.State.GONE;
+            boolean gone = listed == null ? whole : listed.member().state() == EndpointState.REMOVED;
             if (gone) {
                 entry.getValue().retire();
             }
             return gone;
         });
         for (ListedEndpoint listed : list) {
-            if (listed.member().state() == RoutingPolicy.State.GONE) {
+            if (listed.member().state() == EndpointState.REMOVED) {
                 continue;
             }
-            UpstreamEndpoint old = nodes.get(listed.member().node());
+            UpstreamEndpoint old = nodes.get(listed.member().id());
             if (old != null && old.isAt(listed)) {
                 continue;
             }
@@ -108,17 +109,17 @@
                 old.retire();
             }
             UpstreamEndpoint node = new UpstreamEndpoint(listed, shared);
-            nodes.put(listed.member().node(), node);
+            nodes.put(listed.member().id(), node);
             node.start(shared.crew());
         }
     }
 
     private void ready(List<ListedEndpoint> list) {
         for (ListedEndpoint listed : list) {
-            if (listed.member().state() == RoutingPolicy.State.READY) {
-                shared.ready().add(listed.member().node());
+            if (listed.member().state() == EndpointState.READY) {
+                shared.ready().add(listed.member().id());
             } else {
-                shared.ready().remove(listed.member().node());
+                shared.ready().remove(listed.member().id());
             }
         }
     }
--- a/src/test/java/magpiewheel/adapter/AdapterTest.java
+++ b/src/test/java/magpiewheel/adapter/AdapterTest.java
@@ -9,6 +9,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.HexFormat;
+import magpiewheel.routing.AttemptPlan;
 import org.junit.jupiter.api.Test;
 
 class AdapterTest {
@@ -81,13 +82,19 @@
     void readThroughIsWrittenAsTheWireSays() throws IOException {
         FrameWriter writer = new FrameWriter();
         writer.actionsOf(3)
-                .attempt(
+                .startAttempt(
                         0x0538ec5d3a91c4L,
                         0x0a124a072bc3L,
-                        new magpiewheel.routing.RoutingPolicy.Plan(
-                                2, 0x8e17faL, true, false, false, true, 0x0a9011f22becL, 0x16e360L, 0));
-        writer.actionsOf(3).timer(0x87fd7aL, 0x4d);
-        writer.actionsOf(3).tell(0xffff, hex("68692037"));
+                        AttemptPlan.builder(0x0a9011f22becL)
+                                .retentionRank(2)
+                                .deadlineUs(0x8e17faL)
+                                .joinFill(true)
+                                .revalidate(true)
+                                .maxAgeUs(0x16e360L)
+                                .startByUs(0)
+                                .build());
+        writer.actionsOf(3).setTimer(0x87fd7aL, 0x4d);
+        writer.actionsOf(3).sendToPeer(0xffff, hex("68692037"));
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         writer.flush(out);
         assertArrayEquals(
--- a/src/test/java/magpiewheel/config/SettingsTest.java
+++ b/src/test/java/magpiewheel/config/SettingsTest.java
@@ -82,7 +82,7 @@
     private static Settings started(String text) throws ConfigException {
         Json root = Json.parse(text, "settings");
         Settings settings = Settings.of(root);
-        RequiredSettings.check(root, settings.module().profiles());
+        RequiredSettings.check(root, settings.module().requestClasses());
         return settings;
     }
 
@@ -129,13 +129,13 @@
         root.getAsJsonObject("limits").addProperty("may_duplicate", flag);
         root.getAsJsonArray("profiles").get(1).getAsJsonObject().addProperty("effect", effect);
         Settings settings = started(root.toString());
-        assertEquals(settings.module().siblings().name().toLowerCase(Locale.ROOT), siblings);
-        assertEquals(settings.module().allNotes(), notes.equals("all"));
-        assertEquals(settings.module().joins(), flag);
-        assertEquals(settings.module().direct(), !flag);
-        assertEquals(settings.module().limits().duplicate(), flag);
+        assertEquals(settings.module().siblingFills().name().toLowerCase(Locale.ROOT), siblings);
+        assertEquals(settings.module().detailedCacheStatus(), notes.equals("all"));
+        assertEquals(settings.module().cachesJoinFills(), flag);
+        assertEquals(settings.module().mayBypassCaches(), !flag);
+        assertEquals(settings.module().limits().mayHedge(), flag);
         assertEquals(
-                settings.module().profiles().get(1).effect().name(),
-                effect.equals("token") ? "KEYED" : effect.equals("pure") ? "PURE" : "UNSAFE");
+                settings.module().requestClasses().get(1).idempotency().name(),
+                effect.equals("token") ? "KEYED" : effect.equals("pure") ? "IDEMPOTENT" : "NOT_IDEMPOTENT");
     }
 }
--- a/src/test/java/magpiewheel/discovery/DiscoveryClientTurnTest.java
+++ b/src/test/java/magpiewheel/discovery/DiscoveryClientTurnTest.java
@@ -22,6 +22,8 @@
 import magpiewheel.engine.ResponseCache;
 import magpiewheel.engine.UnixClock;
 import magpiewheel.engine.WorkerPool;
+import magpiewheel.routing.EndpointInfo;
+import magpiewheel.routing.EndpointState;
 import magpiewheel.routing.RoutingPolicy;
 import org.testng.annotations.Test;
 
@@ -38,7 +40,7 @@
 
     private final Counters counters = new Counters();
     private final CountDownLatch clientsRead = new CountDownLatch(1);
-    private final BlockingQueue<RoutingPolicy.Member> members = new LinkedBlockingQueue<>();
+    private final BlockingQueue<EndpointInfo> members = new LinkedBlockingQueue<>();
 
     /** A connection whose client does not read what is written to it. */
     private final class StuckConnection extends Actor {
@@ -59,9 +61,9 @@
 
     private RoutingPolicy module() {
         return EngineStubs.module((method, arguments) -> {
-            if (method.equals("members")) {
+            if (method.equals("endpointsChanged")) {
                 for (Object member : (List<?>) arguments[2]) {
-                    members.add((RoutingPolicy.Member) member);
+                    members.add((EndpointInfo) member);
                 }
             }
             return null;
@@ -114,9 +116,9 @@
             reads.start(crew);
             try (Socket connection = board.accept()) {
                 tellOfADrain(connection);
-                RoutingPolicy.Member told = members.poll(WAIT_S, TimeUnit.SECONDS);
+                EndpointInfo told = members.poll(WAIT_S, TimeUnit.SECONDS);
                 assertNotNull(told, "the drain waits for a thread");
-                assertEquals(told.node() + " " + told.state(), NODE + " " + RoutingPolicy.State.DRAINING);
+                assertEquals(told.id() + " " + told.state(), NODE + " " + EndpointState.DRAINING);
             } finally {
                 reads.end();
             }
--- a/src/test/java/magpiewheel/engine/EngineStubs.java
+++ b/src/test/java/magpiewheel/engine/EngineStubs.java
@@ -4,7 +4,14 @@
 import java.lang.reflect.Proxy;
 import java.util.Collection;
 import java.util.List;
+import magpiewheel.routing.BoundedReads;
+import magpiewheel.routing.DeliveryDecision;
+import magpiewheel.routing.Idempotency;
+import magpiewheel.routing.RequestClass;
+import magpiewheel.routing.RequestLimits;
+import magpiewheel.routing.RouterTopology;
 import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.RoutingSettings;
 
 /** What tests of the engine and its wires put in the place of the settings, the module and the nodes. */
 public final class EngineStubs {
@@ -21,33 +28,39 @@
     private EngineStubs() {}
 
     /** Settings of a front that is alone, with these classes; cancels are allowed, and a second attempt is not. */
-    public static RoutingPolicy.Settings settings(RoutingPolicy.Profile... classes) {
-        return new RoutingPolicy.Settings(
-                new RoutingPolicy.Place(0, 1, 0, new int[1], new int[1], new double[1], -1, -1, 0),
-                List.of(classes),
-                List.of(),
-                0,
-                new RoutingPolicy.Limits(
-                        true, false, false, false, true, MOST_ATTEMPTS, MOST_OPEN, MOST_RETRY_AFTER_US, 0),
-                null,
-                false,
-                RoutingPolicy.Siblings.OFF,
-                false,
-                false,
-                false,
-                RoutingPolicy.Weight.OFF,
-                List.of());
+    public static RoutingSettings settings(RequestClass... classes) {
+        return RoutingSettings.builder(
+                        RouterTopology.builder(0, 1, 0)
+                                .routersByZone(new int[1])
+                                .hubByZone(new int[1])
+                                .linkKbPerSByZone(new double[1])
+                                .parentKind(-1)
+                                .originKind(-1)
+                                .build(),
+                        List.of(classes),
+                        RequestLimits.builder(MOST_ATTEMPTS)
+                                .mayCancel(true)
+                                .maySendRetryAfter(true)
+                                .maxInFlight(MOST_OPEN)
+                                .maxRetryAfterUs(MOST_RETRY_AFTER_US)
+                                .build(),
+                        null)
+                .overQuotaPriorityWeight(0)
+                .build();
     }
 
     /** A class of requests of which only this matters. */
-    public static RoutingPolicy.Profile profile(RoutingPolicy.Effect effect, boolean write, long repeatWindowUs) {
-        return new RoutingPolicy.Profile(
-                1, 0, 1, 1, 0, effect, RoutingPolicy.KeyScope.ALL, repeatWindowUs, false, write, false, 0, 0, 1);
+    public static RequestClass profile(Idempotency effect, boolean write, long repeatWindowUs) {
+        return RequestClass.builder(1, 1)
+                .idempotency(effect)
+                .idempotencyWindowUs(repeatWindowUs)
+                .write(write)
+                .build();
     }
 
     /** A class of reads that may be repeated. */
-    public static RoutingPolicy.Profile reads() {
-        return profile(RoutingPolicy.Effect.PURE, false, 0);
+    public static RequestClass reads() {
+        return profile(Idempotency.IDEMPOTENT, false, 0);
     }
 
     /** A module that lets every answer pass as it is, and else does what the script says. */
@@ -58,17 +71,17 @@
                 return result;
             }
             return switch (method.getName()) {
-                case "admits" -> RoutingPolicy.Passing.AS_IT_IS;
-                case "reads" -> reads(false);
+                case "evaluateDelivery" -> DeliveryDecision.UNCHANGED;
+                case "boundedReads" -> reads(false);
                 default -> null;
             };
         });
     }
 
     /** Reads of bounded staleness of which all say the same of being unproven. */
-    public static RoutingPolicy.Reads reads(boolean unproven) {
+    public static BoundedReads reads(boolean unproven) {
         return proxy(
-                RoutingPolicy.Reads.class,
+                BoundedReads.class,
                 (proxy, method, arguments) -> method.getReturnType() == boolean.class ? unproven : null);
     }
 
--- a/src/test/java/magpiewheel/engine/PassingOnTest.java
+++ b/src/test/java/magpiewheel/engine/PassingOnTest.java
@@ -7,10 +7,15 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import magpiewheel.routing.AttemptOutcome;
+import magpiewheel.routing.AttemptPlan;
+import magpiewheel.routing.AttemptResult;
+import magpiewheel.routing.CacheStatus;
+import magpiewheel.routing.DeliveryDecision;
+import magpiewheel.routing.Idempotency;
+import magpiewheel.routing.RoutingActions;
 import magpiewheel.routing.RoutingPolicy;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Passing;
-import magpiewheel.routing.RoutingPolicy.Result;
+import magpiewheel.routing.RoutingRequest;
 import magpiewheel.staleness.ReadHint;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -25,8 +30,11 @@
     private static final int WRITE = 1;
     private static final long BOUND_MS = 5_000;
     private static final long MARK_MS = 7_000;
-    private static final RoutingPolicy.Plan PLAN =
-            new RoutingPolicy.Plan(1, 0, true, false, false, true, 9, 0, Long.MAX_VALUE);
+    private static final AttemptPlan PLAN = AttemptPlan.builder(9)
+            .retentionRank(1)
+            .joinFill(true)
+            .revalidate(true)
+            .build();
 
     /** The ways by which a copy reaches a client. */
     enum Way {
@@ -39,7 +47,7 @@
         OWN_KEPT
     }
 
-    private record Told(Result result, boolean over, long mintedMs) {}
+    private record Told(AttemptResult result, boolean over, long mintedMs) {}
 
     private final Counters counters = new Counters();
     private final UnixClock clock = new UnixClock();
@@ -50,9 +58,9 @@
     private final BlockingQueue<PendingRequest.Answer> answers = new LinkedBlockingQueue<>();
     private volatile boolean servesOwn;
     private volatile long agedMs;
-    private RoutingPolicy.Actions actions;
+    private RoutingActions actions;
     private final Engine engine = new Engine(
-            EngineStubs.settings(EngineStubs.reads(), EngineStubs.profile(RoutingPolicy.Effect.PURE, true, 0)),
+            EngineStubs.settings(EngineStubs.reads(), EngineStubs.profile(Idempotency.IDEMPOTENT, true, 0)),
             given -> module(given),
             clock,
             counters,
@@ -64,18 +72,20 @@
      * A module that sends each request once, or serves the own copy, and lets nothing pass that is older than the
      * bound.
      */
-    private RoutingPolicy module(RoutingPolicy.Actions given) {
+    private RoutingPolicy module(RoutingActions given) {
         actions = given;
         return EngineStubs.module((method, arguments) -> {
             switch (method) {
-                case "request" -> asked(((RoutingPolicy.Request) arguments[1]).id(), arguments[2] != null);
-                case "admits" -> {
-                    return (long) arguments[2] >= BOUND_MS ? new Passing(true, MARK_MS, agedMs) : Passing.NOT;
+                case "requestArrived" -> asked(((RoutingRequest) arguments[1]).id(), arguments[2] != null);
+                case "evaluateDelivery" -> {
+                    return (long) arguments[2] >= BOUND_MS
+                            ? new DeliveryDecision(true, MARK_MS, agedMs)
+                            : DeliveryDecision.WITHHELD;
                 }
-                case "reads" -> {
+                case "boundedReads" -> {
                     return EngineStubs.reads(true);
                 }
-                case "outcome" -> ended((RoutingPolicy.Outcome) arguments[1]);
+                case "attemptEnded" -> ended((AttemptOutcome) arguments[1]);
                 default -> {}
             }
             return null;
@@ -84,16 +94,16 @@
 
     private void asked(long id, boolean hasOwn) {
         if (servesOwn && hasOwn) {
-            actions.own(id);
+            actions.serveLocalCopy(id);
         } else {
-            actions.attempt(id, 1, PLAN);
+            actions.startAttempt(id, 1, PLAN);
         }
     }
 
-    private void ended(RoutingPolicy.Outcome outcome) {
-        told.add(new Told(outcome.result(), outcome.over(), outcome.mintedMs()));
-        if (!outcome.over()) {
-            actions.refuse(outcome.request(), 1_000);
+    private void ended(AttemptOutcome outcome) {
+        told.add(new Told(outcome.result(), outcome.requestCompleted(), outcome.originTimeMs()));
+        if (!outcome.requestCompleted()) {
+            actions.reject(outcome.requestId(), 1_000);
         }
     }
 
@@ -126,9 +136,16 @@
         return java.util.Objects.requireNonNull(of.poll(10, TimeUnit.SECONDS), "nothing came");
     }
 
-    private UpstreamOutcome copy(Note note, boolean unchanged, long mintedMs) {
+    private UpstreamOutcome copy(CacheStatus note, boolean unchanged, long mintedMs) {
         return new UpstreamOutcome(
-                Result.OK, note, 0, unchanged ? null : pool.take(BYTES, 0), "aa", unchanged, clock.now(), mintedMs);
+                AttemptResult.OK,
+                note,
+                0,
+                unchanged ? null : pool.take(BYTES, 0),
+                "aa",
+                unchanged,
+                clock.now(),
+                mintedMs);
     }
 
     /** Lets a copy come, and returns what the client was answered. */
@@ -142,11 +159,11 @@
         engine.start();
         ask("1", READ, way == Way.OWN_KEPT || way == Way.KEPT ? "aa" : null);
         if (!servesOwn) {
-            Note note = switch (way) {
-                case JOINED -> Note.JOINED;
-                case STALE -> Note.STALE;
-                case FILLED -> Note.FILLED;
-                default -> Note.HIT;
+            CacheStatus note = switch (way) {
+                case JOINED -> CacheStatus.COALESCED;
+                case STALE -> CacheStatus.STALE;
+                case FILLED -> CacheStatus.FILLED;
+                default -> CacheStatus.HIT;
             };
             engine.ended(next(sent), copy(note, way == Way.KEPT, mintedMs));
         }
@@ -170,7 +187,7 @@
             assertEquals(0, counters.get(Counter.OWN_COPIES));
             assertEquals(0, sent.size());
         } else {
-            assertEquals(new Told(Result.MISS, false, BOUND_MS - 1), next(told));
+            assertEquals(new Told(AttemptResult.MISS, false, BOUND_MS - 1), next(told));
             assertEquals(0, copies.held(), "nor is it kept");
             assertEquals(BUFFERS, pool.left(), "its body is given back");
         }
@@ -196,7 +213,7 @@
     @Test
     void aCopyWithoutItsTimeCountsAsMintedAtTheBeginning() throws InterruptedException {
         assertEquals(PendingRequest.End.REFUSED, come(Way.KEPT, -1).end());
-        assertEquals(new Told(Result.MISS, false, -1), next(told));
+        assertEquals(new Told(AttemptResult.MISS, false, -1), next(told));
     }
 
     /**
@@ -216,9 +233,9 @@
         }
         Attempt attempt = next(sent);
         assertEquals(PendingRequest.End.REFUSED, answer.end());
-        assertEquals(new Told(Result.TIMEOUT, false, 0), next(told));
+        assertEquals(new Told(AttemptResult.TIMEOUT, false, 0), next(told));
         assertEquals(1, engine.open(), "it is out until the node's connection tells of its end");
-        engine.ended(attempt, copy(Note.HIT, false, BOUND_MS));
+        engine.ended(attempt, copy(CacheStatus.HIT, false, BOUND_MS));
         assertEquals(true, next(told).over());
         assertEquals(List.of(), List.copyOf(answers));
     }
@@ -228,7 +245,7 @@
     void theAnswerOfAWriteBringsItsMark() throws InterruptedException {
         engine.start();
         ask("1", WRITE, null);
-        engine.ended(next(sent), copy(Note.NONE, false, BOUND_MS));
+        engine.ended(next(sent), copy(CacheStatus.UNKNOWN, false, BOUND_MS));
         PendingRequest.Answer answer = next(answers);
         assertEquals(MARK_MS, answer.markMs());
         assertSame(PendingRequest.End.SERVED, answer.end());
--- a/src/test/java/magpiewheel/resp/AbandonedRequestTest.java
+++ b/src/test/java/magpiewheel/resp/AbandonedRequestTest.java
@@ -27,8 +27,12 @@
 import magpiewheel.engine.UnixClock;
 import magpiewheel.engine.UpstreamOutcome;
 import magpiewheel.engine.WorkerPool;
+import magpiewheel.routing.AttemptPlan;
+import magpiewheel.routing.AttemptResult;
+import magpiewheel.routing.CacheStatus;
+import magpiewheel.routing.RoutingActions;
 import magpiewheel.routing.RoutingPolicy;
-import magpiewheel.routing.RoutingPolicy.Actions;
+import magpiewheel.routing.RoutingRequest;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
@@ -123,11 +127,11 @@
     }
 
     /** Sends each request once and lets every answer pass. */
-    private static RoutingPolicy module(Actions actions) {
-        RoutingPolicy.Plan plan = new RoutingPolicy.Plan(0, 0, false, false, false, false, 1, 0, Long.MAX_VALUE);
+    private static RoutingPolicy module(RoutingActions actions) {
+        AttemptPlan plan = AttemptPlan.builder(1).build();
         return EngineStubs.module((method, arguments) -> {
             if (method.equals("request")) {
-                actions.attempt(((RoutingPolicy.Request) arguments[1]).id(), 1, plan);
+                actions.startAttempt(((RoutingRequest) arguments[1]).id(), 1, plan);
             }
             return null;
         });
@@ -166,8 +170,7 @@
     public void aLeaveCountsWhileAnAnswerIsStuck(Leaving how) throws Exception {
         Attempt first = ask(1);
         Attempt second = ask(2);
-        engine.ended(
-                first, new UpstreamOutcome(RoutingPolicy.Result.OK, RoutingPolicy.Note.HIT, 0, null, "aa", true, 0, 1));
+        engine.ended(first, new UpstreamOutcome(AttemptResult.OK, CacheStatus.HIT, 0, null, "aa", true, 0, 1));
         assertTrue(accepted.writing.await(WAIT_S, TimeUnit.SECONDS));
         assertTrue(second.mayBegin(0));
         switch (how) {
--- a/src/test/java/magpiewheel/resp/ClientConnectionTest.java
+++ b/src/test/java/magpiewheel/resp/ClientConnectionTest.java
@@ -30,7 +30,8 @@
 import magpiewheel.engine.ServiceStats;
 import magpiewheel.engine.UnixClock;
 import magpiewheel.engine.WorkerPool;
-import magpiewheel.routing.RoutingPolicy;
+import magpiewheel.routing.RoutingActions;
+import magpiewheel.routing.RoutingRequest;
 import org.junit.jupiter.api.Test;
 
 class ClientConnectionTest {
@@ -173,7 +174,7 @@
     }
 
     private interface Module {
-        void told(RoutingPolicy.Actions actions, String method, Object[] args);
+        void told(RoutingActions actions, String method, Object[] args);
     }
 
     private Engine engine(Module module) {
@@ -332,11 +333,11 @@
             assertTrue(client.stuck.await(10, TimeUnit.SECONDS));
         }
 
-        private void told(RoutingPolicy.Actions actions, String method, Object[] args) {
+        private void told(RoutingActions actions, String method, Object[] args) {
             if (method.equals("request") && asked.getCount() > 0) {
                 asked.countDown();
             } else if (method.equals("request")) {
-                actions.fail(((RoutingPolicy.Request) args[1]).id());
+                actions.fail(((RoutingRequest) args[1]).id());
             } else if (method.equals("clientGone")) {
                 givenUp.countDown();
             }
--- a/src/test/java/magpiewheel/routing/BoundedReadRoutingTest.java
+++ b/src/test/java/magpiewheel/routing/BoundedReadRoutingTest.java
@@ -7,13 +7,6 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import magpiewheel.routing.RoutingPolicy.ListMode;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Passing;
-import magpiewheel.routing.RoutingPolicy.Request;
-import magpiewheel.routing.RoutingPolicy.Result;
-import magpiewheel.routing.RoutingPolicy.Siblings;
-import magpiewheel.routing.RoutingPolicy.State;
 import magpiewheel.staleness.ReadHint;
 import org.junit.jupiter.api.Test;
 
@@ -33,57 +26,59 @@
     private final RequestRouter rules = rules(router, true);
 
     private RequestRouter rules(RecordingActions to, boolean pins) {
-        RoutingPolicy.Settings settings = RequestRouterTest.settings(false, Siblings.OFF);
-        RequestRouter made =
-                new RequestRouter(settings, 42, to, settings.place().setup(0, 400_000, 1, false), null, pins);
-        made.members(now, ListMode.CACHED, RequestRouterTest.fleet());
+        RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
+        RequestRouter made = new RequestRouter(
+                settings, 42, to, settings.topology().membershipConfig(0, 400_000, 1, false), null, pins);
+        made.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.fleet());
         return made;
     }
 
     /** The board is heard for long enough that strict reads can be proven. */
     private void hearBoard() {
         for (int i = 0; i < 3; i++) {
-            rules.reads().board(now);
+            rules.boundedReads().discoveryHeard(now);
             now += SECOND;
         }
-        rules.reads().board(now);
+        rules.boundedReads().discoveryHeard(now);
     }
 
     private static ReadHint after(long ms, boolean strict) {
         return new ReadHint(0, ms, 0, strict);
     }
 
-    private static Request request(long id, int profile, ReadHint hint) {
-        return new Request(id, profile, 0, 5, 0, 2 * SECOND, 0, OBJECT, false, profile == KEYED, hint);
+    private static RoutingRequest request(long id, int profile, ReadHint hint) {
+        return RoutingRequest.builder(id, profile, OBJECT)
+                .group(5)
+                .timeBudgetUs(2 * SECOND)
+                .write(profile == KEYED)
+                .hint(hint)
+                .build();
     }
 
     private RecordingActions.Sent ask(long id, int profile, ReadHint hint) {
-        rules.request(now, request(id, profile, hint));
+        rules.requestArrived(now, request(id, profile, hint));
         return router.last();
     }
 
     /** An answer comes with a copy; what the client is told of it, or that it is not. */
-    private Passing answer(long id, int attempt, Note note, long mintedMs) {
+    private DeliveryDecision answer(long id, int attempt, CacheStatus note, long mintedMs) {
         RecordingActions.Sent sent = router.sent.stream()
                 .filter(s -> s.request() == id)
                 .skip(attempt)
                 .findFirst()
                 .orElseThrow();
-        rules.reads().came(id, attempt, now, note, mintedMs);
-        Passing passing = rules.admits(now, id, mintedMs);
-        rules.outcome(
+        rules.boundedReads().responseReceived(id, attempt, now, note, mintedMs);
+        DeliveryDecision passing = rules.evaluateDelivery(now, id, mintedMs);
+        rules.attemptEnded(
                 now,
-                new RoutingPolicy.Outcome(
-                        id,
-                        attempt,
-                        sent.node(),
-                        passing.passes() ? Result.OK : Result.MISS,
-                        1_000,
-                        passing.passes(),
-                        note,
-                        500,
-                        new double[0],
-                        mintedMs));
+                AttemptOutcome.builder(
+                                id, attempt, sent.node(), passing.deliver() ? AttemptResult.OK : AttemptResult.MISS)
+                        .durationUs(1_000)
+                        .requestCompleted(passing.deliver())
+                        .cacheStatus(note)
+                        .firstByteUs(500)
+                        .originTimeMs(mintedMs)
+                        .build());
         return passing;
     }
 
@@ -95,14 +90,16 @@
     void aStrictBoundTightensThePlanAndLetsNothingBeRenewedBehind() {
         hearBoard();
         RecordingActions.Sent plain = ask(1, FRESH, ReadHint.NONE);
-        assertTrue(plain.plan().renew() && plain.plan().join() && plain.plan().maxAgeUs() == 0);
+        assertTrue(plain.plan().revalidate()
+                && plain.plan().joinFill()
+                && plain.plan().maxAgeUs() == 0);
         RecordingActions.Sent sent = ask(2, FRESH, after(nowMs() - 300, true));
         assertEquals(300_000, sent.plan().maxAgeUs());
-        assertFalse(sent.plan().renew());
+        assertFalse(sent.plan().revalidate());
         assertEquals(
                 300_000, ask(3, PURE, after(nowMs() - 300, true)).plan().maxAgeUs(), "a class without a fresh time");
         assertEquals(8 * SECOND, ask(4, FRESH, after(1, true)).plan().maxAgeUs(), "its own fresh time is tighter");
-        rules.purged(now, new RoutingPolicy.Purge(0, OBJECT, 0, nowMs()));
+        rules.objectsPurged(now, new Purge(0, OBJECT, 0, nowMs()));
         now += 200_000;
         assertTrue(ask(5, FRESH, after(nowMs() - 3_000, true)).plan().maxAgeUs() < 200_000, "a purge is tighter");
     }
@@ -112,21 +109,23 @@
     void aPreferredBoundIsGivenUpWithTheSecondTry() {
         RecordingActions.Sent first = ask(1, FRESH, after(nowMs() - 300, false));
         assertEquals(300_000, first.plan().maxAgeUs());
-        assertFalse(first.plan().renew());
-        rules.outcome(
+        assertFalse(first.plan().revalidate());
+        rules.attemptEnded(
                 now,
-                new RoutingPolicy.Outcome(
-                        1, 0, first.node(), Result.MISS, 1_000, false, Note.SOURCE_LACKS, 0, new double[0]));
+                AttemptOutcome.builder(1, 0, first.node(), AttemptResult.MISS)
+                        .durationUs(1_000)
+                        .cacheStatus(CacheStatus.SOURCE_MISS)
+                        .build());
         RecordingActions.Sent second = router.last();
         assertEquals(2, router.sent.size());
         assertEquals(0, second.plan().maxAgeUs());
-        assertTrue(second.plan().renew());
-        assertEquals(new Passing(true, nowMs() - 400, -1), answer(1, 1, Note.HIT, nowMs() - 400));
+        assertTrue(second.plan().revalidate());
+        assertEquals(new DeliveryDecision(true, nowMs() - 400, -1), answer(1, 1, CacheStatus.HIT, nowMs() - 400));
     }
 
     @Test
     void whatCantBeProvenIsRefusedAtOnceAndNothingIsSent() {
-        rules.request(now, request(1, FRESH, after(nowMs() - 300, true)));
+        rules.requestArrived(now, request(1, FRESH, after(nowMs() - 300, true)));
         assertEquals(List.of(1L), router.refused);
         assertEquals(0, router.sent.size());
         assertTrue(router.all.get(router.all.size() - 1).matches("refuse 1 [1-9][0-9]+"), "with a pause");
@@ -143,17 +142,17 @@
     @Test
     void aStrictAgeWithoutAClockGoesToTheOriginItself() {
         hearBoard();
-        assertNotEquals(ORIGIN, ask(1, FRESH, ReadHint.NONE).plan().source(), "fills go by parents");
+        assertNotEquals(ORIGIN, ask(1, FRESH, ReadHint.NONE).plan().fillSource(), "fills go by parents");
         ReadHint young = new ReadHint(SECOND, 0, 0, true);
         RecordingActions.Sent sent = ask(2, FRESH, young);
-        assertEquals(ORIGIN, sent.plan().source());
-        assertFalse(sent.plan().join());
+        assertEquals(ORIGIN, sent.plan().fillSource());
+        assertFalse(sent.plan().joinFill());
         assertEquals(1, sent.plan().maxAgeUs(), "no copy that a cache holds will do");
-        assertEquals(new Passing(true, nowMs(), 0), answer(2, 0, Note.FILLED, nowMs()));
+        assertEquals(new DeliveryDecision(true, nowMs(), 0), answer(2, 0, CacheStatus.FILLED, nowMs()));
         RecordingActions.Sent next = ask(3, FRESH, young);
         assertNotEquals(1, next.plan().maxAgeUs());
-        assertTrue(next.plan().join());
-        assertEquals(new Passing(true, nowMs() - 100, 0), answer(3, 0, Note.HIT, nowMs() - 100));
+        assertTrue(next.plan().joinFill());
+        assertEquals(new DeliveryDecision(true, nowMs() - 100, 0), answer(3, 0, CacheStatus.HIT, nowMs() - 100));
         assertEquals(List.of(), router.refused);
     }
 
@@ -173,12 +172,12 @@
         assertTrue(
                 router.all.get(router.all.size() - 1).matches("refuse 50 300000"),
                 router.all.get(router.all.size() - 1));
-        assertTrue(rules.reads().unproven(1), "its refusal would be for its hint");
-        assertEquals(Passing.NOT, answer(1, 0, Note.HIT, nowMs()));
+        assertTrue(rules.boundedReads().isUnproven(1), "its refusal would be for its hint");
+        assertEquals(DeliveryDecision.WITHHELD, answer(1, 0, CacheStatus.HIT, nowMs()));
         assertEquals(1, router.sent.size(), "it is not tried twice");
         ask(51, FRESH, young);
         assertEquals(2, router.sent.size());
-        rules.clientGone(now, 51);
+        rules.clientDisconnected(now, 51);
         ask(52, FRESH, young);
         assertEquals(2, router.sent.size(), "its fetch is still out");
         ask(53, FRESH, new ReadHint(SECOND, 0, 0, false));
@@ -192,13 +191,13 @@
         hearBoard();
         long mark = nowMs() - 300;
         RecordingActions.Sent first = ask(1, FRESH, after(mark, true));
-        assertNotEquals(ORIGIN, first.plan().source());
-        assertEquals(Passing.NOT, answer(1, 0, Note.HIT, mark - 1));
+        assertNotEquals(ORIGIN, first.plan().fillSource());
+        assertEquals(DeliveryDecision.WITHHELD, answer(1, 0, CacheStatus.HIT, mark - 1));
         RecordingActions.Sent second = router.last();
         assertNotEquals(first.node(), second.node());
-        assertEquals(ORIGIN, second.plan().source());
-        assertFalse(second.plan().join());
-        assertEquals(Passing.NOT, answer(1, 1, Note.VIA_ORIGIN, mark - 1));
+        assertEquals(ORIGIN, second.plan().fillSource());
+        assertFalse(second.plan().joinFill());
+        assertEquals(DeliveryDecision.WITHHELD, answer(1, 1, CacheStatus.FILLED_BY_ORIGIN, mark - 1));
         assertEquals(List.of(1L), router.refused);
         assertEquals(2, router.sent.size());
         ask(2, FRESH, ReadHint.NONE);
@@ -206,7 +205,7 @@
     }
 
     private long answerAndNode(long id) {
-        answer(id, 0, Note.HIT, nowMs());
+        answer(id, 0, CacheStatus.HIT, nowMs());
         return router.last().node() == first(id) ? -1 : router.last().node();
     }
 
@@ -221,17 +220,17 @@
     @Test
     void anOwnCopyIsServedOnlyIfTheBoundAdmitsIt() {
         hearBoard();
-        RoutingPolicy.Copy copy = new RoutingPolicy.Copy(400_000, 1_000, 1_000);
-        rules.request(now, request(1, FRESH, after(nowMs() - 300, true)), copy);
+        LocalCopy copy = new LocalCopy(400_000, 1_000, 1_000);
+        rules.requestArrived(now, request(1, FRESH, after(nowMs() - 300, true)), copy);
         assertEquals(List.of(), router.own);
-        rules.request(now, request(2, FRESH, after(nowMs() - 400, true)), copy);
+        rules.requestArrived(now, request(2, FRESH, after(nowMs() - 400, true)), copy);
         assertEquals(List.of(2L), router.own);
-        rules.request(now, request(3, FRESH, after(nowMs() - 300, false)), copy);
+        rules.requestArrived(now, request(3, FRESH, after(nowMs() - 300, false)), copy);
         assertEquals(List.of(2L), router.own, "a preferred read looks for a younger one first");
-        rules.members(now, ListMode.FULL, List.of());
-        rules.request(now, request(4, FRESH, after(nowMs() - 300, true)), copy);
+        rules.endpointsChanged(now, EndpointListMode.FULL, List.of());
+        rules.requestArrived(now, request(4, FRESH, after(nowMs() - 300, true)), copy);
         assertEquals(List.of(4L), router.refused, "strict, whatever failed");
-        rules.request(now, request(5, FRESH, after(nowMs() - 300, false)), copy);
+        rules.requestArrived(now, request(5, FRESH, after(nowMs() - 300, false)), copy);
         assertEquals(List.of(2L, 5L), router.own, "preferred: where no node can");
     }
 
@@ -240,11 +239,11 @@
     void aHolderOfAnOldCopyIsTakenForNone() {
         hearBoard();
         ask(1, FRESH, ReadHint.NONE);
-        answer(1, 0, Note.HIT, nowMs() - 5_000);
-        RoutingPolicy.Copy copy = new RoutingPolicy.Copy(100_000, 1_000, 1_000);
-        rules.request(now, request(2, FRESH, ReadHint.NONE), copy);
+        answer(1, 0, CacheStatus.HIT, nowMs() - 5_000);
+        LocalCopy copy = new LocalCopy(100_000, 1_000, 1_000);
+        rules.requestArrived(now, request(2, FRESH, ReadHint.NONE), copy);
         assertEquals(List.of(), router.own, "without a hint the holder is asked");
-        rules.request(now, request(3, FRESH, after(nowMs() - 1_000, true)), copy);
+        rules.requestArrived(now, request(3, FRESH, after(nowMs() - 1_000, true)), copy);
         assertEquals(List.of(3L), router.own);
     }
 
@@ -257,17 +256,20 @@
         hearBoard();
         ReadHint young = new ReadHint(SECOND, 0, 0, false);
         ask(1, FRESH, young);
-        assertEquals(-1, answer(1, 0, Note.FILLED, nowMs()).agedMs());
-        rules.members(
+        assertEquals(-1, answer(1, 0, CacheStatus.FILLED, nowMs()).ageMs());
+        rules.endpointsChanged(
                 now,
-                ListMode.FULL,
+                EndpointListMode.FULL,
                 List.of(
-                        RequestRouterTest.member(1, 0, 0, 0, State.READY),
-                        RequestRouterTest.member(ORIGIN, 2, 1, 0, State.READY)));
+                        RequestRouterFixture.member(1, 0, 0, 0, EndpointState.READY),
+                        RequestRouterFixture.member(ORIGIN, 2, 1, 0, EndpointState.READY)));
         ask(2, FRESH, young);
-        assertEquals(-1, answer(2, 0, Note.JOINED, nowMs()).agedMs(), "a fill under way may have begun long before");
+        assertEquals(
+                -1,
+                answer(2, 0, CacheStatus.COALESCED, nowMs()).ageMs(),
+                "a fill under way may have begun long before");
         ask(3, FRESH, young);
-        assertEquals(0, answer(3, 0, Note.VIA_ORIGIN, nowMs()).agedMs());
+        assertEquals(0, answer(3, 0, CacheStatus.FILLED_BY_ORIGIN, nowMs()).ageMs());
         ask(4, FRESH, new ReadHint(SECOND, 0, 0, true));
         assertEquals(List.of(), router.refused);
     }
@@ -277,13 +279,13 @@
     void aSessionKeepsToItsReplica() {
         ReadHint session = new ReadHint(0, 0, SESSION, false);
         long first = ask(1, FRESH, session).node();
-        answer(1, 0, Note.HIT, nowMs());
+        answer(1, 0, CacheStatus.HIT, nowMs());
         long other = first % 4 + 1;
         now += 1_000;
-        rules.peer(
+        rules.peerMessageReceived(
                 now,
                 1,
-                PeerMessageCodec.encode(new PeerMessageCodec.Message(
+                PeerMessageCodec.encode(new PeerMessage(
                                 0,
                                 now,
                                 0,
@@ -291,15 +293,18 @@
                                 0,
                                 List.of(),
                                 List.of(),
-                                List.of(new PeerMessageCodec.Holder(OBJECT, 0, other, 5, 0))))
+                                List.of(new HolderHint(OBJECT, 0, other, 5, 0))))
                         .get(0));
         now += 1_000;
         assertEquals(other, ask(2, FRESH, ReadHint.NONE).node(), "the holder that the hint of a peer names");
         assertEquals(first, ask(3, FRESH, session).node());
-        assertEquals(1, rules.figures(now).get("pins_held"));
-        rules.members(now, ListMode.DELTA, List.of(RequestRouterTest.member(first, 0, 0, 0, State.DRAINING)));
+        assertEquals(1, rules.statistics(now).get("pins_held"));
+        rules.endpointsChanged(
+                now,
+                EndpointListMode.DELTA,
+                List.of(RequestRouterFixture.member(first, 0, 0, 0, EndpointState.DRAINING)));
         assertEquals(other, ask(4, FRESH, session).node());
-        assertEquals(0, rules.figures(now).get("pins_held"));
+        assertEquals(0, rules.statistics(now).get("pins_held"));
     }
 
     /** Of holders, one whose known copy will do goes before the module's own. */
@@ -307,24 +312,21 @@
     void aHolderWhoseKnownCopyIsYoungEnoughIsAskedFirst() {
         hearBoard();
         long old = ask(1, FRESH, ReadHint.NONE).node();
-        answer(1, 0, Note.HIT, nowMs() - 5_000);
-        rules.members(now, ListMode.DELTA, List.of(RequestRouterTest.member(old, 0, 0, 0, State.DRAINING)));
+        answer(1, 0, CacheStatus.HIT, nowMs() - 5_000);
+        rules.endpointsChanged(
+                now,
+                EndpointListMode.DELTA,
+                List.of(RequestRouterFixture.member(old, 0, 0, 0, EndpointState.DRAINING)));
         long young = ask(2, FRESH, ReadHint.NONE).node();
-        answer(2, 0, Note.HIT, nowMs() - 100);
-        rules.members(now, ListMode.DELTA, List.of(RequestRouterTest.member(old, 0, 0, 0, State.READY)));
+        answer(2, 0, CacheStatus.HIT, nowMs() - 100);
+        rules.endpointsChanged(
+                now, EndpointListMode.DELTA, List.of(RequestRouterFixture.member(old, 0, 0, 0, EndpointState.READY)));
         now += 1_000;
-        rules.peer(
+        rules.peerMessageReceived(
                 now,
                 1,
-                PeerMessageCodec.encode(new PeerMessageCodec.Message(
-                                0,
-                                now,
-                                0,
-                                16,
-                                0,
-                                List.of(),
-                                List.of(),
-                                List.of(new PeerMessageCodec.Holder(OBJECT, 0, old, 5, 0))))
+                PeerMessageCodec.encode(new PeerMessage(
+                                0, now, 0, 16, 0, List.of(), List.of(), List.of(new HolderHint(OBJECT, 0, old, 5, 0))))
                         .get(0));
         now += 1_000;
         assertEquals(old, ask(3, FRESH, ReadHint.NONE).node());
@@ -337,20 +339,26 @@
         hearBoard();
         long mark = nowMs() - 300;
         ask(1, FRESH, after(mark, true));
-        rules.purged(now, new RoutingPolicy.Purge(0, OBJECT, 0, nowMs()));
-        assertEquals(Passing.NOT, rules.admits(now, 1, nowMs()), "the purge's own ms may be from before it");
-        assertEquals(nowMs() + 1, rules.admits(now, 1, nowMs() + 1).markMs());
+        rules.objectsPurged(now, new Purge(0, OBJECT, 0, nowMs()));
+        assertEquals(
+                DeliveryDecision.WITHHELD,
+                rules.evaluateDelivery(now, 1, nowMs()),
+                "the purge's own ms may be from before it");
+        assertEquals(nowMs() + 1, rules.evaluateDelivery(now, 1, nowMs() + 1).markMs());
         ask(2, PURE, after(mark, true));
-        rules.purged(now, new RoutingPolicy.Purge(0, 0, 5, nowMs() + 50));
-        assertEquals(Passing.NOT, rules.admits(now, 2, nowMs() + 50), "likewise a group's, by the origin's clock");
+        rules.objectsPurged(now, new Purge(0, 0, 5, nowMs() + 50));
+        assertEquals(
+                DeliveryDecision.WITHHELD,
+                rules.evaluateDelivery(now, 2, nowMs() + 50),
+                "likewise a group's, by the origin's clock");
     }
 
     @Test
     void aWriteHoldsToNoHintAndItsAnswerBringsAMark() {
         RecordingActions.Sent sent = ask(1, KEYED, new ReadHint(SECOND, nowMs() + 60_000, SESSION, true));
         assertEquals(0, sent.plan().maxAgeUs());
-        assertEquals(new Passing(true, nowMs() + 1, 0), answer(1, 0, Note.NONE, nowMs()));
-        assertEquals(0, rules.figures(now).get("pins_held"));
+        assertEquals(new DeliveryDecision(true, nowMs() + 1, 0), answer(1, 0, CacheStatus.UNKNOWN, nowMs()));
+        assertEquals(0, rules.statistics(now).get("pins_held"));
     }
 
     /** Off, hints change nothing; on, nothing changes for whoever brings none. */
@@ -376,45 +384,34 @@
                     random.nextLong(3),
                     random.nextBoolean());
             int profile = random.nextInt(4);
-            RoutingPolicy.Copy own =
-                    random.nextInt(4) == 0 ? new RoutingPolicy.Copy(random.nextLong(20 * SECOND), 1_000, 1_000) : null;
-            of.request(
+            LocalCopy own = random.nextInt(4) == 0 ? new LocalCopy(random.nextLong(20 * SECOND), 1_000, 1_000) : null;
+            of.requestArrived(
                     now,
-                    new Request(
-                            id,
-                            profile,
-                            0,
-                            5,
-                            0,
-                            2 * SECOND,
-                            0,
-                            random.nextLong(40),
-                            false,
-                            profile == 1 || profile == 2,
-                            hints ? hint : ReadHint.NONE),
+                    RoutingRequest.builder(id, profile, random.nextLong(40))
+                            .group(5)
+                            .timeBudgetUs(2 * SECOND)
+                            .write(profile == 1 || profile == 2)
+                            .hint(hints ? hint : ReadHint.NONE)
+                            .build(),
                     own);
-            Note note = Note.values()[1 + random.nextInt(5)];
-            Result result = random.nextInt(5) == 0 ? Result.MISS : Result.OK;
+            CacheStatus note = CacheStatus.values()[1 + random.nextInt(5)];
+            AttemptResult result = random.nextInt(5) == 0 ? AttemptResult.MISS : AttemptResult.OK;
             for (RecordingActions.Sent sent : List.copyOf(seen.sent)) {
-                of.outcome(
+                of.attemptEnded(
                         now,
-                        new RoutingPolicy.Outcome(
-                                sent.request(),
-                                0,
-                                sent.node(),
-                                result,
-                                1_000,
-                                result == Result.OK,
-                                note,
-                                500,
-                                new double[0],
-                                result == Result.OK ? nowMs() : 0));
+                        AttemptOutcome.builder(sent.request(), 0, sent.node(), result)
+                                .durationUs(1_000)
+                                .requestCompleted(result == AttemptResult.OK)
+                                .cacheStatus(note)
+                                .firstByteUs(500)
+                                .originTimeMs(result == AttemptResult.OK ? nowMs() : 0)
+                                .build());
             }
             seen.sent.clear();
             if (random.nextInt(20) == 0) {
-                of.purged(now, new RoutingPolicy.Purge(0, random.nextLong(40), 5, nowMs()));
+                of.objectsPurged(now, new Purge(0, random.nextLong(40), 5, nowMs()));
             }
-            of.reads().board(now);
+            of.boundedReads().discoveryHeard(now);
         }
         return seen.all;
     }
--- a/src/test/java/magpiewheel/routing/DecisionCost.java
+++ b/src/test/java/magpiewheel/routing/DecisionCost.java
@@ -5,11 +5,6 @@
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.SplittableRandom;
-import magpiewheel.routing.RoutingPolicy.ListMode;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Request;
-import magpiewheel.routing.RoutingPolicy.Result;
-import magpiewheel.routing.RoutingPolicy.Siblings;
 import magpiewheel.staleness.ReadHint;
 
 /**
@@ -36,15 +31,15 @@
         private final ArrayDeque<Long> sent = new ArrayDeque<>();
 
         @Override
-        public void attempt(long request, long node, RoutingPolicy.Plan plan) {
+        public void startAttempt(long request, long node, AttemptPlan plan) {
             sent.add(node);
         }
 
         @Override
-        public void timer(long atUs, long handle) {}
+        public void setTimer(long atUs, long handle) {}
 
         @Override
-        public void tell(int recipient, byte[] message) {}
+        public void sendToPeer(int recipient, byte[] message) {}
     }
 
     private DecisionCost() {}
@@ -66,34 +61,43 @@
     }
 
     private static double round(boolean pins, Brings brings) {
-        RoutingPolicy.Settings settings = RequestRouterTest.settings(false, Siblings.OFF);
+        RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
         Silent router = new Silent();
-        RequestRouter rules =
-                new RequestRouter(settings, 42, router, settings.place().setup(0, 400_000, 1, false), null, pins);
+        RequestRouter rules = new RequestRouter(
+                settings, 42, router, settings.topology().membershipConfig(0, 400_000, 1, false), null, pins);
         long now = 100 * SECOND;
-        rules.members(now, ListMode.CACHED, RequestRouterTest.fleet());
+        rules.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.fleet());
         SplittableRandom random = new SplittableRandom(1);
         // Time on the processor: a busy machine's other work is not the module's.
         long from = CPU.getCurrentThreadCpuTime();
         for (int i = 0; i < REQUESTS; i++) {
             now += 100;
             if (i % 5_000 == 0) {
-                rules.reads().board(now);
+                rules.boundedReads().discoveryHeard(now);
             }
             ReadHint hint = brings == Brings.NOTHING
                     ? ReadHint.NONE
                     : new ReadHint(0, now / 1_000 - 500, brings == Brings.MARK ? 0 : 1 + random.nextInt(OBJECTS), true);
-            Request request =
-                    new Request(i, FRESH, 0, 5, 40, 2 * SECOND, 0, 1 + random.nextInt(OBJECTS), false, false, hint);
-            rules.request(now, request);
+            RoutingRequest request = RoutingRequest.builder(i, FRESH, 1 + random.nextInt(OBJECTS))
+                    .group(5)
+                    .sizeKb(40)
+                    .timeBudgetUs(2 * SECOND)
+                    .hint(hint)
+                    .build();
+            rules.requestArrived(now, request);
             Long node = router.sent.poll();
             if (node != null) {
-                rules.reads().came(i, 0, now, Note.HIT, now / 1_000);
-                rules.admits(now, i, now / 1_000);
-                rules.outcome(
+                rules.boundedReads().responseReceived(i, 0, now, CacheStatus.HIT, now / 1_000);
+                rules.evaluateDelivery(now, i, now / 1_000);
+                rules.attemptEnded(
                         now,
-                        new RoutingPolicy.Outcome(
-                                i, 0, node, Result.OK, 1_000, true, Note.HIT, 500, new double[0], now / 1_000));
+                        AttemptOutcome.builder(i, 0, node, AttemptResult.OK)
+                                .durationUs(1_000)
+                                .requestCompleted(true)
+                                .cacheStatus(CacheStatus.HIT)
+                                .firstByteUs(500)
+                                .originTimeMs(now / 1_000)
+                                .build());
             }
         }
         return (double) (CPU.getCurrentThreadCpuTime() - from) / REQUESTS;
--- a/src/test/java/magpiewheel/routing/DecisionFingerprintTest.java
+++ b/src/test/java/magpiewheel/routing/DecisionFingerprintTest.java
@@ -5,9 +5,6 @@
 
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Result;
-import magpiewheel.routing.RoutingPolicy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -49,7 +46,7 @@
         RegionalFleetWorld world = new RegionalFleetWorld(5, led, 4, 40, joins);
         world.wanted(0, 9 * SECOND, 50 * RegionalFleetWorld.MS, 20 * RegionalFleetWorld.MS);
         world.net.at(4 * SECOND, () -> world.hangs(RegionalFleetWorld.PARENTS + 1));
-        world.net.at(6 * SECOND, () -> world.becomes(RegionalFleetWorld.PARENTS + 2, State.DRAINING));
+        world.net.at(6 * SECOND, () -> world.becomes(RegionalFleetWorld.PARENTS + 2, EndpointState.DRAINING));
         world.runTo(10 * SECOND);
         assertEquals(fingerprint, world.actions.toString());
     }
@@ -66,10 +63,10 @@
     @Test
     void oneRouterOfTheDesign() {
         DesignWorld world = new DesignWorld();
-        IntStream.rangeClosed(1, 6).forEach(cache -> world.listed(cache, State.READY, 0));
-        world.listed(101, State.READY, 0);
-        world.listed(102, State.READY, 0);
-        world.listed(DesignWorld.ORIGIN, State.READY, 0);
+        IntStream.rangeClosed(1, 6).forEach(cache -> world.listed(cache, EndpointState.READY, 0));
+        world.listed(101, EndpointState.READY, 0);
+        world.listed(102, EndpointState.READY, 0);
+        world.listed(DesignWorld.ORIGIN, EndpointState.READY, 0);
         world.meets(1);
         world.meets(2);
         world.pick(200);
@@ -77,17 +74,17 @@
         world.holds(1, world.now, 4, DesignWorld.object("C"), 200 * DesignWorld.MS);
         world.busy(2, 4, 30);
         world.read(DesignWorld.object("C"));
-        world.answer(Result.UNREACHED, Note.NONE);
-        world.answer(Result.OK, Note.FILLED);
+        world.answer(AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN);
+        world.answer(AttemptResult.OK, CacheStatus.FILLED);
         world.purge(DesignWorld.object("B"), true, 100 * DesignWorld.MS);
         world.readWithOwn(DesignWorld.object("B"), 2 * DesignWorld.SECOND);
         world.write(DesignWorld.object("D"), true);
-        world.answer(Result.BROKEN, Note.NONE);
+        world.answer(AttemptResult.CONNECTION_LOST, CacheStatus.UNKNOWN);
         world.fills(12, 101, 900 * DesignWorld.MS);
         world.pick(LongStream.rangeClosed(1, 60).map(i -> 20_000 + i).toArray());
         world.crowd();
-        world.listed(3, State.DRAINING, 0);
-        world.listed(7, State.READY, world.now);
+        world.listed(3, EndpointState.DRAINING, 0);
+        world.listed(7, EndpointState.READY, world.now);
         world.pick(100);
         world.pass(3 * DesignWorld.SECOND);
         assertEquals("22683:f769fe633ce66147", world.actions.toString());
--- a/src/test/java/magpiewheel/routing/DesignTest.java
+++ b/src/test/java/magpiewheel/routing/DesignTest.java
@@ -14,9 +14,6 @@
 import magpiewheel.conformance.Report;
 import magpiewheel.conformance.Rows;
 import magpiewheel.conformance.Steps;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Result;
-import magpiewheel.routing.RoutingPolicy.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -36,11 +33,12 @@
 
     private static Steps<DesignWorld> given(Steps<DesignWorld> steps) {
         return steps.act("(\\d+) caches, (\\d+|no) parents?( and the origin|)", (w, m) -> {
-                    IntStream.rangeClosed(1, Integer.parseInt(m.group(1))).forEach(i -> w.listed(i, State.READY, 0));
+                    IntStream.rangeClosed(1, Integer.parseInt(m.group(1)))
+                            .forEach(i -> w.listed(i, EndpointState.READY, 0));
                     int parents = m.group(2).equals("no") ? 0 : Integer.parseInt(m.group(2));
-                    IntStream.rangeClosed(1, parents).forEach(i -> w.listed(100 + i, State.READY, 0));
+                    IntStream.rangeClosed(1, parents).forEach(i -> w.listed(100 + i, EndpointState.READY, 0));
                     if (!m.group(3).isEmpty()) {
-                        w.listed(DesignWorld.ORIGIN, State.READY, 0);
+                        w.listed(DesignWorld.ORIGIN, EndpointState.READY, 0);
                     }
                 })
                 .act("routers that can't reach the origin themselves", (w, m) -> w.reachesOrigin = false)
@@ -96,11 +94,11 @@
         return steps.act(OBJECT + " is asked for", (w, m) -> w.read(DesignWorld.object(m.group(1))))
                 .act(OBJECT + " is asked for, and the answer says (hit|filled|nothing)", (w, m) -> {
                     w.read(DesignWorld.object(m.group(1)));
-                    w.answer(Result.OK, note(m.group(2)));
+                    w.answer(AttemptResult.OK, note(m.group(2)));
                 })
-                .act("the answer says (hit|filled|nothing)", (w, m) -> w.answer(Result.OK, note(m.group(1))))
-                .act("the cache says that it lacks it", (w, m) -> w.answer(Result.MISS, Note.NONE))
-                .act("nobody takes its connection", (w, m) -> w.answer(Result.UNREACHED, Note.NONE))
+                .act("the answer says (hit|filled|nothing)", (w, m) -> w.answer(AttemptResult.OK, note(m.group(1))))
+                .act("the cache says that it lacks it", (w, m) -> w.answer(AttemptResult.MISS, CacheStatus.UNKNOWN))
+                .act("nobody takes its connection", (w, m) -> w.answer(AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN))
                 .act(
                         OBJECT + " is asked for, of which this router has a copy of its own, " + TIME + " old",
                         (w, m) -> w.readWithOwn(DesignWorld.object(m.group(1)), DesignWorld.us(m.group(2), m.group(3))))
@@ -125,9 +123,9 @@
                         (w, m) -> w.listed(
                                 w.node(m.group(1)),
                                 switch (m.group(2)) {
-                                    case "drains" -> State.DRAINING;
-                                    case "leaves" -> State.GONE;
-                                    default -> State.READY;
+                                    case "drains" -> EndpointState.DRAINING;
+                                    case "leaves" -> EndpointState.REMOVED;
+                                    default -> EndpointState.READY;
                                 },
                                 m.group(2).equals("starts anew") ? w.now : 0))
                 .act("(\\d+) objects are picked for(?: again)?", (w, m) -> w.pick(Integer.parseInt(m.group(1))))
@@ -150,8 +148,8 @@
                                 Integer.parseInt(m.group(3))));
     }
 
-    private static Note note(String word) {
-        return word.equals("nothing") ? Note.NONE : Note.valueOf(word.toUpperCase(Locale.ROOT));
+    private static CacheStatus note(String word) {
+        return word.equals("nothing") ? CacheStatus.UNKNOWN : CacheStatus.valueOf(word.toUpperCase(Locale.ROOT));
     }
 
     private static void follows(Steps<DesignWorld> steps) {
--- a/src/test/java/magpiewheel/routing/DesignWorld.java
+++ b/src/test/java/magpiewheel/routing/DesignWorld.java
@@ -14,15 +14,7 @@
 import java.util.TreeMap;
 import java.util.stream.LongStream;
 import magpiewheel.membership.Beats;
-import magpiewheel.routing.RoutingPolicy.Effect;
-import magpiewheel.routing.RoutingPolicy.KeyScope;
-import magpiewheel.routing.RoutingPolicy.ListMode;
-import magpiewheel.routing.RoutingPolicy.Member;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Profile;
-import magpiewheel.routing.RoutingPolicy.Request;
-import magpiewheel.routing.RoutingPolicy.Result;
-import magpiewheel.routing.RoutingPolicy.State;
+import magpiewheel.region.SlowStartProfile;
 import magpiewheel.support.Fingerprint;
 
 /**
@@ -43,7 +35,7 @@
 
     final RecordingActions router = new RecordingActions();
     final Fingerprint actions = new Fingerprint();
-    final Map<Long, Member> list = new TreeMap<>();
+    final Map<Long, EndpointInfo> list = new TreeMap<>();
     private final PriorityQueue<long[]> timers = new PriorityQueue<>(Comparator.comparingLong(t -> t[0]));
     private final Map<Long, Long> askedAt = new HashMap<>();
     private final Map<Long, List<RecordingActions.Sent>> sent = new HashMap<>();
@@ -66,58 +58,64 @@
     Map<Long, RecordingActions.Sent> picks = Map.of();
     Map<Long, RecordingActions.Sent> picksBefore = Map.of();
 
-    RoutingPolicy.Settings settings(int me) {
+    RoutingSettings settings(int me) {
         int elsewhere = 1;
-        return new RoutingPolicy.Settings(
-                new RoutingPolicy.Place(
-                        me,
-                        here + elsewhere,
-                        0,
-                        new int[] {here, elsewhere},
-                        new int[] {1, 1},
-                        new double[] {100_000, 100_000},
-                        1,
-                        2,
-                        10_000),
-                List.of(profile(Effect.PURE, false), profile(Effect.KEYED, true), profile(Effect.UNSAFE, true)),
-                List.of(),
-                0,
-                new RoutingPolicy.Limits(true, false, true, false, true, 6, 20_000, SECOND, 400 * MS),
-                new RoutingPolicy.Guards(
-                        500 * MS,
-                        300 * MS,
-                        6 * SECOND,
-                        0.2,
-                        17 * SECOND,
-                        2,
-                        2 * SECOND,
-                        0.1,
-                        20 * SECOND,
-                        2,
-                        0,
-                        0,
-                        0,
-                        8 * MS),
-                false,
-                RoutingPolicy.Siblings.OFF,
-                true,
-                reachesOrigin,
-                true,
-                RoutingPolicy.Weight.OFF,
-                List.of());
-    }
-
-    private static Profile profile(Effect effect, boolean write) {
-        return new Profile(
-                500 * MS, 2, 3 * SECOND, 1, 0.2, effect, KeyScope.ALL, 2 * SECOND, false, write, false, 0, 0, 0.5);
+        return RoutingSettings.builder(
+                        RouterTopology.builder(me, here + elsewhere, 0)
+                                .routersByZone(new int[] {here, elsewhere})
+                                .hubByZone(new int[] {1, 1})
+                                .linkKbPerSByZone(new double[] {100_000, 100_000})
+                                .parentKind(1)
+                                .originKind(2)
+                                .transferKbPerS(10_000)
+                                .build(),
+                        List.of(
+                                profile(Idempotency.IDEMPOTENT, false),
+                                profile(Idempotency.KEYED, true),
+                                profile(Idempotency.NOT_IDEMPOTENT, true)),
+                        RequestLimits.builder(6)
+                                .mayCancel(true)
+                                .mayMessagePeers(true)
+                                .maySendRetryAfter(true)
+                                .maxInFlight(20_000)
+                                .maxRetryAfterUs(SECOND)
+                                .connectTimeoutUs(400 * MS)
+                                .build(),
+                        new SafetyLimits(
+                                500 * MS,
+                                300 * MS,
+                                6 * SECOND,
+                                new SlowStartProfile(0.2, 17 * SECOND, 2, 2 * SECOND),
+                                new SlowStartProfile(0.1, 20 * SECOND, 2, 2 * SECOND)))
+                .overQuotaPriorityWeight(0)
+                .cachesJoinFills(true)
+                .mayBypassCaches(reachesOrigin)
+                .detailedCacheStatus(true)
+                .build();
+    }
+
+    private static RequestClass profile(Idempotency effect, boolean write) {
+        return RequestClass.builder(500 * MS, 3 * SECOND)
+                .objectiveStretch(2)
+                .latePriorityWeight(0.2)
+                .idempotency(effect)
+                .idempotencyWindowUs(2 * SECOND)
+                .write(write)
+                .stalePriorityWeight(0.5)
+                .build();
     }
 
     private RequestRouter rules() {
         if (rules == null) {
-            RoutingPolicy.Actions actionsOut = new FingerprintedActions(router, actions, 0, () -> now);
+            RoutingActions actionsOut = new FingerprintedActions(router, actions, 0, () -> now);
             rules = new RequestRouter(
-                    settings(0), 42, actionsOut, settings(0).place().setup(0, 400 * MS, 1, false), null, false);
-            rules.members(now, ListMode.CACHED, List.copyOf(list.values()));
+                    settings(0),
+                    42,
+                    actionsOut,
+                    settings(0).topology().membershipConfig(0, 400 * MS, 1, false),
+                    null,
+                    false);
+            rules.endpointsChanged(now, EndpointListMode.CACHED, List.copyOf(list.values()));
             collectTimers();
         }
         return rules;
@@ -125,16 +123,19 @@
 
     // ---------------------------------------------------------------- what is given and happens
 
-    void listed(long node, State state, long startedUs) {
+    void listed(long node, EndpointState state, long startedUs) {
         int kind = node == ORIGIN ? 2 : node > PARENTS ? 1 : 0;
-        Member member = new Member(node, kind, startedUs, kind == 0 ? 0 : 1, 1, state, 0);
-        if (state == State.READY) {
+        EndpointInfo member = EndpointInfo.builder(node, kind, kind == 0 ? 0 : 1)
+                .startedUs(startedUs)
+                .state(state)
+                .build();
+        if (state == EndpointState.READY) {
             list.put(node, member);
         } else {
             list.remove(node);
         }
         if (rules != null) {
-            rules.members(now, ListMode.DELTA, List.of(member));
+            rules.endpointsChanged(now, EndpointListMode.DELTA, List.of(member));
             pass(MS);
         }
     }
@@ -148,7 +149,7 @@
         for (collectTimers(); !timers.isEmpty() && timers.peek()[0] <= end; collectTimers()) {
             long[] due = timers.poll();
             now = Math.max(now, due[0]);
-            rules.timer(now, due[1]);
+            rules.timerExpired(now, due[1]);
         }
         now = end;
     }
@@ -171,16 +172,23 @@
         return object >= object("N") && object <= object("Z") ? 6 : 5;
     }
 
-    void ask(int profile, long of, int part, RoutingPolicy.Copy own) {
+    void ask(int profile, long of, int part, LocalCopy own) {
         before = last;
         object = of;
         askQuietly(++last, profile, of, part, own);
         pass(MS);
     }
 
-    private void askQuietly(long id, int profile, long of, int part, RoutingPolicy.Copy own) {
+    private void askQuietly(long id, int profile, long of, int part, LocalCopy own) {
         askedAt.put(id, now);
-        rules().request(now, new Request(id, profile, 0, group(of), 0, 0, part, of, false, profile != READ), own);
+        rules().requestArrived(
+                        now,
+                        RoutingRequest.builder(id, profile, of)
+                                .group(group(of))
+                                .part(part)
+                                .write(profile != READ)
+                                .build(),
+                        own);
     }
 
     void read(long of) {
@@ -196,7 +204,7 @@
     }
 
     void readWithOwn(long of, long ageUs) {
-        ask(READ, of, 0, new RoutingPolicy.Copy(ageUs, 100 * MS, 25 * MS));
+        ask(READ, of, 0, new LocalCopy(ageUs, 100 * MS, 25 * MS));
     }
 
     /** The attempts of a request, in their order. */
@@ -215,26 +223,26 @@
         return sent.get(sent.size() - 1);
     }
 
-    void answer(long id, Result result, Note note, long waitUs) {
+    void answer(long id, AttemptResult result, CacheStatus note, long waitUs) {
         List<RecordingActions.Sent> sent = sent(id);
         if (sent.isEmpty()) {
             throw new IllegalStateException("nothing went out that could be answered");
         }
-        rules().outcome(
+        rules().attemptEnded(
                         now,
-                        new RoutingPolicy.Outcome(
-                                id,
-                                sent.size() - 1,
-                                sent.get(sent.size() - 1).node(),
-                                result,
-                                waitUs + 10 * MS,
-                                result == Result.OK || result == Result.CANCELLED,
-                                note,
-                                waitUs,
-                                new double[0]));
-    }
-
-    void answer(Result result, Note note) {
+                        AttemptOutcome.builder(
+                                        id,
+                                        sent.size() - 1,
+                                        sent.get(sent.size() - 1).node(),
+                                        result)
+                                .durationUs(waitUs + 10 * MS)
+                                .requestCompleted(result == AttemptResult.OK || result == AttemptResult.CANCELLED)
+                                .cacheStatus(note)
+                                .firstByteUs(waitUs)
+                                .build());
+    }
+
+    void answer(AttemptResult result, CacheStatus note) {
         answer(last, result, note, 10 * MS);
         pass(MS);
     }
@@ -256,8 +264,8 @@
     }
 
     private void leave(long id) {
-        rules().clientGone(now, id);
-        answer(id, Result.CANCELLED, Note.NONE, 0);
+        rules().clientDisconnected(now, id);
+        answer(id, AttemptResult.CANCELLED, CacheStatus.UNKNOWN, 0);
     }
 
     /** Asks until so many fills are out from a parent, takes the others back, and then answers those. */
@@ -265,7 +273,7 @@
         List<Long> open = new ArrayList<>();
         for (int i = 0; i < MANY && open.size() < count; i++) {
             askQuietly(++last, READ, 500_000 + last, 0, null);
-            if (it().plan().source() == parent) {
+            if (it().plan().fillSource() == parent) {
                 open.add(last);
             } else {
                 leave(last);
@@ -274,7 +282,7 @@
         if (open.size() < count) {
             throw new IllegalStateException("parent " + parent + " fills nothing");
         }
-        open.forEach(id -> answer(id, Result.OK, Note.FILLED, waitUs));
+        open.forEach(id -> answer(id, AttemptResult.OK, CacheStatus.FILLED, waitUs));
         pass(MS);
     }
 
@@ -284,10 +292,10 @@
     void scan(int count, long again, int every) {
         for (int i = 1; i <= count; i++) {
             askQuietly(++last, READ, 1_000_000 + i, 0, null);
-            answer(last, Result.OK, Note.FILLED, 10 * MS);
+            answer(last, AttemptResult.OK, CacheStatus.FILLED, 10 * MS);
             if (every > 0 && i % every == 0) {
                 askQuietly(++last, READ, again, 0, null);
-                answer(last, Result.OK, Note.HIT, 10 * MS);
+                answer(last, AttemptResult.OK, CacheStatus.HIT, 10 * MS);
             }
             pass(200);
         }
@@ -309,7 +317,7 @@
     void purge(long of, boolean group, long agoUs) {
         object = of;
         purgedAt = now - agoUs;
-        rules().purged(now, new RoutingPolicy.Purge(agoUs, group ? 0 : of, group(of)));
+        rules().objectsPurged(now, new Purge(agoUs, group ? 0 : of, group(of)));
         pass(MS);
     }
 
@@ -317,43 +325,40 @@
 
     /** From now on this router knows of another one. The one place that says how routers meet. */
     void meets(int sender) {
-        rules().peer(now, sender, Beats.of(sender, here + 1, sender < here ? 0 : 1, now));
+        rules().peerMessageReceived(now, sender, Beats.of(sender, here + 1, sender < here ? 0 : 1, now));
         hears(sender, now, List.of(), List.of());
     }
 
     /** A message from another router, sent at a time; the last router is in another location. */
-    private void hears(
-            int sender, long clock, List<PeerMessageCodec.Load> loads, List<PeerMessageCodec.Holder> holders) {
+    private void hears(int sender, long clock, List<EndpointLoad> loads, List<HolderHint> holders) {
         int zone = sender < here ? 0 : 1;
         double limit = 20;
-        rules().peer(
+        rules().peerMessageReceived(
                         now,
                         sender,
-                        PeerMessageCodec.encode(new PeerMessageCodec.Message(
-                                        zone, clock, 0, limit, 0, loads, List.of(), holders))
+                        PeerMessageCodec.encode(new PeerMessage(zone, clock, 0, limit, 0, loads, List.of(), holders))
                                 .get(0));
         pass(MS);
     }
 
     void holds(int sender, long clock, long node, long of, long ageUs) {
         object = of;
-        hears(sender, clock, List.of(), List.of(new PeerMessageCodec.Holder(of, 0, node, group(of), (int)
-                (ageUs / MS))));
+        hears(sender, clock, List.of(), List.of(new HolderHint(of, 0, node, group(of), (int) (ageUs / MS))));
     }
 
     void busy(int sender, long node, int inHand) {
-        hears(sender, now, List.of(new PeerMessageCodec.Load(node, inHand, 16)), List.of());
+        hears(sender, now, List.of(new EndpointLoad(node, inHand, 16)), List.of());
     }
 
     /** Messages that went out, from one of them on: to whom, and what. */
-    private List<Map.Entry<Integer, PeerMessageCodec.Message>> told(int from) {
+    private List<Map.Entry<Integer, PeerMessage>> told(int from) {
         List<String> lines =
                 router.all.stream().filter(line -> line.startsWith("tell ")).toList();
         assertEquals(lines.size(), router.told.size());
-        List<Map.Entry<Integer, PeerMessageCodec.Message>> told = new ArrayList<>();
+        List<Map.Entry<Integer, PeerMessage>> told = new ArrayList<>();
         for (int i = from; i < lines.size(); i++) {
             assertTrue(router.told.get(i).length <= 256, "a message of " + router.told.get(i).length + " bytes");
-            PeerMessageCodec.Message message = PeerMessageCodec.decode(router.told.get(i));
+            PeerMessage message = PeerMessageCodec.decode(router.told.get(i));
             // The membership's messages are another matter.
             if (message != null) {
                 told.add(Map.entry(Integer.parseInt(lines.get(i).split(" ")[1]), message));
@@ -367,10 +372,11 @@
     /** Where another router that knows nothing sends an object. */
     long hashed(long of) {
         RecordingActions seen = new RecordingActions();
-        RequestRouter other =
-                new RequestRouter(settings(1), 7, seen, settings(1).place().setup(0, 400 * MS, 1, false), null, false);
-        other.members(now, ListMode.CACHED, List.copyOf(list.values()));
-        other.request(now, new Request(1, READ, 0, group(of), 0, 0, 0, of, false, false));
+        RequestRouter other = new RequestRouter(
+                settings(1), 7, seen, settings(1).topology().membershipConfig(0, 400 * MS, 1, false), null, false);
+        other.endpointsChanged(now, EndpointListMode.CACHED, List.copyOf(list.values()));
+        other.requestArrived(
+                now, RoutingRequest.builder(1, READ, of).group(group(of)).build());
         return seen.last().node();
     }
 
@@ -404,7 +410,7 @@
     }
 
     void filledFrom(String name) {
-        long source = it().plan().source();
+        long source = it().plan().fillSource();
         if (name.equals("a parent")) {
             assertTrue(source > PARENTS && source < ORIGIN, "it is filled from " + source);
         } else {
@@ -420,16 +426,10 @@
 
     void untouched() {
         assertEquals(
-                new RoutingPolicy.Plan(
-                        0,
-                        it().plan().stopAtUs(),
-                        false,
-                        false,
-                        false,
-                        false,
-                        it().plan().source(),
-                        0,
-                        it().plan().beginBy()),
+                AttemptPlan.builder(it().plan().fillSource())
+                        .deadlineUs(it().plan().deadlineUs())
+                        .startByUs(it().plan().startByUs())
+                        .build(),
                 it().plan());
     }
 
@@ -448,17 +448,17 @@
                 told(0).stream()
                         .filter(t -> t.getKey() == recipient)
                         .flatMap(t -> t.getValue().holders().stream())
-                        .anyMatch(h -> h.object() == of && h.node() == node),
+                        .anyMatch(h -> h.objectId() == of && h.endpointId() == node),
                 "never told router " + recipient);
     }
 
     void notTold(long of) {
         assertTrue(
-                told(0).stream().flatMap(t -> t.getValue().holders().stream()).noneMatch(h -> h.object() == of));
+                told(0).stream().flatMap(t -> t.getValue().holders().stream()).noneMatch(h -> h.objectId() == of));
     }
 
     void toldIn(int recipient, int holders, int messages) {
-        List<PeerMessageCodec.Message> with = told(0).stream()
+        List<PeerMessage> with = told(0).stream()
                 .filter(t -> t.getKey() == recipient)
                 .map(Map.Entry::getValue)
                 .filter(m -> !m.holders().isEmpty())
@@ -485,7 +485,7 @@
                 list.keySet().stream()
                         .filter(node -> node > PARENTS && node < ORIGIN)
                         .toList(),
-                picks.values().stream().map(sent -> sent.plan().source()).toList());
+                picks.values().stream().map(sent -> sent.plan().fillSource()).toList());
     }
 
     /**
@@ -518,7 +518,7 @@
 
     void sourced(long parent, double least, double most) {
         double share = picks.values().stream()
-                        .filter(sent -> sent.plan().source() == parent)
+                        .filter(sent -> sent.plan().fillSource() == parent)
                         .count()
                 / (double) picks.size();
         assertTrue(share >= least && share <= most, "a share of " + share);
@@ -527,7 +527,7 @@
     /** Of requests out at once: those that a miss would start a fill for. */
     void fillsAtMost(int most) {
         long fills = picks.values().stream()
-                .filter(sent -> sent.plan().source() != sent.node())
+                .filter(sent -> sent.plan().fillSource() != sent.node())
                 .count();
         assertTrue(fills > 0 && fills <= most, fills + " fills");
     }
@@ -537,7 +537,7 @@
                 !picks.isEmpty()
                         && picks.values().stream()
                                 .allMatch(sent ->
-                                        sent.node() != node && sent.plan().source() != node),
+                                        sent.node() != node && sent.plan().fillSource() != node),
                 "some go to " + node);
     }
 
