--- a/src/test/java/magpiewheel/routing/FillCoalescingTest.java
+++ b/src/test/java/magpiewheel/routing/FillCoalescingTest.java
@@ -7,11 +7,6 @@
 import java.util.List;
 import java.util.stream.LongStream;
 import magpiewheel.membership.Beats;
-import magpiewheel.routing.RoutingPolicy.ListMode;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Request;
-import magpiewheel.routing.RoutingPolicy.Result;
-import magpiewheel.routing.RoutingPolicy.State;
 import org.junit.jupiter.api.Test;
 
 /** A part that another front, or this one, has sent to a cache: where it is asked for, how long, and what ends that. */
@@ -35,75 +30,76 @@
     private long lastId = 1;
 
     FillCoalescingTest() {
-        RoutingPolicy.Settings settings = settings(false);
+        RoutingSettings settings = settings(false);
         // Where rendezvous sends the object is known from a router that heard nothing.
         RecordingActions quiet = new RecordingActions();
-        started(settings, quiet).request(now, request(1, PURE, 0));
+        started(settings, quiet).requestArrived(now, request(1, PURE, 0));
         hashed = quiet.last().node();
         other = hashed % 4 + 1;
         rules = started(settings, router);
-        rules.peer(now, 1, Beats.of(1, 2, 0, now));
-        rules.timer(now, 0);
+        rules.peerMessageReceived(now, 1, Beats.of(1, 2, 0, now));
+        rules.timerExpired(now, 0);
     }
 
-    private static RoutingPolicy.Settings settings(boolean joins) {
-        RoutingPolicy.Settings set = RequestRouterTest.settings(false, RoutingPolicy.Siblings.OFF);
-        return RequestRouterTest.with(set, joins, set.allNotes());
+    private static RoutingSettings settings(boolean joins) {
+        RoutingSettings set = RequestRouterFixture.settings(false, SiblingFills.OFF);
+        return RequestRouterFixture.with(set, joins, set.detailedCacheStatus());
     }
 
-    private RequestRouter started(RoutingPolicy.Settings settings, RecordingActions recorder) {
-        RequestRouter started =
-                new RequestRouter(settings, 42, recorder, settings.place().setup(0, 400_000, 1, false), null, false);
-        started.members(now, ListMode.CACHED, RequestRouterTest.fleet());
+    private RequestRouter started(RoutingSettings settings, RecordingActions recorder) {
+        RequestRouter started = new RequestRouter(
+                settings, 42, recorder, settings.topology().membershipConfig(0, 400_000, 1, false), null, false);
+        started.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.fleet());
         return started;
     }
 
-    private static Request request(long id, int profile, int part) {
+    private static RoutingRequest request(long id, int profile, int part) {
         return request(id, profile, part, OBJECT);
     }
 
-    private static Request request(long id, int profile, int part, long object) {
-        return new Request(
-                id, profile, 0, GROUP, 0, 2 * SECOND, part, object, false, profile == KEYED || profile == UNSAFE);
+    private static RoutingRequest request(long id, int profile, int part, long object) {
+        return RoutingRequest.builder(id, profile, object)
+                .group(GROUP)
+                .timeBudgetUs(2 * SECOND)
+                .part(part)
+                .write(profile == KEYED || profile == UNSAFE)
+                .build();
     }
 
     private long ask(int profile, int part) {
-        rules.request(now, request(++lastId, profile, part));
+        rules.requestArrived(now, request(++lastId, profile, part));
         return lastId;
     }
 
     /** Another front says that it sent a fill of a part to a cache some time ago. */
     private void sent(int part, long node, int agoMs) {
-        rules.peer(now, 1, message(part, node, agoMs));
+        rules.peerMessageReceived(now, 1, message(part, node, agoMs));
     }
 
     private byte[] message(int part, long node, int agoMs) {
-        return PeerMessageCodec.encode(new PeerMessageCodec.Message(
+        return PeerMessageCodec.encode(new PeerMessage(
                         0,
                         now,
                         0,
                         16,
                         0,
                         List.of(),
-                        List.of(new PeerMessageCodec.Holder(OBJECT, part, node, GROUP, agoMs)),
+                        List.of(new HolderHint(OBJECT, part, node, GROUP, agoMs)),
                         List.of()))
                 .get(0);
     }
 
-    private void answer(long id, Result result, Note note) {
+    private void answer(long id, AttemptResult result, CacheStatus note) {
         List<RecordingActions.Sent> mine = of(id);
-        rules.outcome(
+        rules.attemptEnded(
                 now,
-                new RoutingPolicy.Outcome(
-                        id,
-                        mine.size() - 1,
-                        mine.get(mine.size() - 1).node(),
-                        result,
-                        5 * MS,
-                        result == Result.OK,
-                        note,
-                        MS,
-                        new double[0]));
+                AttemptOutcome.builder(
+                                id, mine.size() - 1, mine.get(mine.size() - 1).node(), result)
+                        .durationUs(5 * MS)
+                        .requestCompleted(result == AttemptResult.OK)
+                        .cacheStatus(note)
+                        .firstByteUs(MS)
+                        .build());
     }
 
     private List<RecordingActions.Sent> of(long id) {
@@ -121,41 +117,41 @@
     /** The clock goes on to when the module asked to be woken for those that wait. */
     private void wake() {
         now = lastTimer();
-        rules.timer(now, WAIT);
+        rules.timerExpired(now, WAIT);
     }
 
     /** Asks for a part that is on its way to a cache, which says so: from now on the request waits. */
     private long waiting() {
         long id = ask(PURE, 0);
         now += 2 * MS;
-        answer(id, Result.MISS, Note.JOINED);
+        answer(id, AttemptResult.MISS, CacheStatus.COALESCED);
         return id;
     }
 
     private void looksAt(RecordingActions.Sent sent, long node) {
         assertEquals(node, sent.node());
-        assertEquals(node, sent.plan().source());
+        assertEquals(node, sent.plan().fillSource());
     }
 
     private void fillsAt(RecordingActions.Sent sent, long node) {
         assertEquals(node, sent.node());
-        assertNotEquals(node, sent.plan().source());
+        assertNotEquals(node, sent.plan().fillSource());
     }
 
     /** A request asks a cache first, which holds nothing and has nothing on its way: then it is filled. */
     private void goesTo(long node, long id) {
         looksAt(of(id).get(0), node);
-        answer(id, Result.MISS, Note.NONE);
+        answer(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
         fillsAt(of(id).get(1), node);
     }
 
     /** What this front tells of how many it has in hand at a cache. */
     private int inHand(long node) {
-        rules.timer(now, 0);
-        PeerMessageCodec.Message message = PeerMessageCodec.decode(router.told.get(router.told.size() - 1));
+        rules.timerExpired(now, 0);
+        PeerMessage message = PeerMessageCodec.decode(router.told.get(router.told.size() - 1));
         return message.loads().stream()
-                .filter(load -> load.node() == node)
-                .mapToInt(PeerMessageCodec.Load::inHand)
+                .filter(load -> load.endpointId() == node)
+                .mapToInt(EndpointLoad::inFlight)
                 .sum();
     }
 
@@ -170,13 +166,13 @@
     void whatACacheHoldsAlreadyIsNoFill() {
         long id = ask(PURE, 0);
         looksAt(of(id).get(0), hashed);
-        answer(id, Result.OK, Note.HIT);
+        answer(id, AttemptResult.OK, CacheStatus.HIT);
         assertEquals(1, of(id).size());
         now += 100 * MS;
-        rules.timer(now, 0);
-        PeerMessageCodec.Message message = PeerMessageCodec.decode(router.told.get(router.told.size() - 1));
-        assertTrue(message.sent().isEmpty() && message.holders().isEmpty());
-        assertEquals(0, message.fills());
+        rules.timerExpired(now, 0);
+        PeerMessage message = PeerMessageCodec.decode(router.told.get(router.told.size() - 1));
+        assertTrue(message.fillsStarted().isEmpty() && message.holders().isEmpty());
+        assertEquals(0, message.fillsInFlight());
     }
 
     @Test
@@ -189,7 +185,7 @@
         wake();
         assertEquals(2, of(id).size());
         looksAt(of(id).get(1), other);
-        answer(id, Result.OK, Note.HIT);
+        answer(id, AttemptResult.OK, CacheStatus.HIT);
         assertEquals(2, of(id).size());
     }
 
@@ -197,7 +193,7 @@
     void aTimerThatComesEarlyWakesNobody() {
         sent(0, other, 50);
         long id = waiting();
-        rules.timer(lastTimer() - 1, WAIT);
+        rules.timerExpired(lastTimer() - 1, WAIT);
         assertEquals(1, of(id).size());
     }
 
@@ -206,7 +202,7 @@
         sent(0, other, 50);
         long id = waiting();
         wake();
-        answer(id, Result.MISS, Note.NONE);
+        answer(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
         assertEquals(3, of(id).size());
         fillsAt(of(id).get(2), hashed);
         // The next request asks where it is filled now.
@@ -217,7 +213,7 @@
     void aCacheThatNeverGotItIsLeftAtOnce() {
         sent(0, other, 50);
         long id = ask(PURE, 0);
-        answer(id, Result.MISS, Note.NONE);
+        answer(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
         assertEquals(2, of(id).size());
         fillsAt(of(id).get(1), hashed);
     }
@@ -227,8 +223,13 @@
         sent(0, other, 50);
         long id = ask(PURE, 0);
         // Its client needs no more, so that nothing newer is sent.
-        rules.outcome(
-                now, new RoutingPolicy.Outcome(id, 0, other, Result.MISS, 5 * MS, true, Note.NONE, MS, new double[0]));
+        rules.attemptEnded(
+                now,
+                AttemptOutcome.builder(id, 0, other, AttemptResult.MISS)
+                        .durationUs(5 * MS)
+                        .requestCompleted(true)
+                        .firstByteUs(MS)
+                        .build());
         looksAt(of(ask(PURE, 0)).get(0), hashed);
     }
 
@@ -237,9 +238,9 @@
         sent(0, other, 50);
         long start = now;
         long id = waiting();
-        while (of(id).get(of(id).size() - 1).plan().source() == other) {
+        while (of(id).get(of(id).size() - 1).plan().fillSource() == other) {
             wake();
-            answer(id, Result.MISS, Note.JOINED);
+            answer(id, AttemptResult.MISS, CacheStatus.COALESCED);
             assertTrue(of(id).size() <= 6);
         }
         // Aim 500 ms and twice the own sending time, which is 500 ms before any was seen; and that is needed for the
@@ -255,7 +256,7 @@
         sent(0, other, 50);
         long id = ask(PURE, 0);
         now += 1_100 * MS;
-        answer(id, Result.MISS, Note.JOINED);
+        answer(id, AttemptResult.MISS, CacheStatus.COALESCED);
         fillsAt(of(id).get(1), hashed);
     }
 
@@ -263,10 +264,14 @@
     void aCacheThatDrainsIsNotWaitedFor() {
         sent(0, other, 50);
         long id = waiting();
-        rules.members(now, ListMode.DELTA, List.of(RequestRouterTest.member(other, 0, 0, 0, State.DRAINING)));
+        rules.endpointsChanged(
+                now,
+                EndpointListMode.DELTA,
+                List.of(RequestRouterFixture.member(other, 0, 0, 0, EndpointState.DRAINING)));
         assertEquals(2, of(id).size());
         fillsAt(of(id).get(1), hashed);
-        rules.members(now, ListMode.DELTA, List.of(RequestRouterTest.member(other, 0, 0, 0, State.READY)));
+        rules.endpointsChanged(
+                now, EndpointListMode.DELTA, List.of(RequestRouterFixture.member(other, 0, 0, 0, EndpointState.READY)));
         looksAt(of(ask(PURE, 0)).get(0), hashed);
     }
 
@@ -275,7 +280,7 @@
         sent(0, other, 50);
         long id = waiting();
         wake();
-        answer(id, Result.UNREACHED, Note.NONE);
+        answer(id, AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN);
         assertEquals(3, of(id).size());
         fillsAt(of(id).get(2), hashed);
     }
@@ -285,7 +290,7 @@
         sent(0, other, 50);
         long id = waiting();
         assertEquals(1, inHand(other));
-        rules.clientGone(now, id);
+        rules.clientDisconnected(now, id);
         assertEquals(0, inHand(other));
         wake();
         assertEquals(1, of(id).size());
@@ -295,7 +300,7 @@
     @Test
     void aPurgeForgetsWhatWasSentBefore() {
         sent(0, other, 50);
-        rules.purged(now, new RoutingPolicy.Purge(0, 0, GROUP));
+        rules.objectsPurged(now, new Purge(0, 0, GROUP));
         now += MS;
         looksAt(of(ask(FRESH, 0)).get(0), hashed);
         // Word from before the purge that comes late says nothing either.
@@ -307,7 +312,7 @@
     void whatWaitsThroughAPurgeAsksForACopyThatIsYounger() {
         sent(0, other, 50);
         long id = waiting();
-        rules.purged(now, new RoutingPolicy.Purge(0, OBJECT, 0));
+        rules.objectsPurged(now, new Purge(0, OBJECT, 0));
         wake();
         looksAt(of(id).get(1), other);
         assertTrue(of(id).get(1).plan().maxAgeUs() > 0);
@@ -316,12 +321,12 @@
     @Test
     void anOwnFillThatLandsLetsTheWaitingGoAtOnce() {
         long first = ask(PURE, 0);
-        answer(first, Result.MISS, Note.NONE);
+        answer(first, AttemptResult.MISS, CacheStatus.UNKNOWN);
         now += 50 * MS;
         long second = waiting();
         looksAt(of(second).get(0), hashed);
         assertEquals(1, of(second).size());
-        answer(first, Result.OK, Note.FILLED);
+        answer(first, AttemptResult.OK, CacheStatus.FILLED);
         assertEquals(2, of(second).size());
         assertEquals(hashed, of(second).get(1).node());
     }
@@ -329,22 +334,22 @@
     @Test
     void anOwnFillThatFailsLetsTheWaitingGoAtOnce() {
         long first = ask(PURE, 0);
-        answer(first, Result.MISS, Note.NONE);
+        answer(first, AttemptResult.MISS, CacheStatus.UNKNOWN);
         now += 50 * MS;
         long second = waiting();
-        answer(first, Result.ERROR, Note.SOURCE_REFUSED);
+        answer(first, AttemptResult.ERROR, CacheStatus.SOURCE_REJECTED);
         assertEquals(2, of(second).size());
     }
 
     @Test
     void noMoreWaitThanAreCounted() {
-        List<RoutingPolicy.Member> more = LongStream.range(11, 31)
-                .mapToObj(node -> RequestRouterTest.member(node, 0, 0, 0, State.READY))
+        List<EndpointInfo> more = LongStream.range(11, 31)
+                .mapToObj(node -> RequestRouterFixture.member(node, 0, 0, 0, EndpointState.READY))
                 .toList();
-        rules.members(now, ListMode.DELTA, more);
+        rules.endpointsChanged(now, EndpointListMode.DELTA, more);
         for (int i = 0; i < MOST_WAITING + 10; i++) {
-            rules.request(now, request(++lastId, PURE, 0, 1_000 + i));
-            answer(lastId, Result.MISS, Note.JOINED);
+            rules.requestArrived(now, request(++lastId, PURE, 0, 1_000 + i));
+            answer(lastId, AttemptResult.MISS, CacheStatus.COALESCED);
             // Beyond the bound it goes the way it went before, at once: a fill, or the end where the link has no room.
             assertEquals(i >= MOST_WAITING, of(lastId).size() == 2 || router.refused.contains(lastId), "request " + i);
         }
@@ -353,13 +358,13 @@
     @Test
     void whoWaitsTakesACachesPlacesLikeAnyOther() {
         for (int i = 0; i < 3 * MOST_WAITING; i++) {
-            rules.request(now, request(++lastId, PURE, 0, 1_000 + i));
+            rules.requestArrived(now, request(++lastId, PURE, 0, 1_000 + i));
             if (of(lastId).isEmpty()) {
                 // All caches are full: what has nowhere to go has its end at once.
                 assertTrue(router.refused.contains(lastId));
                 return;
             }
-            answer(lastId, Result.MISS, Note.JOINED);
+            answer(lastId, AttemptResult.MISS, CacheStatus.COALESCED);
         }
         throw new AssertionError("nobody was turned away");
     }
@@ -381,79 +386,74 @@
     void whereCachesJoinFillsNobodyAsksFirst() {
         RecordingActions recorder = new RecordingActions();
         RequestRouter joining = started(settings(true), recorder);
-        joining.peer(now, 1, message(0, other, 50));
-        joining.request(now, request(1, PURE, 0));
+        joining.peerMessageReceived(now, 1, message(0, other, 50));
+        joining.requestArrived(now, request(1, PURE, 0));
         fillsAt(recorder.last(), hashed);
     }
 
     @Test
     void whoMayTryTwiceOnlyKeepsBothForFills() {
-        RoutingPolicy.Settings set = settings(false);
-        RoutingPolicy.Limits all = set.limits();
-        RoutingPolicy.Limits two = new RoutingPolicy.Limits(
-                all.cancel(),
-                all.duplicate(),
-                all.peers(),
-                all.probes(),
-                all.retryAfter(),
-                2,
-                all.maxOpen(),
-                all.maxRetryAfterUs(),
-                all.dialTimeoutUs());
+        RoutingSettings set = settings(false);
+        RequestLimits all = set.limits();
+        RequestLimits two = RequestLimits.builder(2)
+                .mayCancel(all.mayCancel())
+                .mayHedge(all.mayHedge())
+                .mayMessagePeers(all.mayMessagePeers())
+                .mayCheckHealth(all.mayCheckHealth())
+                .maySendRetryAfter(all.maySendRetryAfter())
+                .maxInFlight(all.maxInFlight())
+                .maxRetryAfterUs(all.maxRetryAfterUs())
+                .connectTimeoutUs(all.connectTimeoutUs())
+                .build();
         RecordingActions recorder = new RecordingActions();
         started(
-                        new RoutingPolicy.Settings(
-                                set.place(),
-                                set.profiles(),
-                                set.tenants(),
-                                set.overShareWorth(),
-                                two,
-                                set.guards(),
-                                set.mustSubscribe(),
-                                set.siblings(),
-                                set.joins(),
-                                set.direct(),
-                                set.allNotes(),
-                                set.weight(),
-                                set.gauges()),
+                        RoutingSettings.builder(set.topology(), set.requestClasses(), two, set.safetyLimits())
+                                .tenants(set.tenants())
+                                .overQuotaPriorityWeight(set.overQuotaPriorityWeight())
+                                .mustSubscribe(set.mustSubscribe())
+                                .siblingFills(set.siblingFills())
+                                .cachesJoinFills(set.cachesJoinFills())
+                                .mayBypassCaches(set.mayBypassCaches())
+                                .detailedCacheStatus(set.detailedCacheStatus())
+                                .weightSource(set.weightSource())
+                                .loadMetrics(set.loadMetrics())
+                                .build(),
                         recorder)
-                .request(now, request(1, PURE, 0));
+                .requestArrived(now, request(1, PURE, 0));
         fillsAt(recorder.last(), hashed);
     }
 
     @Test
     void writesGoTheirOwnWay() {
         sent(0, other, 50);
-        assertEquals(ORIGIN, of(ask(KEYED, 0)).get(0).plan().source());
-        assertEquals(ORIGIN, of(ask(UNSAFE, 0)).get(0).plan().source());
+        assertEquals(ORIGIN, of(ask(KEYED, 0)).get(0).plan().fillSource());
+        assertEquals(ORIGIN, of(ask(UNSAFE, 0)).get(0).plan().fillSource());
     }
 
     @Test
     void aFillIsToldWhileItIsOutAndOnlyOnce() {
         long id = ask(PURE, 3);
-        answer(id, Result.MISS, Note.NONE);
+        answer(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
         now += 100 * MS;
-        rules.timer(now, 0);
-        PeerMessageCodec.Message message = PeerMessageCodec.decode(router.told.get(router.told.size() - 1));
-        assertEquals(List.of(new PeerMessageCodec.Holder(OBJECT, 3, hashed, GROUP, 100)), message.sent());
+        rules.timerExpired(now, 0);
+        PeerMessage message = PeerMessageCodec.decode(router.told.get(router.told.size() - 1));
+        assertEquals(List.of(new HolderHint(OBJECT, 3, hashed, GROUP, 100)), message.fillsStarted());
         now += 100 * MS;
-        rules.timer(now, 0);
+        rules.timerExpired(now, 0);
         assertEquals(
                 List.of(),
-                PeerMessageCodec.decode(router.told.get(router.told.size() - 1)).sent());
-        answer(id, Result.OK, Note.FILLED);
+                PeerMessageCodec.decode(router.told.get(router.told.size() - 1)).fillsStarted());
+        answer(id, AttemptResult.OK, CacheStatus.FILLED);
         ask(PURE, 4);
-        answer(lastId, Result.MISS, Note.NONE);
-        answer(lastId, Result.OK, Note.FILLED);
+        answer(lastId, AttemptResult.MISS, CacheStatus.UNKNOWN);
+        answer(lastId, AttemptResult.OK, CacheStatus.FILLED);
         now += 100 * MS;
-        rules.timer(now, 0);
+        rules.timerExpired(now, 0);
         message = PeerMessageCodec.decode(router.told.get(router.told.size() - 1));
         assertEquals(
-                List.of(
-                        new PeerMessageCodec.Holder(OBJECT, 3, hashed, GROUP, 0),
-                        new PeerMessageCodec.Holder(OBJECT, 4, hashed, GROUP, 0)),
+                List.of(new HolderHint(OBJECT, 3, hashed, GROUP, 0), new HolderHint(OBJECT, 4, hashed, GROUP, 0)),
                 message.holders());
-        assertEquals(List.of(), message.sent());
+        assertEquals(List.of(), message.fillsStarted());
     }
 
     /**
@@ -465,8 +465,14 @@
         double large = 9_000;
         long end = now + 300 * MS;
         long id = ++lastId;
-        rules.request(now, new Request(id, PURE, 0, GROUP, large, end - now, 0, OBJECT, false, false));
-        answer(id, Result.MISS, Note.JOINED);
+        rules.requestArrived(
+                now,
+                RoutingRequest.builder(id, PURE, OBJECT)
+                        .group(GROUP)
+                        .sizeKb(large)
+                        .timeBudgetUs(end - now)
+                        .build());
+        answer(id, AttemptResult.MISS, CacheStatus.COALESCED);
         assertTrue(lastTimer() < end, "woken in time");
         assertEquals(2, of(id).size(), "the fill goes out");
     }
--- a/src/test/java/magpiewheel/routing/FingerprintedActions.java
+++ b/src/test/java/magpiewheel/routing/FingerprintedActions.java
@@ -4,7 +4,7 @@
 import magpiewheel.support.Fingerprint;
 
 /** Passes actions of one instance on, and folds each with its time and all of its values into a fingerprint. */
-final class FingerprintedActions implements RoutingPolicy.Actions {
+final class FingerprintedActions implements RoutingActions {
     private enum Kind {
         ATTEMPT,
         CANCEL,
@@ -19,12 +19,12 @@
         FETCH_LIST
     }
 
-    private final RoutingPolicy.Actions next;
+    private final RoutingActions next;
     private final Fingerprint fingerprint;
     private final int instance;
     private final LongSupplier clock;
 
-    FingerprintedActions(RoutingPolicy.Actions next, Fingerprint fingerprint, int instance, LongSupplier clock) {
+    FingerprintedActions(RoutingActions next, Fingerprint fingerprint, int instance, LongSupplier clock) {
         this.next = next;
         this.fingerprint = fingerprint;
         this.instance = instance;
@@ -36,37 +36,37 @@
     }
 
     @Override
-    public void attempt(long request, long node, RoutingPolicy.Plan plan) {
+    public void startAttempt(long request, long node, AttemptPlan plan) {
         add(Kind.ATTEMPT).add(request).add(node);
         fingerprint
-                .add((long) plan.keep())
-                .add(plan.stopAtUs())
-                .add(plan.join())
-                .add(plan.heldOnly())
-                .add(plan.parentKeepsNone())
-                .add(plan.renew())
-                .add(plan.source())
+                .add((long) plan.retentionRank())
+                .add(plan.deadlineUs())
+                .add(plan.joinFill())
+                .add(plan.cachedOnly())
+                .add(plan.bypassParentCache())
+                .add(plan.revalidate())
+                .add(plan.fillSource())
                 .add(plan.maxAgeUs())
-                .add(plan.beginBy());
-        next.attempt(request, node, plan);
+                .add(plan.startByUs());
+        next.startAttempt(request, node, plan);
     }
 
     @Override
-    public void cancel(long request, int attempt) {
+    public void cancelAttempt(long request, int attempt) {
         add(Kind.CANCEL).add(request).add((long) attempt);
-        next.cancel(request, attempt);
+        next.cancelAttempt(request, attempt);
     }
 
     @Override
-    public void own(long request) {
+    public void serveLocalCopy(long request) {
         add(Kind.OWN).add(request);
-        next.own(request);
+        next.serveLocalCopy(request);
     }
 
     @Override
-    public void refuse(long request, long backoffUs) {
+    public void reject(long request, long backoffUs) {
         add(Kind.REFUSE).add(request).add(backoffUs);
-        next.refuse(request, backoffUs);
+        next.reject(request, backoffUs);
     }
 
     @Override
@@ -76,27 +76,27 @@
     }
 
     @Override
-    public void timer(long atUs, long handle) {
+    public void setTimer(long atUs, long handle) {
         add(Kind.TIMER).add(atUs).add(handle);
-        next.timer(atUs, handle);
+        next.setTimer(atUs, handle);
     }
 
     @Override
-    public void probe(long node) {
+    public void checkHealth(long node) {
         add(Kind.PROBE).add(node);
-        next.probe(node);
+        next.checkHealth(node);
     }
 
     @Override
-    public void tell(int recipient, byte[] message) {
+    public void sendToPeer(int recipient, byte[] message) {
         add(Kind.TELL).add((long) recipient).add(message);
-        next.tell(recipient, message);
+        next.sendToPeer(recipient, message);
     }
 
     @Override
-    public void knock(int director, long at) {
+    public void probeReachability(int director, long at) {
         add(Kind.KNOCK).add((long) director).add(at);
-        next.knock(director, at);
+        next.probeReachability(director, at);
     }
 
     @Override
@@ -106,9 +106,9 @@
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpointList() {
         add(Kind.FETCH_LIST);
-        next.fetchList();
+        next.fetchEndpointList();
     }
 
     /** Log lines are wording: they are no part of the fingerprint. */
--- a/src/test/java/magpiewheel/routing/HoldOnlyAttemptTest.java
+++ b/src/test/java/magpiewheel/routing/HoldOnlyAttemptTest.java
@@ -6,12 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import magpiewheel.routing.RoutingPolicy.ListMode;
-import magpiewheel.routing.RoutingPolicy.Member;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Request;
-import magpiewheel.routing.RoutingPolicy.Result;
-import magpiewheel.routing.RoutingPolicy.State;
 import magpiewheel.staleness.ReadHint;
 import org.junit.jupiter.api.Test;
 
@@ -31,13 +25,13 @@
     private long mark;
 
     HoldOnlyAttemptTest() {
-        RoutingPolicy.Settings set = RequestRouterTest.settings(false, RoutingPolicy.Siblings.OFF);
-        set = RequestRouterTest.with(set, false, set.allNotes());
-        rules = new RequestRouter(set, 42, router, set.place().setup(0, 400_000, 1, false), null, true);
-        rules.members(now, ListMode.CACHED, RequestRouterTest.fleet());
+        RoutingSettings set = RequestRouterFixture.settings(false, SiblingFills.OFF);
+        set = RequestRouterFixture.with(set, false, set.detailedCacheStatus());
+        rules = new RequestRouter(set, 42, router, set.topology().membershipConfig(0, 400_000, 1, false), null, true);
+        rules.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.fleet());
         for (int i = 0; i < 4; i++) {
             now += SECOND;
-            rules.reads().board(now);
+            rules.boundedReads().discoveryHeard(now);
         }
     }
 
@@ -52,7 +46,13 @@
     }
 
     private long ask(ReadHint hint) {
-        rules.request(now, new Request(++lastId, FRESH, 0, 5, 0, 2 * SECOND, 0, OBJECT, false, false, hint));
+        rules.requestArrived(
+                now,
+                RoutingRequest.builder(++lastId, FRESH, OBJECT)
+                        .group(5)
+                        .timeBudgetUs(2 * SECOND)
+                        .hint(hint)
+                        .build());
         return lastId;
     }
 
@@ -65,35 +65,31 @@
     }
 
     private boolean looks(long id) {
-        return last(id).node() == last(id).plan().source();
+        return last(id).node() == last(id).plan().fillSource();
     }
 
-    private void misses(long id, Note note) {
-        ends(id, Result.MISS, note, 0);
+    private void misses(long id, CacheStatus note) {
+        ends(id, AttemptResult.MISS, note, 0);
     }
 
-    private void ends(long id, Result result, Note note, long mintedMs) {
-        rules.outcome(
+    private void ends(long id, AttemptResult result, CacheStatus note, long mintedMs) {
+        rules.attemptEnded(
                 now,
-                new RoutingPolicy.Outcome(
-                        id,
-                        of(id).size() - 1,
-                        last(id).node(),
-                        result,
-                        MS,
-                        result == Result.OK,
-                        note,
-                        MS,
-                        new double[0],
-                        mintedMs));
+                AttemptOutcome.builder(id, of(id).size() - 1, last(id).node(), result)
+                        .durationUs(MS)
+                        .requestCompleted(result == AttemptResult.OK)
+                        .cacheStatus(note)
+                        .firstByteUs(MS)
+                        .originTimeMs(mintedMs)
+                        .build());
     }
 
     /** A copy comes that is too old by a millisecond. */
-    private void comesTooOld(long id, Note note) {
+    private void comesTooOld(long id, CacheStatus note) {
         long minted = mark - 1;
-        rules.reads().came(id, of(id).size() - 1, now, note, minted);
-        assertFalse(rules.admits(now, id, minted).passes());
-        ends(id, Result.MISS, note, minted);
+        rules.boundedReads().responseReceived(id, of(id).size() - 1, now, note, minted);
+        assertFalse(rules.evaluateDelivery(now, id, minted).deliver());
+        ends(id, AttemptResult.MISS, note, minted);
     }
 
     private void wake() {
@@ -102,23 +98,23 @@
                 .mapToLong(line -> Long.parseLong(line.split(" ")[1]))
                 .max()
                 .orElseThrow();
-        rules.timer(now, WAIT);
+        rules.timerExpired(now, WAIT);
     }
 
     private void bounded(long id, boolean look) {
         assertEquals(look, looks(id));
         assertEquals(300 * MS, last(id).plan().maxAgeUs());
-        assertFalse(last(id).plan().renew());
+        assertFalse(last(id).plan().revalidate());
     }
 
     @Test
     void aLookAndTheFillBehindItKeepToAStrictBound() {
         long id = ask(true);
         bounded(id, true);
-        misses(id, Note.NONE);
+        misses(id, CacheStatus.UNKNOWN);
         bounded(id, false);
-        assertNotEquals(ORIGIN, last(id).plan().source());
-        misses(id, Note.SOURCE_LACKS);
+        assertNotEquals(ORIGIN, last(id).plan().fillSource());
+        misses(id, CacheStatus.SOURCE_MISS);
         bounded(id, false);
     }
 
@@ -127,23 +123,23 @@
     void aPreferredBoundHoldsThroughLooksAndTheFirstFill() {
         long id = ask(false);
         bounded(id, true);
-        misses(id, Note.NONE);
+        misses(id, CacheStatus.UNKNOWN);
         bounded(id, false);
-        misses(id, Note.SOURCE_LACKS);
+        misses(id, CacheStatus.SOURCE_MISS);
         assertFalse(looks(id));
         assertEquals(0, last(id).plan().maxAgeUs());
-        assertTrue(last(id).plan().renew());
+        assertTrue(last(id).plan().revalidate());
     }
 
     @Test
     void aCopyOfALookThatWillNotDoIsFollowedByAFillFromTheOriginElsewhere() {
         long id = ask(true);
         long asked = last(id).node();
-        comesTooOld(id, Note.HIT);
+        comesTooOld(id, CacheStatus.HIT);
         assertEquals(2, of(id).size());
-        assertEquals(ORIGIN, last(id).plan().source());
+        assertEquals(ORIGIN, last(id).plan().fillSource());
         assertNotEquals(asked, last(id).node());
-        comesTooOld(id, Note.VIA_ORIGIN);
+        comesTooOld(id, CacheStatus.FILLED_BY_ORIGIN);
         assertEquals(2, of(id).size());
         assertEquals(List.of(id), router.refused);
     }
@@ -151,24 +147,24 @@
     @Test
     void aCopyThatWillNotDoIsNotWaitedFor() {
         long id = ask(true);
-        comesTooOld(id, Note.JOINED);
+        comesTooOld(id, CacheStatus.COALESCED);
         assertEquals(2, of(id).size());
-        assertEquals(ORIGIN, last(id).plan().source());
+        assertEquals(ORIGIN, last(id).plan().fillSource());
     }
 
     /** The fill waited for began too early: the read still has both its own tries. */
     @Test
     void aStrictReadThatWaitedInVainFillsItself() {
         long id = ask(true);
-        misses(id, Note.JOINED);
+        misses(id, CacheStatus.COALESCED);
         assertEquals(1, of(id).size());
         wake();
         assertTrue(looks(id));
-        comesTooOld(id, Note.HIT);
+        comesTooOld(id, CacheStatus.HIT);
         assertEquals(3, of(id).size());
-        assertEquals(ORIGIN, last(id).plan().source());
+        assertEquals(ORIGIN, last(id).plan().fillSource());
         assertTrue(router.refused.isEmpty());
-        misses(id, Note.SOURCE_REFUSED);
+        misses(id, CacheStatus.SOURCE_REJECTED);
         assertEquals(4, of(id).size());
     }
 
@@ -176,20 +172,20 @@
     void aSessionsReplicaIsAskedBeforeTheCacheThatThePartWasSentTo() {
         ReadHint session = new ReadHint(0, 0, SESSION, false);
         long first = last(ask(session)).node();
-        ends(lastId, Result.OK, Note.HIT, nowMs());
+        ends(lastId, AttemptResult.OK, CacheStatus.HIT, nowMs());
         long other = first % 4 + 1;
         now += 11 * SECOND;
-        rules.peer(
+        rules.peerMessageReceived(
                 now,
                 1,
-                PeerMessageCodec.encode(new PeerMessageCodec.Message(
+                PeerMessageCodec.encode(new PeerMessage(
                                 0,
                                 now,
                                 0,
                                 16,
                                 0,
                                 List.of(),
-                                List.of(new PeerMessageCodec.Holder(OBJECT, 0, other, 5, 0)),
+                                List.of(new HolderHint(OBJECT, 0, other, 5, 0)),
                                 List.of()))
                         .get(0));
         // The module's own hint is out of date by now: nothing is known to be held.
@@ -202,35 +198,53 @@
     /** What the region lets up is measured in fills; a look that hits takes nothing of it. */
     @Test
     void theRegionsPaceCountsNoLooks() {
-        assertEquals(0, paced(Result.OK, Note.HIT));
-        assertTrue(paced(Result.MISS, Note.NONE) > 0);
+        assertEquals(0, paced(AttemptResult.OK, CacheStatus.HIT));
+        assertTrue(paced(AttemptResult.MISS, CacheStatus.UNKNOWN) > 0);
     }
 
     /** How many reads of new objects the pace held back, where each first look ends like this. */
-    private static long paced(Result result, Note note) {
+    private static long paced(AttemptResult result, CacheStatus note) {
         RecordingActions to = new RecordingActions();
         long at = 1_800_000_000_000_000L;
-        RoutingPolicy.Settings set = RegionalFleetWorld.settings(0, false);
+        RoutingSettings set = RegionalFleetWorld.settings(0, false);
         RequestRouter led = new RequestRouter(
-                set, 5, to, set.place().setup(0, 50 * MS, at / MS, false), set.regions(at / MS, 1), false);
-        led.members(
+                set,
+                5,
+                to,
+                set.topology().membershipConfig(0, 50 * MS, at / MS, false),
+                set.regionConfig(at / MS, 1),
+                false);
+        led.endpointsChanged(
                 at,
-                ListMode.CACHED,
+                EndpointListMode.CACHED,
                 List.of(
-                        new Member(1, 0, 0, 0, 1, State.READY, 0),
-                        new Member(101, 1, 0, RegionalFleetWorld.HUB, 1, State.READY, 0),
-                        new Member(201, 2, 0, RegionalFleetWorld.HUB, 1, State.READY, 0)));
+                        EndpointInfo.builder(1, 0, 0).build(),
+                        EndpointInfo.builder(101, 1, RegionalFleetWorld.HUB).build(),
+                        EndpointInfo.builder(201, 2, RegionalFleetWorld.HUB).build()));
         for (long id = 1; id <= 200; id++) {
-            led.request(at, new Request(id, 0, 0, 5, 100, 0, 0, id, false, false));
-            assertEquals(to.last().node(), to.last().plan().source());
-            led.outcome(
-                    at, new RoutingPolicy.Outcome(id, 0, 1, result, MS, result == Result.OK, note, MS, new double[0]));
-            if (result == Result.MISS) {
-                led.outcome(
-                        at, new RoutingPolicy.Outcome(id, 1, 1, Result.OK, MS, true, Note.FILLED, MS, new double[0]));
+            led.requestArrived(
+                    at, RoutingRequest.builder(id, 0, id).group(5).sizeKb(100).build());
+            assertEquals(to.last().node(), to.last().plan().fillSource());
+            led.attemptEnded(
+                    at,
+                    AttemptOutcome.builder(id, 0, 1, result)
+                            .durationUs(MS)
+                            .requestCompleted(result == AttemptResult.OK)
+                            .cacheStatus(note)
+                            .firstByteUs(MS)
+                            .build());
+            if (result == AttemptResult.MISS) {
+                led.attemptEnded(
+                        at,
+                        AttemptOutcome.builder(id, 1, 1, AttemptResult.OK)
+                                .durationUs(MS)
+                                .requestCompleted(true)
+                                .cacheStatus(CacheStatus.FILLED)
+                                .firstByteUs(MS)
+                                .build());
             }
         }
-        return led.figures(at).get("region_paced");
+        return led.statistics(at).get("region_paced");
     }
 
     /** Caches that do not join are asked first; what a leader fills leaves the origin once all the same. */
--- a/src/test/java/magpiewheel/routing/LibraryUseTest.java
+++ b/src/test/java/magpiewheel/routing/LibraryUseTest.java
@@ -11,27 +11,33 @@
     void aStartAListARequestItsAnswerAndAPurge() {
         RecordingActions actions = new RecordingActions();
         long now = 5_000_000;
-        RoutingPolicy.Settings settings = RequestRouterTest.settings(true, RoutingPolicy.Siblings.LOCATION);
-        RoutingPolicy director =
-                new RequestRouter(settings, 1, actions, settings.place().setup(0, 400_000, 1, false), null, false);
-        director.members(now, RoutingPolicy.ListMode.FULL, RequestRouterTest.fleet());
-        director.request(now, new RoutingPolicy.Request(1, 0, 0, 5, 0, 2_000_000, 0, 77, false, false));
+        RoutingSettings settings = RequestRouterFixture.settings(true, SiblingFills.LOCATION);
+        RoutingPolicy director = new RequestRouter(
+                settings, 1, actions, settings.topology().membershipConfig(0, 400_000, 1, false), null, false);
+        director.endpointsChanged(now, EndpointListMode.FULL, RequestRouterFixture.fleet());
+        director.requestArrived(
+                now,
+                RoutingRequest.builder(1, 0, 77)
+                        .group(5)
+                        .timeBudgetUs(2_000_000)
+                        .build());
         long node = actions.last().node();
         assertTrue(node >= 1 && node <= 4);
-        director.outcome(
+        director.attemptEnded(
+                now,
+                AttemptOutcome.builder(1, 0, node, AttemptResult.OK)
+                        .durationUs(80_000)
+                        .requestCompleted(true)
+                        .cacheStatus(CacheStatus.FILLED)
+                        .firstByteUs(20_000)
+                        .build());
+        director.objectsPurged(now, new Purge(50_000, 77, 5));
+        director.requestArrived(
                 now,
-                new RoutingPolicy.Outcome(
-                        1,
-                        0,
-                        node,
-                        RoutingPolicy.Result.OK,
-                        80_000,
-                        true,
-                        RoutingPolicy.Note.FILLED,
-                        20_000,
-                        new double[0]));
-        director.purged(now, new RoutingPolicy.Purge(50_000, 77, 5));
-        director.request(now, new RoutingPolicy.Request(2, 0, 0, 5, 0, 2_000_000, 0, 77, false, false));
+                RoutingRequest.builder(2, 0, 77)
+                        .group(5)
+                        .timeBudgetUs(2_000_000)
+                        .build());
         assertEquals(node, actions.last().node());
         assertTrue(actions.last().plan().maxAgeUs() > 0);
     }
--- a/src/test/java/magpiewheel/routing/NoOpActions.java
+++ b/src/test/java/magpiewheel/routing/NoOpActions.java
@@ -1,24 +1,24 @@
 package magpiewheel.routing;
 
 /** A router for simulations that leaves undone whatever a test does not look at. */
-abstract class NoOpActions implements RoutingPolicy.Actions {
+abstract class NoOpActions implements RoutingActions {
     @Override
-    public void cancel(long request, int attempt) {}
+    public void cancelAttempt(long request, int attempt) {}
 
     @Override
-    public void refuse(long request, long backoffUs) {}
+    public void reject(long request, long backoffUs) {}
 
     @Override
     public void fail(long request) {}
 
     @Override
-    public void probe(long node) {}
+    public void checkHealth(long node) {}
 
     @Override
     public void subscribe(boolean on) {}
 
     @Override
-    public void fetchList() {}
+    public void fetchEndpointList() {}
 
     @Override
     public void log(String line) {}
--- a/src/test/java/magpiewheel/routing/OverloadedLocation.java
+++ b/src/test/java/magpiewheel/routing/OverloadedLocation.java
@@ -8,17 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import magpiewheel.region.Net;
-import magpiewheel.routing.RoutingPolicy.Effect;
-import magpiewheel.routing.RoutingPolicy.KeyScope;
-import magpiewheel.routing.RoutingPolicy.ListMode;
-import magpiewheel.routing.RoutingPolicy.Member;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Outcome;
-import magpiewheel.routing.RoutingPolicy.Plan;
-import magpiewheel.routing.RoutingPolicy.Profile;
-import magpiewheel.routing.RoutingPolicy.Request;
-import magpiewheel.routing.RoutingPolicy.Result;
-import magpiewheel.routing.RoutingPolicy.State;
+import magpiewheel.region.SlowStartProfile;
 
 /**
  * One location's fronts with the real module, in virtual time, whose caches and link carry only so many transfers at
@@ -54,68 +44,83 @@
     private final class Front extends NoOpActions {
         final RequestRouter rules;
         final Map<Long, Integer> attempts = new HashMap<>();
-        final Map<Long, Request> open = new HashMap<>();
+        final Map<Long, RoutingRequest> open = new HashMap<>();
         final int me;
 
         Front(int me) {
             this.me = me;
-            RoutingPolicy.Settings settings = settings(me);
-            RoutingPolicy.Place place = settings.place();
+            RoutingSettings settings = settings(me);
+            RouterTopology place = settings.topology();
             rules = new RequestRouter(
-                    settings, net.random.nextLong(), this, place.setup(0, 100 * MS, 0, false), null, false);
-            rules.members(clock(), ListMode.CACHED, list());
-            rules.serving(clock(), true);
+                    settings, net.random.nextLong(), this, place.membershipConfig(0, 100 * MS, 0, false), null, false);
+            rules.endpointsChanged(clock(), EndpointListMode.CACHED, list());
+            rules.setServing(clock(), true);
         }
 
-        void ask(Request request) {
+        void ask(RoutingRequest request) {
             open.put(request.id(), request);
-            rules.request(clock(), request);
+            rules.requestArrived(clock(), request);
         }
 
         @Override
-        public void attempt(long id, long node, Plan plan) {
+        public void startAttempt(long id, long node, AttemptPlan plan) {
             int index = attempts.merge(id, 1, Integer::sum) - 1;
-            Request request = open.get(id);
+            RoutingRequest request = open.get(id);
             boolean cache = node <= CACHES;
-            boolean hit = cache && holds(node, request.object());
-            if (cache && !hit && plan.source() == node) {
-                net.at(net.now + 2 * MS, () -> tell(request, index, node, Result.MISS, Note.NONE, 2 * MS));
+            boolean hit = cache && holds(node, request.objectId());
+            if (cache && !hit && plan.fillSource() == node) {
+                net.at(
+                        net.now + 2 * MS,
+                        () -> sendToPeer(request, index, node, AttemptResult.MISS, CacheStatus.UNKNOWN, 2 * MS));
                 return;
             }
-            Note note = hit ? Note.HIT : Note.FILLED;
+            CacheStatus note = hit ? CacheStatus.HIT : CacheStatus.FILLED;
             double slower = cache ? inHand.merge(node, 1, Integer::sum) / CACHE_FLOWS : 1;
             slower = hit ? slower : Math.max(slower, inHand.merge(0L, 1, Integer::sum) / LINK_FLOWS);
             long took = (long) (sendingUs(request) * Math.max(1, slower)) + 5 * MS;
-            long left = plan.stopAtUs() - clock();
-            Result result = took < left ? Result.OK : Result.TIMEOUT;
+            long left = plan.deadlineUs() - clock();
+            AttemptResult result = took < left ? AttemptResult.OK : AttemptResult.TIMEOUT;
             net.at(net.now + Math.min(took, left), () -> {
                 inHand.merge(node, cache ? -1 : 0, Integer::sum);
                 inHand.merge(0L, hit ? 0 : -1, Integer::sum);
-                if (result == Result.OK && cache) {
-                    held.add(spot(node, request.object()));
+                if (result == AttemptResult.OK && cache) {
+                    held.add(spot(node, request.objectId()));
                 }
-                tell(request, index, node, result, result == Result.OK ? note : Note.NONE, Math.min(took, left));
+                sendToPeer(
+                        request,
+                        index,
+                        node,
+                        result,
+                        result == AttemptResult.OK ? note : CacheStatus.UNKNOWN,
+                        Math.min(took, left));
             });
         }
 
-        private void tell(Request request, int index, long node, Result result, Note note, long took) {
-            boolean served = result == Result.OK;
+        private void sendToPeer(
+                RoutingRequest request, int index, long node, AttemptResult result, CacheStatus note, long took) {
+            boolean served = result == AttemptResult.OK;
             if (served) {
                 end(request.id(), true);
             }
-            rules.outcome(
-                    clock(), new Outcome(request.id(), index, node, result, took, served, note, 5 * MS, new double[0]));
+            rules.attemptEnded(
+                    clock(),
+                    AttemptOutcome.builder(request.id(), index, node, result)
+                            .durationUs(took)
+                            .requestCompleted(served)
+                            .cacheStatus(note)
+                            .firstByteUs(5 * MS)
+                            .build());
         }
 
         private void end(long id, boolean answered) {
-            Request request = open.get(id);
+            RoutingRequest request = open.get(id);
             if (request != null && attempts.put(-id, 1) == null) {
-                ends.add(new End(request.profile(), sendingUs(request), answered));
+                ends.add(new End(request.requestClass(), sendingUs(request), answered));
             }
         }
 
         @Override
-        public void refuse(long request, long backoffUs) {
+        public void reject(long request, long backoffUs) {
             end(request, false);
         }
 
@@ -125,17 +130,17 @@
         }
 
         @Override
-        public void tell(int recipient, byte[] message) {
+        public void sendToPeer(int recipient, byte[] message) {
             net.send(
                     me,
                     recipient,
                     message,
-                    (to, from, bytes) -> fronts.get(to).rules.peer(clock(), from, bytes));
+                    (to, from, bytes) -> fronts.get(to).rules.peerMessageReceived(clock(), from, bytes));
         }
 
         @Override
-        public void timer(long at, long handle) {
-            net.at(at - START_US, () -> rules.timer(clock(), handle));
+        public void setTimer(long at, long handle) {
+            net.at(at - START_US, () -> rules.timerExpired(clock(), handle));
         }
     }
 
@@ -180,8 +185,10 @@
         long object = 1 + rank * kinds.size() + kind;
         double mean = kinds.get(kind).meanUs();
         double us = sizes.computeIfAbsent(object, key -> ObjectSizes.lognormal(net.random, mean, SIGMA));
-        Request request =
-                new Request(++lastRequest, kind, 0, 5, us / SECOND * FLOW_KB_PER_S, 0, 0, object, false, false);
+        RoutingRequest request = RoutingRequest.builder(++lastRequest, kind, object)
+                .group(5)
+                .sizeKb(us / SECOND * FLOW_KB_PER_S)
+                .build();
         fronts.get(net.random.nextInt(FRONTS)).ask(request);
     }
 
@@ -193,8 +200,8 @@
         return object * (CACHES + 1) + cache;
     }
 
-    private static double sendingUs(Request request) {
-        return request.kbytes() / FLOW_KB_PER_S * SECOND;
+    private static double sendingUs(RoutingRequest request) {
+        return request.sizeKb() / FLOW_KB_PER_S * SECOND;
     }
 
     /** Share of a class's requests that were answered, of the part between two ranks by size, 0 the smallest. */
@@ -211,71 +218,54 @@
         return START_US + net.now;
     }
 
-    private static List<Member> list() {
-        List<Member> all = new ArrayList<>();
+    private static List<EndpointInfo> list() {
+        List<EndpointInfo> all = new ArrayList<>();
         for (long id = 1; id <= CACHES; id++) {
-            all.add(new Member(id, 0, 0, 0, CACHE_FLOWS, State.READY, 0));
+            all.add(EndpointInfo.builder(id, 0, 0).weight(CACHE_FLOWS).build());
         }
-        all.add(new Member(PARENT, 1, 0, 1, 4 * CACHE_FLOWS, State.READY, 0));
-        all.add(new Member(ORIGIN, 2, 0, 1, 0, State.READY, 0));
+        all.add(EndpointInfo.builder(PARENT, 1, 1).weight(4 * CACHE_FLOWS).build());
+        all.add(EndpointInfo.builder(ORIGIN, 2, 1).weight(0).build());
         return all;
     }
 
-    private RoutingPolicy.Settings settings(int me) {
-        List<Profile> profiles = kinds.stream()
-                .map(kind -> new Profile(
-                        kind.aimUs(),
-                        2,
-                        kind.deadlineUs(),
-                        kind.worth(),
-                        0.2,
-                        Effect.PURE,
-                        KeyScope.ALL,
-                        0,
-                        false,
-                        false,
-                        false,
-                        0,
-                        0,
-                        0.5))
+    private RoutingSettings settings(int me) {
+        List<RequestClass> profiles = kinds.stream()
+                .map(kind -> RequestClass.builder(kind.aimUs(), kind.deadlineUs())
+                        .objectiveStretch(2)
+                        .priorityWeight(kind.worth())
+                        .latePriorityWeight(0.2)
+                        .stalePriorityWeight(0.5)
+                        .build())
                 .toList();
         double link = LINK_FLOWS * FLOW_KB_PER_S;
-        return new RoutingPolicy.Settings(
-                new RoutingPolicy.Place(
-                        me,
-                        FRONTS,
-                        0,
-                        new int[] {FRONTS, 0},
-                        new int[] {1, 1},
-                        new double[] {link, 0},
-                        1,
-                        2,
-                        FLOW_KB_PER_S),
-                profiles,
-                List.of(),
-                0,
-                new RoutingPolicy.Limits(true, false, true, false, true, 8, 20_000, SECOND, 400 * MS),
-                new RoutingPolicy.Guards(
-                        500 * MS,
-                        300 * MS,
-                        6 * SECOND,
-                        0.2,
-                        12 * SECOND,
-                        3,
-                        SECOND,
-                        0.1,
-                        12 * SECOND,
-                        2,
-                        0,
-                        0,
-                        0,
-                        8 * MS),
-                false,
-                RoutingPolicy.Siblings.OFF,
-                false,
-                true,
-                true,
-                RoutingPolicy.Weight.ROUGH,
-                List.of());
+        return RoutingSettings.builder(
+                        RouterTopology.builder(me, FRONTS, 0)
+                                .routersByZone(new int[] {FRONTS, 0})
+                                .hubByZone(new int[] {1, 1})
+                                .linkKbPerSByZone(new double[] {link, 0})
+                                .parentKind(1)
+                                .originKind(2)
+                                .transferKbPerS(FLOW_KB_PER_S)
+                                .build(),
+                        profiles,
+                        RequestLimits.builder(8)
+                                .mayCancel(true)
+                                .mayMessagePeers(true)
+                                .maySendRetryAfter(true)
+                                .maxInFlight(20_000)
+                                .maxRetryAfterUs(SECOND)
+                                .connectTimeoutUs(400 * MS)
+                                .build(),
+                        new SafetyLimits(
+                                500 * MS,
+                                300 * MS,
+                                6 * SECOND,
+                                new SlowStartProfile(0.2, 12 * SECOND, 3, SECOND),
+                                new SlowStartProfile(0.1, 12 * SECOND, 2, SECOND)))
+                .overQuotaPriorityWeight(0)
+                .mayBypassCaches(true)
+                .detailedCacheStatus(true)
+                .weightSource(WeightSource.ROUGH)
+                .build();
     }
 }
--- a/src/test/java/magpiewheel/routing/PeerMessageCodecGoldenTest.java
+++ b/src/test/java/magpiewheel/routing/PeerMessageCodecGoldenTest.java
@@ -12,7 +12,7 @@
 class PeerMessageCodecGoldenTest {
     private static final long CACHE = 0x0a124a07c32bL;
 
-    private static String hex(PeerMessageCodec.Message message) {
+    private static String hex(PeerMessage message) {
         return PeerMessageCodec.encode(message).stream()
                 .map(HexFormat.of()::formatHex)
                 .collect(Collectors.joining(" "));
@@ -20,17 +20,17 @@
 
     @Test
     void loadsFillsAndHolders() {
-        PeerMessageCodec.Message message = new PeerMessageCodec.Message(
+        PeerMessage message = new PeerMessage(
                 7,
                 1_764_576_000_123_456L,
                 3,
                 12.25,
                 0.6,
-                List.of(new PeerMessageCodec.Load(CACHE, 5, 9.5), new PeerMessageCodec.Load(CACHE + 1, 300, 2_000)),
-                List.of(new PeerMessageCodec.Holder(0x1122334455667788L, 4, CACHE, 300, 120)),
+                List.of(new EndpointLoad(CACHE, 5, 9.5), new EndpointLoad(CACHE + 1, 300, 2_000)),
+                List.of(new HolderHint(0x1122334455667788L, 4, CACHE, 300, 120)),
                 List.of(
-                        new PeerMessageCodec.Holder(0x99L, PeerMessageCodec.NO_PART, CACHE, 5, 50),
-                        new PeerMessageCodec.Holder(-2L, 0, CACHE, 65_535, 90_000)));
+                        new HolderHint(0x99L, PeerMessageCodec.NO_PART, CACHE, 5, 50),
+                        new HolderHint(-2L, 0, CACHE, 65_535, 90_000)));
         assertEquals(
                 "040007000644df5daaa2400303109901020a124a07c32b0502600a124a07c32cffffff1122334455"
                         + "6677880a124a07c32b012c030400000000000000990a124a07c32b000501fffffffffffffffffe0a"
@@ -40,8 +40,8 @@
 
     @Test
     void whatOneDatagramCannotHoldGoesIntoMore() {
-        List<PeerMessageCodec.Holder> holders = IntStream.range(0, 14)
-                .mapToObj(i -> new PeerMessageCodec.Holder(i, i, CACHE, 1, 50 * i))
+        List<HolderHint> holders = IntStream.range(0, 14)
+                .mapToObj(i -> new HolderHint(i, i, CACHE, 1, 50 * i))
                 .toList();
         assertEquals(
                 "040001000000000000000200004000020000000000000000000a124a07c32b000100000000000000"
@@ -52,6 +52,6 @@
                         + "00000000080a124a07c32b0001080800000000000000090a124a07c32b0001090900000000000000"
                         + "0a0a124a07c32b00010a0a 0400010000000000000002000040000000000000000000000b0a124a0"
                         + "7c32b00010b0b000000000000000c0a124a07c32b00010c0c000000000000000d0a124a07c32b000" + "10d0d",
-                hex(new PeerMessageCodec.Message(1, 2, 0, 1, 0, List.of(), holders.subList(0, 2), holders)));
+                hex(new PeerMessage(1, 2, 0, 1, 0, List.of(), holders.subList(0, 2), holders)));
     }
 }
--- a/src/test/java/magpiewheel/routing/PeerMessageCodecTest.java
+++ b/src/test/java/magpiewheel/routing/PeerMessageCodecTest.java
@@ -11,37 +11,30 @@
 import org.junit.jupiter.api.Test;
 
 class PeerMessageCodecTest {
-    private static PeerMessageCodec.Message message(int holders) {
-        List<PeerMessageCodec.Holder> list = new ArrayList<>();
+    private static PeerMessage message(int holders) {
+        List<HolderHint> list = new ArrayList<>();
         for (int i = 0; i < holders; i++) {
-            list.add(new PeerMessageCodec.Holder(1_000L + i, i, 0x0a124a07c32bL, 300, 50));
+            list.add(new HolderHint(1_000L + i, i, 0x0a124a07c32bL, 300, 50));
         }
-        return new PeerMessageCodec.Message(
-                7,
-                123_456_789L,
-                3,
-                12.25,
-                0.6,
-                List.of(new PeerMessageCodec.Load(0x0a124a07c32bL, 5, 9.5)),
-                List.of(),
-                list);
+        return new PeerMessage(
+                7, 123_456_789L, 3, 12.25, 0.6, List.of(new EndpointLoad(0x0a124a07c32bL, 5, 9.5)), List.of(), list);
     }
 
     @Test
     void whatIsToldIsHeard() {
         List<byte[]> messages = PeerMessageCodec.encode(message(40));
-        List<PeerMessageCodec.Holder> heard = new ArrayList<>();
+        List<HolderHint> heard = new ArrayList<>();
         for (byte[] bytes : messages) {
             assertTrue(bytes.length <= PeerMessageCodec.MOST_BYTES);
-            PeerMessageCodec.Message one = PeerMessageCodec.decode(bytes);
+            PeerMessage one = PeerMessageCodec.decode(bytes);
             assertEquals(
                     message(0),
-                    new PeerMessageCodec.Message(
+                    new PeerMessage(
                             one.zone(),
-                            one.clock(),
-                            one.fills(),
+                            one.sentAtUs(),
+                            one.fillsInFlight(),
                             one.fillLimit(),
-                            one.originLate(),
+                            one.originLateRatio(),
                             one.loads(),
                             List.of(),
                             List.of()));
@@ -67,7 +60,7 @@
         assertNull(PeerMessageCodec.decode(older));
         for (int length = 0; length < good.length; length++) {
             byte[] cut = Arrays.copyOf(good, length);
-            PeerMessageCodec.Message message = assertDoesNotThrow(() -> PeerMessageCodec.decode(cut));
+            PeerMessage message = assertDoesNotThrow(() -> PeerMessageCodec.decode(cut));
             assertTrue(message == null || message.holders().size() < 2, "cut to " + length);
         }
     }
@@ -82,13 +75,10 @@
         before[0] = 3;
         before[before.length - 1] = 50;
         before[before.length - 2] = 0;
-        PeerMessageCodec.Message heard = PeerMessageCodec.decode(before);
-        PeerMessageCodec.Holder told =
-                new PeerMessageCodec.Holder(1_000, PeerMessageCodec.NO_PART, 0x0a124a07c32bL, 300, 50);
+        PeerMessage heard = PeerMessageCodec.decode(before);
+        HolderHint told = new HolderHint(1_000, PeerMessageCodec.NO_PART, 0x0a124a07c32bL, 300, 50);
         assertEquals(
-                new PeerMessageCodec.Message(
-                        7, 123_456_789L, 3, 12.25, 0.6, message(1).loads(), List.of(), List.of(told)),
-                heard);
+                new PeerMessage(7, 123_456_789L, 3, 12.25, 0.6, message(1).loads(), List.of(), List.of(told)), heard);
         before[0] = 2;
         assertNull(PeerMessageCodec.decode(before));
     }
--- a/src/test/java/magpiewheel/routing/RandomEvents.java
+++ b/src/test/java/magpiewheel/routing/RandomEvents.java
@@ -9,17 +9,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import magpiewheel.membership.Beats;
-import magpiewheel.routing.RoutingPolicy.Effect;
-import magpiewheel.routing.RoutingPolicy.KeyScope;
-import magpiewheel.routing.RoutingPolicy.ListMode;
-import magpiewheel.routing.RoutingPolicy.Member;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Outcome;
-import magpiewheel.routing.RoutingPolicy.Plan;
-import magpiewheel.routing.RoutingPolicy.Profile;
-import magpiewheel.routing.RoutingPolicy.Request;
-import magpiewheel.routing.RoutingPolicy.Result;
-import magpiewheel.routing.RoutingPolicy.State;
+import magpiewheel.region.SlowStartProfile;
 import magpiewheel.staleness.ReadHint;
 import magpiewheel.support.Fingerprint;
 
@@ -45,8 +35,8 @@
             Comparator.<long[]>comparingLong(timer -> timer[0]).thenComparingLong(timer -> timer[1]));
     private final List<OpenAttempt> open = new ArrayList<>();
     private final Map<Long, Integer> attempts = new HashMap<>();
-    private final Map<Long, Request> requests = new LinkedHashMap<>();
-    private final Map<Long, Member> list = new LinkedHashMap<>();
+    private final Map<Long, RoutingRequest> requests = new LinkedHashMap<>();
+    private final Map<Long, EndpointInfo> list = new LinkedHashMap<>();
     /** Ends of attempts that were called off during an event. */
     private final List<Runnable> later = new ArrayList<>();
 
@@ -56,98 +46,102 @@
 
     RandomEvents(long seed) {
         random = new SplittableRandom(seed);
-        RoutingPolicy.Settings settings = settings();
+        RoutingSettings settings = settings();
         rules = new RequestRouter(
                 settings,
                 seed,
                 new FingerprintedActions(this, fingerprint, 0, () -> now),
-                settings.place().setup(7, 100 * MS, START_US / MS, true),
-                settings.regions(START_US / MS, 20),
+                settings.topology().membershipConfig(7, 100 * MS, START_US / MS, true),
+                settings.regionConfig(START_US / MS, 20),
                 true);
         for (long cache = 1; cache <= 8; cache++) {
-            put(cache, State.READY);
+            put(cache, EndpointState.READY);
         }
         for (long parent = PARENTS + 1; parent <= PARENTS + 3; parent++) {
-            put(parent, State.READY);
+            put(parent, EndpointState.READY);
         }
         if (seed % 4 != 0) {
-            put(ORIGIN, State.READY);
+            put(ORIGIN, EndpointState.READY);
         }
-        rules.members(now, ListMode.CACHED, List.copyOf(list.values()));
-        rules.serving(now, true);
+        rules.endpointsChanged(now, EndpointListMode.CACHED, List.copyOf(list.values()));
+        rules.setServing(now, true);
     }
 
     private boolean chance(int percent) {
         return random.nextInt(100) < percent;
     }
 
-    private RoutingPolicy.Settings settings() {
-        return new RoutingPolicy.Settings(
-                new RoutingPolicy.Place(
-                        0,
-                        DIRECTORS,
-                        0,
-                        new int[] {HERE, DIRECTORS - HERE},
-                        new int[] {1, 1},
-                        new double[] {100_000, 60_000},
-                        1,
-                        2,
-                        chance(80) ? 10_000 : 0),
-                List.of(
-                        profile(Effect.PURE, KeyScope.ALL, false, 0),
-                        profile(Effect.PURE, KeyScope.ALL, false, 5 * SECOND),
-                        profile(Effect.KEYED, KeyScope.ALL, true, 0),
-                        profile(Effect.KEYED, KeyScope.ZONE, true, 0),
-                        profile(Effect.KEYED, KeyScope.CELL, false, SECOND),
-                        profile(Effect.UNSAFE, KeyScope.ALL, true, 0)),
-                List.of(),
-                0,
-                new RoutingPolicy.Limits(
-                        chance(80),
-                        chance(30),
-                        true,
-                        false,
-                        chance(80),
-                        2 + random.nextInt(5),
-                        20_000,
-                        SECOND,
-                        400 * MS),
-                new RoutingPolicy.Guards(
-                        500 * MS,
-                        300 * MS,
-                        6 * SECOND,
-                        0.2,
-                        5 * SECOND,
-                        2,
-                        chance(80) ? SECOND : 0,
-                        0.1,
-                        6 * SECOND,
-                        2,
-                        0,
-                        0,
-                        0,
-                        8 * MS),
-                chance(50),
-                RoutingPolicy.Siblings.OFF,
-                chance(50),
-                chance(50),
-                chance(60),
-                chance(50) ? RoutingPolicy.Weight.OFF : RoutingPolicy.Weight.NOMINAL,
-                List.of());
+    private RoutingSettings settings() {
+        RouterTopology topology = RouterTopology.builder(0, DIRECTORS, 0)
+                .routersByZone(new int[] {HERE, DIRECTORS - HERE})
+                .hubByZone(new int[] {1, 1})
+                .linkKbPerSByZone(new double[] {100_000, 60_000})
+                .parentKind(1)
+                .originKind(2)
+                .transferKbPerS(chance(80) ? 10_000 : 0)
+                .build();
+        boolean mayCancel = chance(80);
+        boolean mayHedge = chance(30);
+        boolean maySendRetryAfter = chance(80);
+        RequestLimits limits = RequestLimits.builder(2 + random.nextInt(5))
+                .mayCancel(mayCancel)
+                .mayHedge(mayHedge)
+                .mayMessagePeers(true)
+                .maySendRetryAfter(maySendRetryAfter)
+                .maxRetryAfterUs(SECOND)
+                .build();
+        long window = chance(80) ? SECOND : 0;
+        SafetyLimits safetyLimits = new SafetyLimits(
+                500 * MS,
+                300 * MS,
+                6 * SECOND,
+                new SlowStartProfile(0.2, 5 * SECOND, 2, window),
+                new SlowStartProfile(0.1, 6 * SECOND, 2, window));
+        return RoutingSettings.builder(topology, classes(), limits, safetyLimits)
+                .mustSubscribe(chance(50))
+                .cachesJoinFills(chance(50))
+                .mayBypassCaches(chance(50))
+                .detailedCacheStatus(chance(60))
+                .weightSource(chance(50) ? WeightSource.OFF : WeightSource.NOMINAL)
+                .build();
     }
 
-    private static Profile profile(Effect effect, KeyScope scope, boolean write, long freshUs) {
-        return new Profile(
-                400 * MS, 2, 3 * SECOND, 1, 0.2, effect, scope, SECOND, false, write, false, freshUs, freshUs, 0.5);
+    private static List<RequestClass> classes() {
+        return List.of(
+                profile(Idempotency.IDEMPOTENT, IdempotencyKeyScope.ALL, false, 0),
+                profile(Idempotency.IDEMPOTENT, IdempotencyKeyScope.ALL, false, 5 * SECOND),
+                profile(Idempotency.KEYED, IdempotencyKeyScope.ALL, true, 0),
+                profile(Idempotency.KEYED, IdempotencyKeyScope.ZONE, true, 0),
+                profile(Idempotency.KEYED, IdempotencyKeyScope.CELL, false, SECOND),
+                profile(Idempotency.NOT_IDEMPOTENT, IdempotencyKeyScope.ALL, true, 0));
     }
 
-    private Member put(long id, State state) {
+    private static RequestClass profile(Idempotency effect, IdempotencyKeyScope scope, boolean write, long freshUs) {
+        return RequestClass.builder(400 * MS, 3 * SECOND)
+                .objectiveStretch(2)
+                .latePriorityWeight(0.2)
+                .idempotency(effect)
+                .keyScope(scope)
+                .idempotencyWindowUs(SECOND)
+                .write(write)
+                .freshUs(freshUs)
+                .staleGraceUs(freshUs)
+                .stalePriorityWeight(0.5)
+                .build();
+    }
+
+    private EndpointInfo put(long id, EndpointState state) {
         int kind = id == ORIGIN ? 2 : id > PARENTS ? 1 : 0;
         int zone = kind != 0 || id > 6 ? 1 : 0;
-        Member old = list.get(id);
+        EndpointInfo old = list.get(id);
         boolean restarts = old == null || chance(40);
         long started = !restarts ? old.startedUs() : chance(50) ? 0 : Math.max(1, now - random.nextLong(6 * SECOND));
-        Member member = new Member(id, kind, started, zone, 1 + random.nextInt(8), state, (int) (id % 2));
+        EndpointInfo member = EndpointInfo.builder(id, kind, zone)
+                .startedUs(started)
+                .weight(1 + random.nextInt(8))
+                .state(state)
+                .cell((int) (id % 2))
+                .build();
         list.put(id, member);
         return member;
     }
@@ -155,31 +149,31 @@
     // ---------------------------------------------------------------- actions
 
     @Override
-    public void attempt(long request, long node, Plan plan) {
+    public void startAttempt(long request, long node, AttemptPlan plan) {
         int number = attempts.merge(request, 1, Integer::sum) - 1;
         open.add(new OpenAttempt(
                 request, number, node, now, requests.get(request).write()));
     }
 
     @Override
-    public void cancel(long request, int attempt) {
+    public void cancelAttempt(long request, int attempt) {
         List<OpenAttempt> called = open.stream()
                 .filter(one -> one.request() == request && one.number() == attempt)
                 .toList();
         open.removeAll(called);
-        called.forEach(one -> later.add(() -> ended(one, Result.CANCELLED, Note.NONE)));
+        called.forEach(one -> later.add(() -> ended(one, AttemptResult.CANCELLED, CacheStatus.UNKNOWN)));
     }
 
     @Override
-    public void own(long request) {}
+    public void serveLocalCopy(long request) {}
 
     @Override
-    public void timer(long at, long handle) {
+    public void setTimer(long at, long handle) {
         timers.add(new long[] {at, handle});
     }
 
     @Override
-    public void tell(int recipient, byte[] message) {}
+    public void sendToPeer(int recipient, byte[] message) {}
 
     // ---------------------------------------------------------------- events
 
@@ -192,7 +186,7 @@
                 later.remove(0).run();
             }
         }
-        rules.figures(now).forEach((name, value) -> fingerprint.add(value));
+        rules.statistics(now).forEach((name, value) -> fingerprint.add(value));
         return fingerprint;
     }
 
@@ -201,7 +195,7 @@
         while (!timers.isEmpty() && timers.peek()[0] <= end) {
             long[] due = timers.poll();
             now = Math.max(now, due[0]);
-            rules.timer(now, due[1]);
+            rules.timerExpired(now, due[1]);
         }
         now = end;
     }
@@ -211,28 +205,30 @@
             request();
         } else if (draw < 160 && !open.isEmpty()) {
             OpenAttempt one = open.remove(random.nextInt(open.size()));
-            ended(one, result(), Note.values()[random.nextInt(Note.values().length)]);
+            ended(one, result(), CacheStatus.values()[random.nextInt(CacheStatus.values().length)]);
         } else if (draw < 168) {
-            rules.purged(now, new RoutingPolicy.Purge(random.nextLong(SECOND), chance(20) ? 0 : object(), 5, now / MS));
+            rules.objectsPurged(now, new Purge(random.nextLong(SECOND), chance(20) ? 0 : object(), 5, now / MS));
         } else if (draw < 174) {
-            State state = State.values()[random.nextInt(State.values().length)];
+            EndpointState state = EndpointState.values()[random.nextInt(EndpointState.values().length)];
             long id = chance(70) ? 1 + random.nextInt(8) : PARENTS + 1 + random.nextInt(3);
-            rules.members(now, ListMode.DELTA, List.of(put(id, state)));
+            rules.endpointsChanged(now, EndpointListMode.DELTA, List.of(put(id, state)));
         } else if (draw < 176) {
-            list.replaceAll((id, member) -> chance(90) ? put(id, State.READY) : member);
-            rules.members(now, chance(50) ? ListMode.FULL : ListMode.FAILED, List.copyOf(list.values()));
+            list.replaceAll((id, member) -> chance(90) ? put(id, EndpointState.READY) : member);
+            rules.endpointsChanged(
+                    now, chance(50) ? EndpointListMode.FULL : EndpointListMode.FAILED, List.copyOf(list.values()));
         } else if (draw < 188) {
             peer();
         } else if (draw < 192) {
-            fingerprint.add(rules.lookup(now, random.nextInt(2), object())).add((long) rules.avoided(now));
+            fingerprint.add(rules.selectCache(now, random.nextInt(2), object())).add((long)
+                    rules.avoidedEndpoints(now));
         } else if (draw < 196) {
-            rules.reads().board(now);
+            rules.boundedReads().discoveryHeard(now);
         } else {
             long id = Math.max(1, lastRequest - random.nextInt(6));
             if (chance(70)) {
-                rules.clientGone(now, id);
+                rules.clientDisconnected(now, id);
             } else {
-                rules.begun(now, id, 0);
+                rules.streamStarted(now, id, 0);
             }
         }
     }
@@ -251,70 +247,64 @@
                         chance(50) ? now / MS - random.nextLong(1_500) : 0,
                         chance(50) ? 1 + random.nextInt(5) : 0,
                         chance(50));
-        Request request = new Request(
-                ++lastRequest,
-                profile,
-                0,
-                5,
-                chance(70) ? 50 + random.nextInt(2_000) : 0,
-                chance(20) ? random.nextLong(400 * MS) : 0,
-                random.nextInt(3),
-                object(),
-                false,
-                write,
-                hint);
+        double sizeKb = chance(70) ? 50 + random.nextInt(2_000) : 0;
+        long timeBudgetUs = chance(20) ? random.nextLong(400 * MS) : 0;
+        int part = random.nextInt(3);
+        RoutingRequest request = RoutingRequest.builder(++lastRequest, profile, object())
+                .group(5)
+                .sizeKb(sizeKb)
+                .timeBudgetUs(timeBudgetUs)
+                .part(part)
+                .write(write)
+                .hint(hint)
+                .build();
         requests.put(request.id(), request);
         boolean copy = !write && chance(20);
-        rules.request(
+        rules.requestArrived(
                 now,
                 request,
-                copy ? new RoutingPolicy.Copy(random.nextLong(8 * SECOND), random.nextLong(200 * MS), 20 * MS) : null);
+                copy ? new LocalCopy(random.nextLong(8 * SECOND), random.nextLong(200 * MS), 20 * MS) : null);
     }
 
-    private Result result() {
-        return chance(70) ? Result.OK : Result.values()[random.nextInt(Result.values().length)];
+    private AttemptResult result() {
+        return chance(70) ? AttemptResult.OK : AttemptResult.values()[random.nextInt(AttemptResult.values().length)];
     }
 
-    private void ended(OpenAttempt one, Result result, Note note) {
+    private void ended(OpenAttempt one, AttemptResult result, CacheStatus note) {
         long minted = chance(30) ? 0 : chance(10) ? -1 : now / MS - random.nextLong(3_000);
-        if (result == Result.OK) {
-            rules.reads().came(one.request(), one.number(), now, note, minted);
-            RoutingPolicy.Passing passing = rules.admits(now, one.request(), minted);
-            fingerprint.add(passing.passes()).add(passing.markMs()).add(passing.agedMs());
+        if (result == AttemptResult.OK) {
+            rules.boundedReads().responseReceived(one.request(), one.number(), now, note, minted);
+            DeliveryDecision passing = rules.evaluateDelivery(now, one.request(), minted);
+            fingerprint.add(passing.deliver()).add(passing.markMs()).add(passing.ageMs());
         }
-        fingerprint.add(rules.reads().unproven(one.request()));
+        fingerprint.add(rules.boundedReads().isUnproven(one.request()));
         long took = now - one.sentAt();
-        rules.outcome(
+        rules.attemptEnded(
                 now,
-                new Outcome(
-                        one.request(),
-                        one.number(),
-                        one.node(),
-                        result,
-                        took,
-                        result == Result.OK && !chance(5),
-                        note,
-                        took / 2,
-                        new double[0],
-                        minted));
+                AttemptOutcome.builder(one.request(), one.number(), one.node(), result)
+                        .durationUs(took)
+                        .requestCompleted(result == AttemptResult.OK && !chance(5))
+                        .cacheStatus(note)
+                        .firstByteUs(took / 2)
+                        .originTimeMs(minted)
+                        .build());
     }
 
     private void peer() {
         int sender = 1 + random.nextInt(HERE);
         int zone = sender < HERE ? 0 : 1;
-        rules.peer(now, sender, Beats.of(sender, DIRECTORS, zone, now));
+        rules.peerMessageReceived(now, sender, Beats.of(sender, DIRECTORS, zone, now));
         long cache = 1 + random.nextInt(8);
-        PeerMessageCodec.Holder holder =
-                new PeerMessageCodec.Holder(object(), random.nextInt(3), cache, 5, random.nextInt(3_000));
-        PeerMessageCodec.Message message = new PeerMessageCodec.Message(
+        HolderHint holder = new HolderHint(object(), random.nextInt(3), cache, 5, random.nextInt(3_000));
+        PeerMessage message = new PeerMessage(
                 zone,
                 now - random.nextLong(20 * MS),
                 random.nextInt(5),
                 4 + random.nextInt(30),
                 chance(20) ? random.nextDouble() : 0,
-                List.of(new PeerMessageCodec.Load(cache, random.nextInt(6), 4 + random.nextInt(20))),
+                List.of(new EndpointLoad(cache, random.nextInt(6), 4 + random.nextInt(20))),
                 chance(40) ? List.of(holder) : List.of(),
                 List.of(holder));
-        PeerMessageCodec.encode(message).forEach(bytes -> rules.peer(now, sender, bytes));
+        PeerMessageCodec.encode(message).forEach(bytes -> rules.peerMessageReceived(now, sender, bytes));
     }
 }
--- a/src/test/java/magpiewheel/routing/RecordingActions.java
+++ b/src/test/java/magpiewheel/routing/RecordingActions.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /** A router for tests: it writes down what the module asks for. */
-final class RecordingActions implements RoutingPolicy.Actions {
-    record Sent(long request, long node, RoutingPolicy.Plan plan) {}
+final class RecordingActions implements RoutingActions {
+    record Sent(long request, long node, AttemptPlan plan) {}
 
     final List<Sent> sent = new ArrayList<>();
     final List<String> all = new ArrayList<>();
@@ -15,24 +15,24 @@
     final List<Long> own = new ArrayList<>();
 
     @Override
-    public void attempt(long request, long node, RoutingPolicy.Plan plan) {
+    public void startAttempt(long request, long node, AttemptPlan plan) {
         sent.add(new Sent(request, node, plan));
         all.add("attempt " + request + " " + node + " " + plan);
     }
 
     @Override
-    public void cancel(long request, int attempt) {
+    public void cancelAttempt(long request, int attempt) {
         all.add("cancel " + request + " " + attempt);
     }
 
     @Override
-    public void own(long request) {
+    public void serveLocalCopy(long request) {
         own.add(request);
         all.add("own " + request);
     }
 
     @Override
-    public void refuse(long request, long backoffUs) {
+    public void reject(long request, long backoffUs) {
         refused.add(request);
         all.add("refuse " + request + " " + backoffUs);
     }
@@ -44,17 +44,17 @@
     }
 
     @Override
-    public void timer(long atUs, long handle) {
+    public void setTimer(long atUs, long handle) {
         all.add("timer " + atUs + " " + handle);
     }
 
     @Override
-    public void probe(long node) {
+    public void checkHealth(long node) {
         all.add("probe " + node);
     }
 
     @Override
-    public void tell(int recipient, byte[] message) {
+    public void sendToPeer(int recipient, byte[] message) {
         told.add(message);
         all.add("tell " + recipient + " " + message.length);
     }
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpointList() {
         all.add("fetchList");
     }
 
--- a/src/test/java/magpiewheel/routing/RegionalFleetTest.java
+++ b/src/test/java/magpiewheel/routing/RegionalFleetTest.java
@@ -13,8 +13,6 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import magpiewheel.region.RouteReason;
-import magpiewheel.routing.RoutingPolicy.Member;
-import magpiewheel.routing.RoutingPolicy.State;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -68,7 +66,7 @@
 
     @Test
     void aLeaderThatDrainsOrIsGoneIsNamedNoMoreAndReplaced() {
-        for (State state : new State[] {State.DRAINING, State.GONE}) {
+        for (EndpointState state : new EndpointState[] {EndpointState.DRAINING, EndpointState.REMOVED}) {
             RegionalFleetWorld world = busy(7, LED + 4 * SECOND);
             long before = world.leader();
             long[] told = world.becomes(before, state);
@@ -203,27 +201,33 @@
 
     // ---------------------------------------------------------------- off means off
 
+    private static List<EndpointInfo> threeCachesAndParents() {
+        List<EndpointInfo> list = new ArrayList<>();
+        for (long id = 1; id <= 3; id++) {
+            list.add(EndpointInfo.builder(id, 0, 0).build());
+            list.add(EndpointInfo.builder(RegionalFleetWorld.PARENTS + id, 1, RegionalFleetWorld.HUB)
+                    .build());
+        }
+        list.add(EndpointInfo.builder(RegionalFleetWorld.ORIGIN, 2, RegionalFleetWorld.HUB)
+                .build());
+        return list;
+    }
+
     /**
      * What a router does that is asked the same for a while, with each answer taken as it comes; it hears of nobody.
      */
-    private static List<String> alone(RoutingPolicy.Settings settings, boolean regions, boolean oddMessages) {
+    private static List<String> alone(RoutingSettings settings, boolean regions, boolean oddMessages) {
         RecordingActions router = new RecordingActions();
         long now = 1_800_000_000_000_000L;
         RequestRouter rules = new RequestRouter(
                 settings,
                 5,
                 router,
-                settings.place().setup(0, 50 * MS, now / MS, false),
-                regions ? settings.regions(now / MS, 0) : null,
+                settings.topology().membershipConfig(0, 50 * MS, now / MS, false),
+                regions ? settings.regionConfig(now / MS, 0) : null,
                 false);
-        List<Member> list = new ArrayList<>();
-        for (long node = 1; node <= 3; node++) {
-            list.add(new Member(node, 0, 0, 0, 1, State.READY, 0));
-            list.add(new Member(RegionalFleetWorld.PARENTS + node, 1, 0, RegionalFleetWorld.HUB, 1, State.READY, 0));
-        }
-        list.add(new Member(RegionalFleetWorld.ORIGIN, 2, 0, RegionalFleetWorld.HUB, 1, State.READY, 0));
-        rules.members(now, RoutingPolicy.ListMode.CACHED, list);
-        rules.serving(now, true);
+        rules.endpointsChanged(now, EndpointListMode.CACHED, threeCachesAndParents());
+        rules.setServing(now, true);
         SplittableRandom random = new SplittableRandom(9);
         int timers = 0;
         List<long[]> due = new ArrayList<>();
@@ -238,28 +242,29 @@
             long at = now;
             List<long[]> ripe = due.stream().filter(t -> t[0] <= at).toList();
             due.removeAll(ripe);
-            ripe.stream().sorted(Comparator.comparingLong(t -> t[0])).forEach(t -> rules.timer(at, t[1]));
+            ripe.stream().sorted(Comparator.comparingLong(t -> t[0])).forEach(t -> rules.timerExpired(at, t[1]));
             if (oddMessages && id % 10 == 0) {
                 byte[] message = new byte[68 + id % 100];
                 message[0] = (byte) 0xe1;
                 message[1] = (byte) (1 + id / 10 % 4);
-                rules.peer(now, 1 + id % 7, message);
+                rules.peerMessageReceived(now, 1 + id % 7, message);
             }
-            rules.request(now, new RoutingPolicy.Request(id, 0, 0, 5, 100, 0, 0, 1 + random.nextInt(80), false, false));
+            rules.requestArrived(
+                    now,
+                    RoutingRequest.builder(id, 0, 1 + random.nextInt(80))
+                            .group(5)
+                            .sizeKb(100)
+                            .build());
             RecordingActions.Sent sent = router.last();
             if (sent.request() == id) {
-                rules.outcome(
+                rules.attemptEnded(
                         now,
-                        new RoutingPolicy.Outcome(
-                                id,
-                                0,
-                                sent.node(),
-                                RoutingPolicy.Result.OK,
-                                20 * MS + random.nextLong(600 * MS),
-                                true,
-                                random.nextBoolean() ? RoutingPolicy.Note.FILLED : RoutingPolicy.Note.HIT,
-                                10 * MS,
-                                new double[0]));
+                        AttemptOutcome.builder(id, 0, sent.node(), AttemptResult.OK)
+                                .durationUs(20 * MS + random.nextLong(600 * MS))
+                                .requestCompleted(true)
+                                .cacheStatus(random.nextBoolean() ? CacheStatus.FILLED : CacheStatus.HIT)
+                                .firstByteUs(10 * MS)
+                                .build());
             }
         }
         return router.all;
@@ -272,20 +277,20 @@
     void aRouterThatNobodyHearsIsNotWokenWithoutEnd() {
         RecordingActions router = new RecordingActions();
         long start = 1_800_000_000_000_000L;
-        RoutingPolicy.Settings settings = RegionalFleetWorld.settings(0);
+        RoutingSettings settings = RegionalFleetWorld.settings(0);
         RequestRouter rules = new RequestRouter(
                 settings,
                 5,
                 router,
-                settings.place().setup(0, 50 * MS, start / MS, false),
-                settings.regions(start / MS, 0),
+                settings.topology().membershipConfig(0, 50 * MS, start / MS, false),
+                settings.regionConfig(start / MS, 0),
                 false);
-        rules.members(
+        rules.endpointsChanged(
                 start,
-                RoutingPolicy.ListMode.CACHED,
+                EndpointListMode.CACHED,
                 List.of(
-                        new Member(1, 0, 0, 0, 1, State.READY, 0),
-                        new Member(101, 1, 0, RegionalFleetWorld.HUB, 1, State.READY, 0)));
+                        EndpointInfo.builder(1, 0, 0).build(),
+                        EndpointInfo.builder(101, 1, RegionalFleetWorld.HUB).build()));
         PriorityQueue<long[]> due = new PriorityQueue<>(Comparator.comparingLong(t -> t[0]));
         int read = 0;
         int woken = 0;
@@ -298,10 +303,10 @@
                 }
             }
             now = Math.max(now, due.peek()[0]);
-            rules.timer(now, due.poll()[1]);
+            rules.timerExpired(now, due.poll()[1]);
             assertTrue(++woken < 4_000, "woken " + woken + " times in " + (now - start) + " us");
         }
-        assertEquals(RouteReason.CUT_OFF.ordinal(), rules.figures(now).get("region_verdict"));
+        assertEquals(RouteReason.CUT_OFF.ordinal(), rules.statistics(now).get("region_verdict"));
     }
 
     private static List<String> decisions(List<String> all) {
@@ -312,27 +317,27 @@
 
     @Test
     void whereRegionsAreOffOrNobodyIsHeardEveryPlanIsAsBefore() {
-        RoutingPolicy.Settings on = RegionalFleetWorld.settings(0);
-        RoutingPolicy.Limits quiet =
-                new RoutingPolicy.Limits(true, false, false, false, true, 6, 20_000, SECOND, 400 * MS);
-        RoutingPolicy.Settings noPeers = new RoutingPolicy.Settings(
-                on.place(),
-                on.profiles(),
-                on.tenants(),
-                0,
-                quiet,
-                on.guards(),
-                false,
-                on.siblings(),
-                true,
-                false,
-                true,
-                on.weight(),
-                on.gauges());
+        RoutingSettings on = RegionalFleetWorld.settings(0);
+        RequestLimits quiet = RequestLimits.builder(6)
+                .mayCancel(true)
+                .maySendRetryAfter(true)
+                .maxInFlight(20_000)
+                .maxRetryAfterUs(SECOND)
+                .connectTimeoutUs(400 * MS)
+                .build();
+        RoutingSettings noPeers = RoutingSettings.builder(on.topology(), on.requestClasses(), quiet, on.safetyLimits())
+                .tenants(on.tenants())
+                .overQuotaPriorityWeight(0)
+                .siblingFills(on.siblingFills())
+                .cachesJoinFills(true)
+                .detailedCacheStatus(true)
+                .weightSource(on.weightSource())
+                .loadMetrics(on.loadMetrics())
+                .build();
         List<String> off = alone(on, false, false);
         assertEquals(off, alone(on, false, true));
         assertEquals(decisions(off), decisions(alone(on, true, false)));
         assertEquals(alone(noPeers, false, false), alone(noPeers, true, false));
-        assertNull(noPeers.regions(1, 0));
+        assertNull(noPeers.regionConfig(1, 0));
     }
 }
--- a/src/test/java/magpiewheel/routing/RegionalFleetWorld.java
+++ b/src/test/java/magpiewheel/routing/RegionalFleetWorld.java
@@ -9,17 +9,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import magpiewheel.region.Net;
-import magpiewheel.routing.RoutingPolicy.Effect;
-import magpiewheel.routing.RoutingPolicy.KeyScope;
-import magpiewheel.routing.RoutingPolicy.ListMode;
-import magpiewheel.routing.RoutingPolicy.Member;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Outcome;
-import magpiewheel.routing.RoutingPolicy.Plan;
-import magpiewheel.routing.RoutingPolicy.Profile;
-import magpiewheel.routing.RoutingPolicy.Request;
-import magpiewheel.routing.RoutingPolicy.Result;
-import magpiewheel.routing.RoutingPolicy.State;
+import magpiewheel.region.SlowStartProfile;
 import magpiewheel.support.Fingerprint;
 
 /**
@@ -46,7 +36,7 @@
     private final class StandIn {
         final long id;
         final Set<Long> held = new HashSet<>();
-        final Map<Long, List<Consumer<Note>>> fetching = new HashMap<>();
+        final Map<Long, List<Consumer<CacheStatus>>> fetching = new HashMap<>();
         boolean hangs;
 
         StandIn(long id) {
@@ -54,25 +44,26 @@
         }
 
         /** Says how it came by the object; with no source it says so, and one that hangs never does. */
-        void asked(long object, long source, Consumer<Note> told) {
+        void asked(long object, long source, Consumer<CacheStatus> told) {
             if (hangs) {
                 return;
             }
-            Consumer<Note> answer = note -> {
+            Consumer<CacheStatus> answer = note -> {
                 if (!hangs) {
                     told.accept(note);
                 }
             };
             if (held.contains(object)) {
-                net.at(net.now + 2 * MS + net.random.nextLong(2 * MS), () -> answer.accept(Note.HIT));
+                net.at(net.now + 2 * MS + net.random.nextLong(2 * MS), () -> answer.accept(CacheStatus.HIT));
             } else if (source == id) {
-                Note lacks = !joins && fetching.containsKey(object) ? Note.JOINED : Note.SOURCE_LACKS;
+                CacheStatus lacks =
+                        !joins && fetching.containsKey(object) ? CacheStatus.COALESCED : CacheStatus.SOURCE_MISS;
                 net.at(net.now + 2 * MS, () -> answer.accept(lacks));
             } else if (fetching.containsKey(object)) {
                 fetching.get(object).add(answer);
             } else {
                 fetching.put(object, new ArrayList<>(List.of(answer)));
-                Consumer<Note> came = note -> {
+                Consumer<CacheStatus> came = note -> {
                     held.add(object);
                     fetching.remove(object).forEach(waiting -> waiting.accept(note));
                 };
@@ -80,9 +71,15 @@
                     fetches.merge(object, 1, Integer::sum);
                     fetchedAt.add(net.now);
                     long more = (long) (-unevenUs * Math.log(1 - net.random.nextDouble()));
-                    net.at(net.now + 30 * MS + net.random.nextLong(20 * MS) + more, () -> came.accept(Note.VIA_ORIGIN));
+                    net.at(
+                            net.now + 30 * MS + net.random.nextLong(20 * MS) + more,
+                            () -> came.accept(CacheStatus.FILLED_BY_ORIGIN));
                 } else {
-                    nodes.get(source).asked(object, ORIGIN, note -> came.accept(note == Note.HIT ? Note.FILLED : note));
+                    nodes.get(source)
+                            .asked(
+                                    object,
+                                    ORIGIN,
+                                    note -> came.accept(note == CacheStatus.HIT ? CacheStatus.FILLED : note));
                 }
             }
         }
@@ -97,59 +94,57 @@
 
         Front(int me) {
             this.me = me;
-            RoutingPolicy.Settings settings = settings(me, joins);
+            RoutingSettings settings = settings(me, joins);
             this.rules = new RequestRouter(
                     settings,
                     net.random.nextLong(),
                     new FingerprintedActions(this, actions, me, () -> net.now),
-                    settings.place().setup(0, 50 * MS, clock() / MS, false),
-                    led ? settings.regions(clock() / MS, originTransfers) : null,
+                    settings.topology().membershipConfig(0, 50 * MS, clock() / MS, false),
+                    led ? settings.regionConfig(clock() / MS, originTransfers) : null,
                     false);
         }
 
         @Override
-        public void attempt(long request, long node, Plan plan) {
+        public void startAttempt(long request, long node, AttemptPlan plan) {
             List<Boolean> attempts = open.computeIfAbsent(request, id -> new ArrayList<>());
             int index = attempts.size();
             attempts.add(true);
             long since = net.now;
-            sent.add(new Sent(net.now, me, node, plan.source()));
-            Consumer<Note> ended = note -> over(request, index, node, since, Result.OK, note);
-            net.at(plan.stopAtUs() - START_US, () -> over(request, index, node, since, Result.TIMEOUT, Note.NONE));
+            sent.add(new Sent(net.now, me, node, plan.fillSource()));
+            Consumer<CacheStatus> ended = note -> over(request, index, node, since, AttemptResult.OK, note);
+            net.at(
+                    plan.deadlineUs() - START_US,
+                    () -> over(request, index, node, since, AttemptResult.TIMEOUT, CacheStatus.UNKNOWN));
             long object = asked.get(request)[1];
             StandIn target = nodes.get(node);
             net.at(
                     net.now + MS,
-                    () -> target.asked(object, plan.source() == node ? node : plan.source(), note -> {
-                        boolean lacks = note == Note.SOURCE_LACKS || note == Note.JOINED;
+                    () -> target.asked(object, plan.fillSource() == node ? node : plan.fillSource(), note -> {
+                        boolean lacks = note == CacheStatus.SOURCE_MISS || note == CacheStatus.COALESCED;
                         over(
                                 request,
                                 index,
                                 node,
                                 since,
-                                lacks ? Result.MISS : Result.OK,
-                                note == Note.SOURCE_LACKS ? Note.NONE : note);
+                                lacks ? AttemptResult.MISS : AttemptResult.OK,
+                                note == CacheStatus.SOURCE_MISS ? CacheStatus.UNKNOWN : note);
                     }));
         }
 
-        private void over(long request, int index, long node, long since, Result result, Note note) {
+        private void over(long request, int index, long node, long since, AttemptResult result, CacheStatus note) {
             if (open.containsKey(request) && open.get(request).get(index)) {
                 open.get(request).set(index, false);
-                if (result == Result.OK) {
+                if (result == AttemptResult.OK) {
                     answered(request, "served");
                 }
-                rules.outcome(
+                rules.attemptEnded(
                         clock(),
-                        new Outcome(
-                                request,
-                                index,
-                                node,
-                                result,
-                                net.now - since,
-                                result == Result.OK,
-                                note,
-                                net.now - since,
-                                new double[0]));
+                        AttemptOutcome.builder(request, index, node, result)
+                                .durationUs(net.now - since)
+                                .requestCompleted(result == AttemptResult.OK)
+                                .cacheStatus(note)
+                                .firstByteUs(net.now - since)
+                                .build());
             }
         }
 
@@ -159,13 +154,13 @@
         }
 
         @Override
-        public void cancel(long request, int attempt) {
+        public void cancelAttempt(long request, int attempt) {
             long node = 0;
-            net.at(net.now, () -> over(request, attempt, node, net.now, Result.CANCELLED, Note.NONE));
+            net.at(net.now, () -> over(request, attempt, node, net.now, AttemptResult.CANCELLED, CacheStatus.UNKNOWN));
         }
 
         @Override
-        public void refuse(long request, long backoffUs) {
+        public void reject(long request, long backoffUs) {
             answered(request, backoffUs > 0 ? "refused" : "refused without a pause");
         }
 
@@ -175,17 +170,17 @@
         }
 
         @Override
-        public void timer(long at, long handle) {
-            net.at(at - START_US, () -> rules.timer(clock(), handle));
+        public void setTimer(long at, long handle) {
+            net.at(at - START_US, () -> rules.timerExpired(clock(), handle));
         }
 
         @Override
-        public void tell(int recipient, byte[] message) {
+        public void sendToPeer(int recipient, byte[] message) {
             net.send(
                     me,
                     recipient,
                     message,
-                    (to, from, bytes) -> fronts.get(to).rules.peer(clock(), from, bytes));
+                    (to, from, bytes) -> fronts.get(to).rules.peerMessageReceived(clock(), from, bytes));
         }
     }
 
@@ -210,7 +205,7 @@
     private final int originTransfers;
     private final List<Front> fronts = new ArrayList<>();
     private final Map<Long, StandIn> nodes = new HashMap<>();
-    private final Map<Long, Member> list = new TreeMap<>();
+    private final Map<Long, EndpointInfo> list = new TreeMap<>();
     private long lastRequest;
 
     /** Routers that start together, with regions or without. */
@@ -237,73 +232,55 @@
             fronts.add(new Front(i));
         }
         for (Front front : fronts) {
-            front.rules.members(clock(), ListMode.CACHED, List.copyOf(list.values()));
-            front.rules.serving(clock(), true);
+            front.rules.endpointsChanged(clock(), EndpointListMode.CACHED, List.copyOf(list.values()));
+            front.rules.setServing(clock(), true);
         }
     }
 
     private void put(long id, int kind, int zone) {
         nodes.put(id, new StandIn(id));
-        list.put(id, new Member(id, kind, 0, zone, 1, State.READY, 0));
+        list.put(id, EndpointInfo.builder(id, kind, zone).build());
     }
 
-    static RoutingPolicy.Settings settings(int me) {
+    static RoutingSettings settings(int me) {
         return settings(me, true);
     }
 
-    static RoutingPolicy.Settings settings(int me, boolean joins) {
+    static RoutingSettings settings(int me, boolean joins) {
         int[] hubs = {HUB, HUB, HUB, HUB, HUB};
-        return new RoutingPolicy.Settings(
-                new RoutingPolicy.Place(
-                        me,
-                        FRONTS,
-                        me / 2,
-                        new int[] {2, 2, 2, 2, 0},
-                        hubs,
-                        new double[] {100_000, 100_000, 100_000, 100_000, 0},
-                        1,
-                        2,
-                        10_000),
-                List.of(new Profile(
-                        500 * MS,
-                        2,
-                        3 * SECOND,
-                        1,
-                        0.2,
-                        Effect.PURE,
-                        KeyScope.ALL,
-                        2 * SECOND,
-                        false,
-                        false,
-                        false,
-                        0,
-                        0,
-                        0.5)),
-                List.of(),
-                0,
-                new RoutingPolicy.Limits(true, false, true, false, true, 6, 20_000, SECOND, 400 * MS),
-                new RoutingPolicy.Guards(
-                        500 * MS,
-                        300 * MS,
-                        6 * SECOND,
-                        0.2,
-                        17 * SECOND,
-                        2,
-                        SECOND,
-                        0.1,
-                        20 * SECOND,
-                        2,
-                        0,
-                        0,
-                        0,
-                        8 * MS),
-                false,
-                RoutingPolicy.Siblings.OFF,
-                joins,
-                false,
-                true,
-                RoutingPolicy.Weight.OFF,
-                List.of());
+        return RoutingSettings.builder(
+                        RouterTopology.builder(me, FRONTS, me / 2)
+                                .routersByZone(new int[] {2, 2, 2, 2, 0})
+                                .hubByZone(hubs)
+                                .linkKbPerSByZone(new double[] {100_000, 100_000, 100_000, 100_000, 0})
+                                .parentKind(1)
+                                .originKind(2)
+                                .transferKbPerS(10_000)
+                                .build(),
+                        List.of(RequestClass.builder(500 * MS, 3 * SECOND)
+                                .objectiveStretch(2)
+                                .latePriorityWeight(0.2)
+                                .idempotencyWindowUs(2 * SECOND)
+                                .stalePriorityWeight(0.5)
+                                .build()),
+                        RequestLimits.builder(6)
+                                .mayCancel(true)
+                                .mayMessagePeers(true)
+                                .maySendRetryAfter(true)
+                                .maxInFlight(20_000)
+                                .maxRetryAfterUs(SECOND)
+                                .connectTimeoutUs(400 * MS)
+                                .build(),
+                        new SafetyLimits(
+                                500 * MS,
+                                300 * MS,
+                                6 * SECOND,
+                                new SlowStartProfile(0.2, 17 * SECOND, 2, SECOND),
+                                new SlowStartProfile(0.1, 20 * SECOND, 2, SECOND)))
+                .overQuotaPriorityWeight(0)
+                .cachesJoinFills(joins)
+                .detailedCacheStatus(true)
+                .build();
     }
 
     private long clock() {
@@ -332,17 +309,25 @@
         long id = ++lastRequest;
         asked++;
         front.asked.put(id, new long[] {net.now, object});
-        front.rules.request(clock(), new Request(id, 0, 0, 5, OWN_US / 100.0, 0, 0, object, false, false));
+        front.rules.requestArrived(
+                clock(),
+                RoutingRequest.builder(id, 0, object)
+                        .group(5)
+                        .sizeKb(OWN_US / 100.0)
+                        .build());
     }
 
     /** The list changes; each router hears of it some time later, which is returned by router. */
-    long[] becomes(long node, State state) {
-        Member old = list.get(node);
-        Member told = new Member(node, old.kind(), old.startedUs(), old.zone(), 1, state, 0);
+    long[] becomes(long node, EndpointState state) {
+        EndpointInfo old = list.get(node);
+        EndpointInfo told = EndpointInfo.builder(node, old.kind(), old.zone())
+                .startedUs(old.startedUs())
+                .state(state)
+                .build();
         long[] at = new long[FRONTS];
         for (Front front : fronts) {
             at[front.me] = net.now + 1 + net.random.nextLong(200 * MS);
-            net.at(at[front.me], () -> front.rules.members(clock(), ListMode.DELTA, List.of(told)));
+            net.at(at[front.me], () -> front.rules.endpointsChanged(clock(), EndpointListMode.DELTA, List.of(told)));
         }
         return at;
     }
@@ -355,7 +340,7 @@
     void emptied(int branch) {
         list.values().stream()
                 .filter(m -> m.zone() == branch)
-                .forEach(m -> nodes.get(m.node()).held.clear());
+                .forEach(m -> nodes.get(m.id()).held.clear());
     }
 
     /** Cuts the routers into two halves of the same size. */
@@ -378,7 +363,7 @@
     // ---------------------------------------------------------------- what was seen
 
     long figure(int front, String name) {
-        return fronts.get(front).rules.figures(clock()).getOrDefault(name, -1L);
+        return fronts.get(front).rules.statistics(clock()).getOrDefault(name, -1L);
     }
 
     /** The parent that all routers hold to lead; 0 if they differ, or none does. */
--- a/src/test/java/magpiewheel/routing/SparseCacheStatusTest.java
+++ b/src/test/java/magpiewheel/routing/SparseCacheStatusTest.java
@@ -3,11 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import magpiewheel.routing.RoutingPolicy.ListMode;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Outcome;
-import magpiewheel.routing.RoutingPolicy.Request;
-import magpiewheel.routing.RoutingPolicy.Result;
 import org.junit.jupiter.api.Test;
 
 /** Sites whose answers tell only whether it was a hit: a failed fill does not say whose fault it was. */
@@ -24,27 +19,38 @@
     private long now = 100 * SECOND;
 
     SparseCacheStatusTest() {
-        RoutingPolicy.Settings set = RequestRouterTest.settings(false, RoutingPolicy.Siblings.OFF);
-        set = RequestRouterTest.with(set, set.joins(), false);
-        rules = new RequestRouter(set, 42, router, set.place().setup(0, 400_000, 1, false), null, false);
-        rules.members(now, ListMode.CACHED, RequestRouterTest.fleet());
+        RoutingSettings set = RequestRouterFixture.settings(false, SiblingFills.OFF);
+        set = RequestRouterFixture.with(set, set.cachesJoinFills(), false);
+        rules = new RequestRouter(set, 42, router, set.topology().membershipConfig(0, 400_000, 1, false), null, false);
+        rules.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.fleet());
     }
 
     /** Asks for something new, answers all attempts, and returns how many of them were to be filled at the parent. */
     private int tryParent(long id) {
-        rules.request(now, new Request(id, 0, 0, 5, 0, 2 * SECOND, 0, id * 31, false, false));
+        rules.requestArrived(
+                now,
+                RoutingRequest.builder(id, 0, id * 31)
+                        .group(5)
+                        .timeBudgetUs(2 * SECOND)
+                        .build());
         int named = 0;
         int attempt = 0;
         boolean served = false;
         while (!served && router.last().request() == id && attempt < sent(id)) {
             RecordingActions.Sent last = router.last();
-            boolean fails = last.plan().source() == PARENT;
+            boolean fails = last.plan().fillSource() == PARENT;
             named += fails ? 1 : 0;
             served = !fails;
             now += 20 * MS;
-            Result result = fails ? Result.ERROR : Result.OK;
-            Note note = fails ? Note.NONE : Note.FILLED;
-            rules.outcome(now, new Outcome(id, attempt, last.node(), result, 20 * MS, served, note, 0, new double[0]));
+            AttemptResult result = fails ? AttemptResult.ERROR : AttemptResult.OK;
+            CacheStatus note = fails ? CacheStatus.UNKNOWN : CacheStatus.FILLED;
+            rules.attemptEnded(
+                    now,
+                    AttemptOutcome.builder(id, attempt, last.node(), result)
+                            .durationUs(20 * MS)
+                            .requestCompleted(served)
+                            .cacheStatus(note)
+                            .build());
             attempt++;
         }
         return named;
--- a/src/test/java/magpiewheel/routing/WarmingFleet.java
+++ b/src/test/java/magpiewheel/routing/WarmingFleet.java
@@ -6,17 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import magpiewheel.region.Net;
-import magpiewheel.routing.RoutingPolicy.Effect;
-import magpiewheel.routing.RoutingPolicy.KeyScope;
-import magpiewheel.routing.RoutingPolicy.ListMode;
-import magpiewheel.routing.RoutingPolicy.Member;
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Outcome;
-import magpiewheel.routing.RoutingPolicy.Plan;
-import magpiewheel.routing.RoutingPolicy.Profile;
-import magpiewheel.routing.RoutingPolicy.Request;
-import magpiewheel.routing.RoutingPolicy.Result;
-import magpiewheel.routing.RoutingPolicy.State;
+import magpiewheel.region.SlowStartProfile;
 import magpiewheel.support.Fingerprint;
 
 /**
@@ -86,63 +76,68 @@
         final int me;
         final RequestRouter rules;
         final Map<Long, Integer> attempts = new HashMap<>();
-        final Map<Long, Request> requests = new HashMap<>();
+        final Map<Long, RoutingRequest> requests = new HashMap<>();
         boolean runs = true;
 
         Front(int me) {
             this.me = me;
-            RoutingPolicy.Settings settings = settings(me);
+            RoutingSettings settings = settings(me);
             rules = new RequestRouter(
                     settings,
                     net.random.nextLong(),
                     new FingerprintedActions(this, actions, me, () -> net.now),
-                    settings.place().setup(0, 100 * MS, Math.max(1, clock() / MS), false),
+                    settings.topology().membershipConfig(0, 100 * MS, Math.max(1, clock() / MS), false),
                     null,
                     false);
-            rules.members(clock(), ListMode.CACHED, list(true));
-            rules.serving(clock(), true);
+            rules.endpointsChanged(clock(), EndpointListMode.CACHED, list(true));
+            rules.setServing(clock(), true);
         }
 
-        void ask(Request request) {
+        void ask(RoutingRequest request) {
             requests.put(request.id(), request);
-            rules.request(clock(), request);
+            rules.requestArrived(clock(), request);
         }
 
         @Override
-        public void attempt(long request, long node, Plan plan) {
+        public void startAttempt(long request, long node, AttemptPlan plan) {
             int index = attempts.merge(request, 1, Integer::sum) - 1;
-            Request asked = requests.get(request);
+            RoutingRequest asked = requests.get(request);
             long arrives = net.now + 200 + net.random.nextLong(2 * MS);
-            if (node == plans.cold || plan.source() == plans.cold) {
-                arrivals.add(new Arrival(arrives, asked.profile()));
+            if (node == plans.cold || plan.fillSource() == plans.cold) {
+                arrivals.add(new Arrival(arrives, asked.requestClass()));
             }
             boolean fails = plans.othersFail && node != plans.cold && node <= CACHES;
             long tookUs = fails ? MS : transferUs(asked) + 5 * MS;
-            Note note = fails || plan.source() == node ? Note.NONE : Note.HIT;
-            Result result = fails ? Result.UNREACHED : Result.OK;
+            CacheStatus note = fails || plan.fillSource() == node ? CacheStatus.UNKNOWN : CacheStatus.HIT;
+            AttemptResult result = fails ? AttemptResult.UNREACHABLE : AttemptResult.OK;
             net.at(arrives + tookUs, () -> {
                 if (runs) {
-                    rules.outcome(
+                    rules.attemptEnded(
                             clock(),
-                            new Outcome(request, index, node, result, tookUs, !fails, note, 5 * MS, new double[0]));
+                            AttemptOutcome.builder(request, index, node, result)
+                                    .durationUs(tookUs)
+                                    .requestCompleted(!fails)
+                                    .cacheStatus(note)
+                                    .firstByteUs(5 * MS)
+                                    .build());
                 }
             });
         }
 
         @Override
-        public void tell(int recipient, byte[] message) {
+        public void sendToPeer(int recipient, byte[] message) {
             net.send(
                     me,
                     recipient,
                     message,
-                    (to, from, bytes) -> fronts.get(to).rules.peer(clock(), from, bytes));
+                    (to, from, bytes) -> fronts.get(to).rules.peerMessageReceived(clock(), from, bytes));
         }
 
         @Override
-        public void timer(long at, long handle) {
+        public void setTimer(long at, long handle) {
             net.at(at - START_US, () -> {
                 if (runs) {
-                    rules.timer(clock(), handle);
+                    rules.timerExpired(clock(), handle);
                 }
             });
         }
@@ -170,21 +165,24 @@
         return START_US + net.now;
     }
 
-    private List<Member> list(boolean withCold) {
-        List<Member> all = new ArrayList<>();
+    private List<EndpointInfo> list(boolean withCold) {
+        List<EndpointInfo> all = new ArrayList<>();
         for (long id = CACHE; id <= CACHES; id++) {
             all.add(member(id, 0));
         }
         all.add(member(PARENT, 1));
         all.add(member(PARENT + 1, 1));
         all.add(member(ORIGIN, 2));
-        all.removeIf(member -> !withCold && member.node() == plans.cold);
+        all.removeIf(member -> !withCold && member.id() == plans.cold);
         return all;
     }
 
-    private Member member(long id, int kind) {
+    private EndpointInfo member(long id, int kind) {
         long started = id == plans.cold ? START_US : 0;
-        return new Member(id, kind, started, 0, plans.weight, State.READY, 0);
+        return EndpointInfo.builder(id, kind, 0)
+                .startedUs(started)
+                .weight(plans.weight)
+                .build();
     }
 
     /** Asks at every front so many times a second until then; the objects are few, and are everybody's. */
@@ -200,8 +198,8 @@
         }
         if (plans.listFlaps) {
             net.every(SECOND, SECOND / 5, () -> {
-                fronts.forEach(front -> front.rules.members(clock(), ListMode.FULL, list(false)));
-                fronts.forEach(front -> front.rules.members(clock(), ListMode.FULL, list(true)));
+                fronts.forEach(front -> front.rules.endpointsChanged(clock(), EndpointListMode.FULL, list(false)));
+                fronts.forEach(front -> front.rules.endpointsChanged(clock(), EndpointListMode.FULL, list(true)));
             });
         }
         net.runUntil(end, () -> {});
@@ -219,13 +217,15 @@
         double us = sizes.computeIfAbsent(
                 2 * object + profile, key -> ObjectSizes.lognormal(net.random, MEAN_US[profile], SIGMA));
         double kbytes = us / SECOND * FLOW_KB_PER_S;
-        Request request = new Request(
-                ++lastRequest, profile, 0, 5, plans.sized ? kbytes : 0, 0, 0, 2 * object + profile, false, false);
+        RoutingRequest request = RoutingRequest.builder(++lastRequest, profile, 2 * object + profile)
+                .group(5)
+                .sizeKb(plans.sized ? kbytes : 0)
+                .build();
         transfers.put(request.id(), (long) us);
         fronts.get(number).ask(request);
     }
 
-    private long transferUs(Request request) {
+    private long transferUs(RoutingRequest request) {
         return transfers.get(request.id());
     }
 
@@ -256,47 +256,44 @@
         return (parent ? PARENT_MULTIPLE : MULTIPLE) * present * plans.weight * TIP_AFTER_US;
     }
 
-    private RoutingPolicy.Settings settings(int me) {
-        return new RoutingPolicy.Settings(
-                new RoutingPolicy.Place(
-                        me,
-                        plans.fronts,
-                        0,
-                        new int[] {plans.fronts},
-                        new int[] {0},
-                        new double[] {50 * FLOW_KB_PER_S},
-                        1,
-                        2,
-                        FLOW_KB_PER_S),
-                List.of(profile(600 * MS), profile(400 * MS)),
-                List.of(),
-                0,
-                new RoutingPolicy.Limits(true, false, true, false, true, 8, 20_000, SECOND, 400 * MS),
-                new RoutingPolicy.Guards(
-                        500 * MS,
-                        300 * MS,
-                        6 * SECOND,
-                        COLD_FROM,
-                        WARM_UP_US,
-                        MULTIPLE,
-                        TIP_AFTER_US,
-                        PARENT_COLD_FROM,
-                        WARM_UP_US,
-                        PARENT_MULTIPLE,
-                        0,
-                        0,
-                        0,
-                        8 * MS),
-                false,
-                RoutingPolicy.Siblings.OFF,
-                true,
-                true,
-                true,
-                RoutingPolicy.Weight.NOMINAL,
-                List.of());
+    private RoutingSettings settings(int me) {
+        return RoutingSettings.builder(
+                        RouterTopology.builder(me, plans.fronts, 0)
+                                .routersByZone(new int[] {plans.fronts})
+                                .hubByZone(new int[] {0})
+                                .linkKbPerSByZone(new double[] {50 * FLOW_KB_PER_S})
+                                .parentKind(1)
+                                .originKind(2)
+                                .transferKbPerS(FLOW_KB_PER_S)
+                                .build(),
+                        List.of(profile(600 * MS), profile(400 * MS)),
+                        RequestLimits.builder(8)
+                                .mayCancel(true)
+                                .mayMessagePeers(true)
+                                .maySendRetryAfter(true)
+                                .maxInFlight(20_000)
+                                .maxRetryAfterUs(SECOND)
+                                .connectTimeoutUs(400 * MS)
+                                .build(),
+                        new SafetyLimits(
+                                500 * MS,
+                                300 * MS,
+                                6 * SECOND,
+                                new SlowStartProfile(COLD_FROM, WARM_UP_US, MULTIPLE, TIP_AFTER_US),
+                                new SlowStartProfile(PARENT_COLD_FROM, WARM_UP_US, PARENT_MULTIPLE, TIP_AFTER_US)))
+                .overQuotaPriorityWeight(0)
+                .cachesJoinFills(true)
+                .mayBypassCaches(true)
+                .detailedCacheStatus(true)
+                .weightSource(WeightSource.NOMINAL)
+                .build();
     }
 
-    private static Profile profile(long aimUs) {
-        return new Profile(aimUs, 2, 6 * SECOND, 1, 0.2, Effect.PURE, KeyScope.ALL, 0, false, false, false, 0, 0, 0.5);
+    private static RequestClass profile(long aimUs) {
+        return RequestClass.builder(aimUs, 6 * SECOND)
+                .objectiveStretch(2)
+                .latePriorityWeight(0.2)
+                .stalePriorityWeight(0.5)
+                .build();
     }
 }
--- a/src/test/java/magpiewheel/routing/WarmingFleetTest.java
+++ b/src/test/java/magpiewheel/routing/WarmingFleetTest.java
@@ -81,41 +81,46 @@
     /** Its own fronts divide its budget: one that clients of another location ask would use a part that nobody has. */
     @Test
     void noLookupNamesAColdCacheOfAnotherLocation() {
-        RoutingPolicy.Settings settings = RequestRouterTest.settings(false, RoutingPolicy.Siblings.OFF);
+        RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
         RequestRouter rules = new RequestRouter(
-                settings, 42, new RecordingActions(), settings.place().setup(0, 400_000, 1, false), null, false);
+                settings,
+                42,
+                new RecordingActions(),
+                settings.topology().membershipConfig(0, 400_000, 1, false),
+                null,
+                false);
         long now = 100 * WarmingFleet.SECOND;
         long there = 11;
-        rules.members(
+        rules.endpointsChanged(
                 now,
-                RoutingPolicy.ListMode.CACHED,
-                List.of(RequestRouterTest.member(there, 0, 1, now, RoutingPolicy.State.READY)));
-        assertEquals(RoutingPolicy.NOWHERE, rules.lookup(now, 1, 77));
-        assertEquals(there, rules.lookup(now + 60 * WarmingFleet.SECOND, 1, 77));
+                EndpointListMode.CACHED,
+                List.of(RequestRouterFixture.member(there, 0, 1, now, EndpointState.READY)));
+        assertEquals(RoutingPolicy.NO_CACHE, rules.selectCache(now, 1, 77));
+        assertEquals(there, rules.selectCache(now + 60 * WarmingFleet.SECOND, 1, 77));
     }
 
     /** Of a front that just started the one before may have used its part already, whether refusals are told or not. */
     @Test
     void aFrontThatStartsHasTheFirstPartOfItsShare() {
-        RoutingPolicy.Settings settings = RequestRouterTest.settings(false, RoutingPolicy.Siblings.OFF);
+        RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
         long now = 100 * WarmingFleet.SECOND;
         RequestRouter rules = new RequestRouter(
                 settings,
                 42,
                 new RecordingActions(),
-                settings.place().setup(0, 400_000, now / WarmingFleet.MS, false),
+                settings.topology().membershipConfig(0, 400_000, now / WarmingFleet.MS, false),
                 null,
                 false);
-        assertEquals(8, rules.view().sharers(now));
-        assertEquals(8, rules.view().sharersIn(now, 0));
-        assertEquals(2, rules.view().sharers(now + 6 * WarmingFleet.SECOND));
+        assertEquals(8, rules.membership().sharers(now));
+        assertEquals(8, rules.membership().sharersIn(now, 0));
+        assertEquals(2, rules.membership().sharers(now + 6 * WarmingFleet.SECOND));
     }
 
     /** Those that end first are the short ones: a limit kept with their mean would be passed many times over. */
     @Test
     void theFirstFewTransfersDoNotTellHowLongTheyTake() {
-        RoutingPolicy.Settings settings = RequestRouterTest.settings(false, RoutingPolicy.Siblings.OFF);
-        TransferTimes transfers = new TransferTimes(settings.profiles(), 10_000, 0.02, 0.1);
+        RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
+        TransferTimes transfers = new TransferTimes(settings.requestClasses(), 10_000, 0.02, 0.1);
         assertEquals(500_000, transfers.carefulUs(0));
         for (int i = 0; i < 3; i++) {
             transfers.add(0, 5_000, true);
--- a/src/test/java/magpiewheel/upstream/BeginDeadlineTest.java
+++ b/src/test/java/magpiewheel/upstream/BeginDeadlineTest.java
@@ -8,8 +8,8 @@
 import java.time.InstantSource;
 import java.util.concurrent.TimeUnit;
 import magpiewheel.engine.Counter;
-import magpiewheel.routing.RoutingPolicy.Outcome;
-import magpiewheel.routing.RoutingPolicy.Result;
+import magpiewheel.routing.AttemptOutcome;
+import magpiewheel.routing.AttemptResult;
 import magpiewheel.wire.StandInNode;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -42,13 +42,13 @@
     }
 
     private void isUnreached() {
-        Outcome outcome = NodeRig.next(rig.told);
-        assertEquals(outcome.result(), Result.UNREACHED);
-        assertTrue(outcome.result().neverRan && !outcome.over(), "it may go elsewhere");
+        AttemptOutcome outcome = NodeRig.next(rig.told);
+        assertEquals(outcome.result(), AttemptResult.UNREACHABLE);
+        assertTrue(outcome.result().neverRan && !outcome.requestCompleted(), "it may go elsewhere");
     }
 
     private void isServed(String trace) {
-        assertEquals(NodeRig.next(rig.told).result(), Result.OK);
+        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK);
         assertTrue(NodeRig.next(node.lines).startsWith("serve " + trace + " "));
     }
 
--- a/src/test/java/magpiewheel/upstream/GivenUpTest.java
+++ b/src/test/java/magpiewheel/upstream/GivenUpTest.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.CountDownLatch;
 import magpiewheel.engine.Counter;
 import magpiewheel.engine.PendingRequest;
-import magpiewheel.routing.RoutingPolicy.Outcome;
-import magpiewheel.routing.RoutingPolicy.Result;
+import magpiewheel.routing.AttemptOutcome;
+import magpiewheel.routing.AttemptResult;
 import magpiewheel.wire.StandInNode;
 import org.testng.annotations.Test;
 
@@ -24,7 +24,7 @@
     /** The next request is served, and it is the first that the node sees. */
     private void onlyTheNextIsWritten() {
         rig.ask("next", NodeRig.PURE, null);
-        assertEquals(NodeRig.next(rig.told).result(), Result.OK);
+        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK);
         assertTrue(NodeRig.next(node.lines).startsWith("serve next "));
     }
 
@@ -49,9 +49,9 @@
         NodeRig.until("the connection is up", dial::isConnected);
         moduleGoesOn.countDown();
         leaves.join();
-        Outcome outcome = NodeRig.next(rig.told);
-        assertEquals(outcome.result(), Result.CANCELLED, "nothing is held against the node");
-        assertTrue(outcome.over());
+        AttemptOutcome outcome = NodeRig.next(rig.told);
+        assertEquals(outcome.result(), AttemptResult.CANCELLED, "nothing is held against the node");
+        assertTrue(outcome.requestCompleted());
         assertEquals(rig.gone.size(), 1);
         onlyTheNextIsWritten();
         assertEquals(rig.count(Counter.DIALS), 1, "the connection that came up late carries it");
@@ -66,15 +66,15 @@
         rig.onOutcome = (actions, outcome) -> {
             decides.countDown();
             await(left);
-            actions.attempt(outcome.request(), NodeRig.NODE, NodeRig.plan());
+            actions.startAttempt(outcome.requestId(), NodeRig.NODE, NodeRig.plan());
         };
         PendingRequest call = rig.ask("left", NodeRig.PURE, null);
         await(decides);
         call.abandon();
         left.countDown();
-        assertEquals(NodeRig.next(rig.told).result(), Result.FULL);
-        Outcome second = NodeRig.next(rig.told);
-        assertEquals(second.attempt() + " " + second.result() + " " + second.over(), "1 CANCELLED true");
+        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.REJECTED);
+        AttemptOutcome second = NodeRig.next(rig.told);
+        assertEquals(second.attempt() + " " + second.result() + " " + second.requestCompleted(), "1 CANCELLED true");
         assertTrue(NodeRig.next(node.lines).startsWith("serve left "));
         assertEquals(rig.count(Counter.WRITTEN), 1);
         rig.engine.gone(call);
@@ -109,13 +109,13 @@
     @Test
     public void whatIsCalledOffWhileItsConnectionComesUpHasNeverRun() {
         rig.holdsDials = true;
-        rig.onPeer = (actions, message) -> actions.cancel(1, 0);
+        rig.onPeer = (actions, message) -> actions.cancelAttempt(1, 0);
         rig.ask("called-off", NodeRig.UNSAFE, null);
         HeldSocket dial = NodeRig.next(rig.dials);
         rig.engine.heard(1, new byte[0]);
-        Outcome outcome = NodeRig.next(rig.told);
-        assertEquals(outcome.result(), Result.UNREACHED);
-        assertTrue(outcome.result().neverRan && !outcome.over());
+        AttemptOutcome outcome = NodeRig.next(rig.told);
+        assertEquals(outcome.result(), AttemptResult.UNREACHABLE);
+        assertTrue(outcome.result().neverRan && !outcome.requestCompleted());
         assertEquals(NodeRig.next(rig.answers).end(), PendingRequest.End.REFUSED);
         dial.comeUp();
         rig.holdsDials = false;
--- a/src/test/java/magpiewheel/upstream/LateConnectionTest.java
+++ b/src/test/java/magpiewheel/upstream/LateConnectionTest.java
@@ -5,7 +5,7 @@
 
 import java.io.IOException;
 import magpiewheel.engine.Counter;
-import magpiewheel.routing.RoutingPolicy.Result;
+import magpiewheel.routing.AttemptResult;
 import magpiewheel.upstream.ScriptedNode.Line;
 import org.testng.annotations.Test;
 
@@ -14,7 +14,7 @@
     private void served(Line line, String trace) throws IOException {
         assertTrue(line.next().startsWith("serve " + trace + " "));
         line.done(trace, trace);
-        assertEquals(NodeRig.next(rig.told).result(), Result.OK);
+        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK);
         assertEquals(NodeRig.next(rig.answers).tag(), trace);
     }
 
@@ -71,7 +71,7 @@
         assertTrue(line.next().startsWith("serve two "));
         late.close();
         line.done("two", "two");
-        assertEquals(NodeRig.next(rig.told).result(), Result.OK);
+        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK);
         assertEquals(rig.count(Counter.DIALS_FAILED), 0);
     }
 }
--- a/src/test/java/magpiewheel/upstream/NodeRig.java
+++ b/src/test/java/magpiewheel/upstream/NodeRig.java
@@ -26,11 +26,16 @@
 import magpiewheel.engine.ResponseCache;
 import magpiewheel.engine.UnixClock;
 import magpiewheel.engine.WorkerPool;
+import magpiewheel.routing.AttemptOutcome;
+import magpiewheel.routing.AttemptPlan;
+import magpiewheel.routing.EndpointInfo;
+import magpiewheel.routing.EndpointListMode;
+import magpiewheel.routing.EndpointState;
+import magpiewheel.routing.Idempotency;
+import magpiewheel.routing.RoutingActions;
 import magpiewheel.routing.RoutingPolicy;
-import magpiewheel.routing.RoutingPolicy.Actions;
-import magpiewheel.routing.RoutingPolicy.Effect;
-import magpiewheel.routing.RoutingPolicy.Outcome;
-import magpiewheel.routing.RoutingPolicy.Plan;
+import magpiewheel.routing.RoutingRequest;
+import magpiewheel.routing.RoutingSettings;
 
 /**
  * The engine and its connections to one node, over real sockets, with a scripted module: each request goes to the node
@@ -52,9 +57,9 @@
     /** The connections, in the order in which they were begun. */
     final BlockingQueue<HeldSocket> dials = new LinkedBlockingQueue<>();
 
-    final BlockingQueue<Outcome> told = new LinkedBlockingQueue<>();
+    final BlockingQueue<AttemptOutcome> told = new LinkedBlockingQueue<>();
     final BlockingQueue<PendingRequest.Answer> answers = new LinkedBlockingQueue<>();
-    final BlockingQueue<RoutingPolicy.Member> members = new LinkedBlockingQueue<>();
+    final BlockingQueue<EndpointInfo> members = new LinkedBlockingQueue<>();
     final BlockingQueue<Long> gone = new LinkedBlockingQueue<>();
     volatile boolean holdsDials;
     /** What else is done where a connection is begun, on the node's actor. */
@@ -62,14 +67,15 @@
     /** How long after its decision the module lets an attempt begin; 0: as long as the request has time. */
     volatile long beginWithinUs;
     /** What the module does with an outcome of a request that is not over; first of all, on the module's actor. */
-    volatile BiConsumer<Actions, Outcome> onOutcome = (actions, outcome) -> actions.refuse(outcome.request(), 0);
+    volatile BiConsumer<RoutingActions, AttemptOutcome> onOutcome =
+            (actions, outcome) -> actions.reject(outcome.requestId(), 0);
     /** What it does with a message from another front. */
-    volatile BiConsumer<Actions, byte[]> onPeer = (actions, message) -> {};
+    volatile BiConsumer<RoutingActions, byte[]> onPeer = (actions, message) -> {};
 
     final Engine engine;
     private final AtomicLong aheadUs = new AtomicLong();
     private final InetSocketAddress at;
-    private Actions actions;
+    private RoutingActions actions;
 
     NodeRig(InetSocketAddress node) {
         this(node, InstantSource.system());
@@ -79,11 +85,11 @@
     NodeRig(InetSocketAddress node, InstantSource time) {
         at = node;
         UnixClock clock = new UnixClock(() -> time.instant().plusNanos(aheadUs.get() * 1_000));
-        RoutingPolicy.Settings settings = settings();
+        RoutingSettings settings = settings();
         UpstreamPool nodes = new UpstreamPool(
                 pool,
                 counters,
-                settings.profiles(),
+                settings.requestClasses(),
                 DIAL_TIMEOUT_US,
                 0,
                 CONNECTIONS,
@@ -93,7 +99,7 @@
         engine = new Engine(settings, this::module, clock, counters, nodes, (to, message) -> {}, ResponseCache.none());
         nodes.report(engine);
         engine.start();
-        list(RoutingPolicy.State.READY);
+        list(EndpointState.READY);
     }
 
     private Socket socket() {
@@ -104,15 +110,17 @@
     }
 
     /** Tells of the node's state, and waits until the module has heard of it. */
-    void list(RoutingPolicy.State state) {
+    void list(EndpointState state) {
         list(state, 0);
     }
 
     /** Likewise, of a process that was started at a time. */
-    void list(RoutingPolicy.State state, long startedUs) {
-        RoutingPolicy.Member member = new RoutingPolicy.Member(NODE, 0, startedUs, 0, 1, state, 0);
-        engine.members(
-                RoutingPolicy.ListMode.DELTA, List.of(new ListedEndpoint(member, Ipv4.number(at), at.getPort())));
+    void list(EndpointState state, long startedUs) {
+        EndpointInfo member = EndpointInfo.builder(NODE, 0, 0)
+                .startedUs(startedUs)
+                .state(state)
+                .build();
+        engine.members(EndpointListMode.DELTA, List.of(new ListedEndpoint(member, Ipv4.number(at), at.getPort())));
         next(members);
     }
 
@@ -145,36 +153,36 @@
         return call;
     }
 
-    static Plan plan() {
+    static AttemptPlan plan() {
         return plan(Long.MAX_VALUE);
     }
 
-    private static Plan plan(long beginBy) {
-        return new Plan(0, 0, false, false, false, false, NODE, 0, beginBy);
+    private static AttemptPlan plan(long beginBy) {
+        return AttemptPlan.builder(NODE).startByUs(beginBy).build();
     }
 
     /** A plan that may begin within so many us from now; 0: as long as the request has time. */
-    Plan planWithin(long us) {
+    AttemptPlan planWithin(long us) {
         return plan(us == 0 ? Long.MAX_VALUE : engine.now() + us);
     }
 
-    private static RoutingPolicy.Settings settings() {
+    private static RoutingSettings settings() {
         return EngineStubs.settings(
                 EngineStubs.reads(),
-                EngineStubs.profile(Effect.KEYED, false, WINDOW_US),
-                EngineStubs.profile(Effect.UNSAFE, false, WINDOW_US));
+                EngineStubs.profile(Idempotency.KEYED, false, WINDOW_US),
+                EngineStubs.profile(Idempotency.NOT_IDEMPOTENT, false, WINDOW_US));
     }
 
-    private RoutingPolicy module(Actions given) {
+    private RoutingPolicy module(RoutingActions given) {
         actions = given;
         return EngineStubs.module((method, arguments) -> {
             switch (method) {
-                case "request" ->
-                    actions.attempt(((RoutingPolicy.Request) arguments[1]).id(), NODE, planWithin(beginWithinUs));
-                case "outcome" -> ended((Outcome) arguments[1]);
-                case "clientGone" -> gone.add((Long) arguments[1]);
-                case "members" -> members.addAll(castMembers(arguments[2]));
-                case "peer" -> onPeer.accept(actions, (byte[]) arguments[2]);
+                case "requestArrived" ->
+                    actions.startAttempt(((RoutingRequest) arguments[1]).id(), NODE, planWithin(beginWithinUs));
+                case "attemptEnded" -> ended((AttemptOutcome) arguments[1]);
+                case "clientDisconnected" -> gone.add((Long) arguments[1]);
+                case "endpointsChanged" -> members.addAll(castMembers(arguments[2]));
+                case "peerMessageReceived" -> onPeer.accept(actions, (byte[]) arguments[2]);
                 default -> {}
             }
             return null;
@@ -182,13 +190,13 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static List<RoutingPolicy.Member> castMembers(Object members) {
-        return (List<RoutingPolicy.Member>) members;
+    private static List<EndpointInfo> castMembers(Object members) {
+        return (List<EndpointInfo>) members;
     }
 
-    private void ended(Outcome outcome) {
+    private void ended(AttemptOutcome outcome) {
         told.add(outcome);
-        if (!outcome.over()) {
+        if (!outcome.requestCompleted()) {
             onOutcome.accept(actions, outcome);
         }
     }
--- a/src/test/java/magpiewheel/upstream/PooledConnectionTest.java
+++ b/src/test/java/magpiewheel/upstream/PooledConnectionTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CountDownLatch;
 import magpiewheel.engine.Counter;
 import magpiewheel.engine.PendingRequest;
-import magpiewheel.routing.RoutingPolicy.Result;
+import magpiewheel.routing.AttemptResult;
 import magpiewheel.upstream.ScriptedNode.Line;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -23,7 +23,7 @@
         Line line = node.accept();
         assertTrue(line.next().startsWith("serve first "));
         line.done("first", "t1");
-        assertEquals(NodeRig.next(rig.told).result(), Result.OK);
+        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK);
         NodeRig.next(rig.answers).body().release();
         return line;
     }
@@ -32,7 +32,7 @@
         try (Line anew = node.accept()) {
             assertTrue(anew.next().startsWith("serve second "));
             anew.done("second", "t2");
-            assertEquals(NodeRig.next(rig.told).result(), Result.OK, "the first word of it");
+            assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK, "the first word of it");
             assertEquals(NodeRig.next(rig.answers).tag(), "t2");
         }
     }
@@ -78,8 +78,8 @@
         rig.ask("second", NodeRig.UNSAFE, null);
         NodeRig.until("it is written", () -> rig.count(Counter.WRITTEN) == 2);
         socket.readOn();
-        Result result = NodeRig.next(rig.told).result();
-        assertEquals(result, Result.BROKEN);
+        AttemptResult result = NodeRig.next(rig.told).result();
+        assertEquals(result, AttemptResult.CONNECTION_LOST);
         assertFalse(result.neverRan);
     }
 
@@ -105,7 +105,7 @@
         assertTrue(line.next().startsWith("serve second "));
         line.say(words);
         line.close();
-        assertEquals(NodeRig.next(rig.told).result(), Result.BROKEN);
+        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.CONNECTION_LOST);
         assertEquals(rig.pool.left(), NodeRig.BUFFERS, "no room is lost");
     }
 
@@ -113,13 +113,13 @@
     @Test
     public void anAnswerThatNeverEndsIsCalledOffAndItsConnectionClosed() throws Exception {
         Line line = unused();
-        rig.onPeer = (actions, message) -> actions.cancel(2, 0);
+        rig.onPeer = (actions, message) -> actions.cancelAttempt(2, 0);
         rig.ask("second", NodeRig.UNSAFE, null);
         assertTrue(line.next().startsWith("serve second "));
         line.say("second DONE tell=hit,tag=t2,minted=1 100000\r\nabc");
         NodeRig.until("its room is taken", () -> rig.pool.left() < NodeRig.BUFFERS);
         rig.engine.heard(1, new byte[0]);
-        assertEquals(NodeRig.next(rig.told).result(), Result.CANCELLED);
+        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.CANCELLED);
         assertEquals(endOf(line), "cancel second");
         NodeRig.until("its room is given back", () -> rig.pool.left() == NodeRig.BUFFERS);
     }
@@ -146,7 +146,7 @@
         line.done("first", "t1");
         NodeRig.until("it was seen", () -> rig.count(Counter.NODE_STRAYS) == 1);
         line.done("second", "t2");
-        assertEquals(NodeRig.next(rig.told).result(), Result.OK);
+        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK);
         assertEquals(NodeRig.next(rig.answers).tag(), "t2");
         assertNull(line.next(), "nor is the connection used again");
     }
@@ -175,7 +175,7 @@
         // Its connection is begun behind the word of the second answer.
         NodeRig.next(rig.dials);
         connection.lookOn();
-        assertEquals(NodeRig.next(rig.told).result(), Result.OK);
+        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK);
         assertNull(line.next(), "the connection is used again");
     }
 
@@ -194,16 +194,16 @@
     @Test
     public void aFurtherTryKeepsAwayFromAllConnectionsOfEarlierOnes() throws Exception {
         rig.onOutcome = (actions, outcome) -> {};
-        rig.onPeer = (actions, message) -> actions.attempt(1, NodeRig.NODE, NodeRig.plan());
+        rig.onPeer = (actions, message) -> actions.startAttempt(1, NodeRig.NODE, NodeRig.plan());
         rig.ask("second", NodeRig.UNSAFE, null);
         Line line = node.accept();
         assertTrue(line.next().startsWith("serve second "));
         line.say("second WAIT - 0\r\n\r\n");
-        assertEquals(NodeRig.next(rig.told).result(), Result.FULL);
+        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.REJECTED);
         rig.ask("between", NodeRig.PURE, null);
         assertTrue(line.next().startsWith("serve between "));
         line.done("between", "t1");
-        assertEquals(NodeRig.next(rig.told).result(), Result.OK);
+        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK);
         assertEquals(NodeRig.next(rig.answers).end(), PendingRequest.End.SERVED);
         rig.engine.heard(1, new byte[0]);
         servedAnew();
--- a/src/test/java/magpiewheel/upstream/ResponseLineTest.java
+++ b/src/test/java/magpiewheel/upstream/ResponseLineTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import magpiewheel.routing.RoutingPolicy.Note;
-import magpiewheel.routing.RoutingPolicy.Result;
+import magpiewheel.routing.AttemptResult;
+import magpiewheel.routing.CacheStatus;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -15,10 +15,18 @@
     @Test
     void aGoodLineIsReadWhole() throws Exception {
         assertEquals(
-                new ResponseLine("0a", Result.OK, false, Note.VIA_ORIGIN, 39_300, "5d", 1_796_137_953_049L, 240_000),
+                new ResponseLine(
+                        "0a",
+                        AttemptResult.OK,
+                        false,
+                        CacheStatus.FILLED_BY_ORIGIN,
+                        39_300,
+                        "5d",
+                        1_796_137_953_049L,
+                        240_000),
                 ResponseLine.read("0a DONE tag=5d,minted=1796137953049,tell=via_origin,lag=39.3 240000"));
         assertTrue(ResponseLine.read("0a KEEP tag=5d,minted=17,tell=hit 0").unchanged());
-        assertEquals(Result.FULL, ResponseLine.read("0a WAIT - 0").result());
+        assertEquals(AttemptResult.REJECTED, ResponseLine.read("0a WAIT - 0").result());
         assertFalse(ResponseLine.read("0a DONE tell=hit 52").namesItsCopy(), "a copy without its tag");
     }
 
