--- /dev/null
+++ b/src/main/java/magpiewheel/routing/CacheSelector.java
@@ -0,0 +1,110 @@
+package magpiewheel.routing;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.Comparator;
+import java.util.List;
+
+/** Which cache a request goes to: the known holder, else the first with capacity in rendezvous order. */
+final class CacheSelector {
+    /** In flight at a cache over the mean of its tier before a holder spills (bounded-load hashing). */
+    private static final double SPILL_LOAD_FACTOR = 1.25;
+
+    private final RoutingSettings settings;
+    private final EndpointTable endpoints;
+    private final HolderTable holders;
+    private final OutlierDetector outliers;
+    private final SlowStart slowStart;
+    private final LoadShedder shedder;
+    private final TransferTimes transfers;
+    private final StalenessBridge staleness;
+
+    CacheSelector(RoutingSettings settings, RoutingState state, OutlierDetector outliers, SlowStart slowStart) {
+        this.settings = settings;
+        this.endpoints = state.endpoints();
+        this.holders = state.holders();
+        this.outliers = outliers;
+        this.slowStart = slowStart;
+        this.shedder = state.shedder();
+        this.transfers = state.transfers();
+        this.staleness = state.staleness();
+    }
+
+    /**
+     * The cache for a read; null where none has capacity. The holder that the staleness bound or a fresh hint names
+     * comes first.
+     *
+     * @param evenUnhealthy whether ejected caches are taken where no others are left
+     */
+    Endpoint forRead(long now, InFlightRequest request, RetryPolicy.Permit permit, boolean evenUnhealthy) {
+        ObjectRecord object = holders.record(request.request.objectId());
+        List<Endpoint> candidates = candidates(now, request, permit, evenUnhealthy);
+        if (candidates.isEmpty()) {
+            return null;
+        }
+        double meanLoad = 1 + Endpoint.mean(candidates, Endpoint::inFlight);
+        double limitFactor = shedder.limitFactor(request);
+        Endpoint holder = staleness.preferredCache(now, request, candidates, holders.holder(now, object));
+        if (holder != null && candidates.contains(holder) && hasCapacity(holder, meanLoad, limitFactor)) {
+            return holder;
+        }
+        candidates.sort(RendezvousHash.order(request.request.objectId()));
+        for (Endpoint candidate : candidates) {
+            if (hasCapacity(candidate, meanLoad, limitFactor)) {
+                return candidate;
+            }
+        }
+        return null;
+    }
+
+    /** A hot or slow cache spills: beyond its own limit, or far above its tier. */
+    private static boolean hasCapacity(Endpoint cache, double meanLoad, double limitFactor) {
+        double spillAt = Math.max(ConcurrencyLimiter.MIN_LIMIT, SPILL_LOAD_FACTOR * meanLoad);
+        return cache.inFlight() < Math.min(cache.concurrencyLimit * limitFactor, spillAt);
+    }
+
+    /** Where a write passes through: the origin itself where routers reach it, else the least loaded cache, or null. */
+    Endpoint forWrite(long now, InFlightRequest request, RetryPolicy.Permit permit) {
+        Endpoint origin = endpoints.origin();
+        if (settings.mayBypassCaches() && origin != null && request.sharesKeyScope(permit.keyScopeOf(), origin)) {
+            return origin;
+        }
+        List<Endpoint> candidates = candidates(now, request, permit, true);
+        return candidates.isEmpty() ? null : Collections.min(candidates, Comparator.comparingInt(Endpoint::inFlight));
+    }
+
+    /** Caches that may be sent the request, without those that already failed it. */
+    private List<Endpoint> candidates(
+            long now, InFlightRequest request, RetryPolicy.Permit permit, boolean evenUnhealthy) {
+        double workUs = transfers.carefulUs(request.request.requestClass());
+        List<Endpoint> allowed = new ArrayList<>(endpoints.caches());
+        allowed.removeIf(cache ->
+                !request.sharesKeyScope(permit.keyScopeOf(), cache) || !slowStart.hasBudget(now, cache, workUs));
+        List<Endpoint> healthy = new ArrayList<>(allowed);
+        healthy.removeIf(cache -> !outliers.isUsable(now, cache) || request.failedAt(cache));
+        return evenUnhealthy && healthy.isEmpty() ? allowed : healthy;
+    }
+
+    /** Whether a cache is known to hold an acceptable copy of the requested part. */
+    boolean isKnownToHold(long now, InFlightRequest request, Endpoint cache) {
+        ObjectRecord object = holders.record(request.request.objectId());
+        boolean cached = request.request.part() <= object.highestPartCached && cache == holders.holder(now, object);
+        return cache != null && cached && staleness.mayHoldAcceptableCopy(now, request, cache);
+    }
+
+    /** The cache of a zone that a client should go to by itself for an object; null where none is usable. */
+    Endpoint forClient(long now, int zone, long objectId) {
+        double workUs = transfers.longestReadUs();
+        List<Endpoint> usable = new ArrayList<>(endpoints.all());
+        usable.removeIf(cache -> !cache.isReady() || !cache.isCacheOf(zone));
+        usable.removeIf(cache -> !slowStart.hasBudget(now, cache, workUs) || !outliers.isUsable(now, cache));
+        Endpoint holder = holders.holder(now, objectId);
+        Endpoint first = usable.isEmpty() ? null : RendezvousHash.first(usable, objectId);
+        Endpoint found = usable.contains(holder) ? holder : first;
+        if (found != null) {
+            // The client goes there by itself: its work counts against a slow-start budget all the same.
+            found.recentWork.add(now, workUs);
+        }
+        return found;
+    }
+}
--- a/src/main/java/magpiewheel/routing/Endpoint.java
+++ b/src/main/java/magpiewheel/routing/Endpoint.java
@@ -27,12 +27,13 @@
     int refusedConnects;
     int overdueAttempts;
 
-    Endpoint(long id, long hash, double weight, long latencySpan, long sentSpan) {
+    /** An endpoint of which nothing is known; work sent to it is remembered for the overload window. */
+    Endpoint(long id, long overloadWindowUs) {
         this.id = id;
-        this.hash = hash;
-        this.failureRate = new Ewma(weight);
-        this.fillLatency = new ExpiringMean(weight, latencySpan);
-        this.recentWork = new SlidingWindowSum(sentSpan);
+        this.hash = RendezvousHash.mix(id);
+        this.failureRate = new Ewma(Smoothing.RECENT_WEIGHT);
+        this.fillLatency = new ExpiringMean(Smoothing.RECENT_WEIGHT, Smoothing.LATENCY_MEMORY_US);
+        this.recentWork = new SlidingWindowSum(overloadWindowUs);
     }
 
     /** The mean of what nodes have; 0 for no nodes. */
--- a/src/main/java/magpiewheel/routing/Ewma.java
+++ b/src/main/java/magpiewheel/routing/Ewma.java
@@ -4,28 +4,28 @@
 final class Ewma {
     private final double weight;
     private double value;
-    private int heard;
+    private int samples;
 
     Ewma(double weight) {
         this.weight = weight;
     }
 
     void add(double sample) {
-        heard = Math.min(heard + 1, Integer.MAX_VALUE - 1);
-        value += (sample - value) * Math.max(weight, 1.0 / heard);
+        samples = Math.min(samples + 1, Integer.MAX_VALUE - 1);
+        value += (sample - value) * Math.max(weight, 1.0 / samples);
     }
 
-    boolean heard() {
-        return heard > 0;
+    boolean hasSamples() {
+        return samples > 0;
     }
 
     /** The average, or the given value before anything was heard. */
     double or(double unheard) {
-        return heard > 0 ? value : unheard;
+        return samples > 0 ? value : unheard;
     }
 
     void forget() {
-        heard = 0;
+        samples = 0;
         value = 0;
     }
 }
--- a/src/main/java/magpiewheel/routing/ExpiringMean.java
+++ b/src/main/java/magpiewheel/routing/ExpiringMean.java
@@ -13,19 +13,19 @@
     }
 
     void add(long now, double sample) {
-        if (!heard(now)) {
+        if (!isFresh(now)) {
             mean.forget();
         }
         mean.add(sample);
         addedAt = now;
     }
 
-    boolean heard(long now) {
+    boolean isFresh(long now) {
         return now - addedAt <= spanUs;
     }
 
     /** The average at a time, or the given value where nothing was heard lately. */
     double or(long now, double unheard) {
-        return heard(now) ? mean.or(unheard) : unheard;
+        return isFresh(now) ? mean.or(unheard) : unheard;
     }
 }
--- a/src/main/java/magpiewheel/routing/FillCoalescer.java
+++ b/src/main/java/magpiewheel/routing/FillCoalescer.java
@@ -16,33 +16,31 @@
     /** A fill of a part was sent to a cache. */
     record Fill(long object, int part, int group, Endpoint cache, long since) {}
 
-    private final int most;
+    /** Fills remembered: some seconds' worth. */
+    private static final int MAX_FILLS = 4_096;
+
     private final Map<Part, Fill> fills = new LinkedHashMap<>();
     private final Set<InFlightRequest> waiting = new LinkedHashSet<>();
-    private final List<Fill> news = new ArrayList<>();
-
-    FillCoalescer(int most) {
-        this.most = most;
-    }
+    private final List<Fill> unreported = new ArrayList<>();
 
     /** A fill of this front goes out; the others are to be told. */
-    void sent(RoutingRequest request, Endpoint cache, long now) {
+    void started(RoutingRequest request, Endpoint cache, long now) {
         Fill fill = new Fill(request.objectId(), request.part(), request.group(), cache, now);
-        told(fill);
-        if (news.size() < most) {
-            news.add(fill);
+        reported(fill);
+        if (unreported.size() < MAX_FILLS) {
+            unreported.add(fill);
         }
     }
 
     /** A fill was sent, by whomever; the newest counts. */
-    void told(Fill fill) {
+    void reported(Fill fill) {
         Part part = new Part(fill.object(), fill.part());
         Fill known = fills.get(part);
         if (known == null || known.since() < fill.since()) {
             fills.remove(part);
             fills.put(part, fill);
         }
-        if (fills.size() > most) {
+        if (fills.size() > MAX_FILLS) {
             fills.remove(fills.keySet().iterator().next());
         }
     }
@@ -53,7 +51,7 @@
     }
 
     /** A cache has not got a part, and it is not on its way there. */
-    void lacks(RoutingRequest request, Endpoint cache) {
+    void missed(RoutingRequest request, Endpoint cache) {
         fills.computeIfPresent(
                 new Part(request.objectId(), request.part()), (part, fill) -> fill.cache() == cache ? null : fill);
         ended(request, cache);
@@ -61,23 +59,23 @@
 
     /** A fill of this front is out no longer: that it was sent is no news. */
     void ended(RoutingRequest request, Endpoint cache) {
-        news.removeIf(
+        unreported.removeIf(
                 fill -> fill.object() == request.objectId() && fill.part() == request.part() && fill.cache() == cache);
     }
 
     /** Forgets those of the fills. */
     void forget(Predicate<Fill> which) {
         fills.values().removeIf(which);
-        news.removeIf(which);
+        unreported.removeIf(which);
     }
 
     /** Fills that are still out and that the others were not told of: they are told once. */
-    List<HolderHint> takeNews(long now) {
-        List<HolderHint> taken = news.stream()
+    List<HolderHint> takeUnreported(long now) {
+        List<HolderHint> taken = unreported.stream()
                 .map(fill -> new HolderHint(fill.object(), fill.part(), fill.cache().id, fill.group(), (int)
                         ((now - fill.since()) / 1_000)))
                 .toList();
-        news.clear();
+        unreported.clear();
         return taken;
     }
 
--- /dev/null
+++ b/src/main/java/magpiewheel/routing/FillSourceSelector.java
@@ -0,0 +1,81 @@
+package magpiewheel.routing;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** Where a cache fills a miss from: a parent, or the origin itself. */
+final class FillSourceSelector {
+    /** Share of a class's latency objective by which parents' latencies must differ to count as different. */
+    private static final double EQUAL_LATENCY = 0.25;
+
+    private final EndpointTable endpoints;
+    private final OutlierDetector outliers;
+    private final SlowStart slowStart;
+    private final OriginHealth originHealth;
+    private final TransferTimes transfers;
+    private final RegionBridge regions;
+    private final StalenessBridge staleness;
+
+    FillSourceSelector(RoutingState state, OutlierDetector outliers, SlowStart slowStart, OriginHealth originHealth) {
+        this.endpoints = state.endpoints();
+        this.outliers = outliers;
+        this.slowStart = slowStart;
+        this.originHealth = originHealth;
+        this.transfers = state.transfers();
+        this.regions = state.regions();
+        this.staleness = state.staleness();
+    }
+
+    /** A usable parent unless the origin is faster, else the origin while it has capacity, else any parent, or null. */
+    Endpoint select(long now, InFlightRequest request) {
+        Endpoint parent = request.unproven ? null : parent(now, request, false);
+        Endpoint origin = endpoints.origin();
+        boolean originHasCapacity =
+                origin != null && (endpoints.parents().isEmpty() || origin.fillsInFlight < origin.concurrencyLimit);
+        if (parent != null && !(originHasCapacity && isSlower(now, parent, origin, request))) {
+            return parent;
+        }
+        return originHasCapacity ? origin : parent(now, request, true);
+    }
+
+    /** Whether a parent is later than the objective allows, and later than an origin that is not degraded. */
+    private boolean isSlower(long now, Endpoint parent, Endpoint origin, InFlightRequest request) {
+        double latencyUs = parent.fillLatency.or(now, 0);
+        return latencyUs > request.requestClass.latencyObjectiveUs()
+                && latencyUs > origin.fillLatency.or(now, 0)
+                && !originHealth.isDegraded(now);
+    }
+
+    /**
+     * The usable parent that leads the region; else the one of two with the lower latency, those not measured lately
+     * being average.
+     *
+     * @param evenUnhealthy whether ejected parents, and those that already failed the request, are taken as well
+     */
+    Endpoint parent(long now, InFlightRequest request, boolean evenUnhealthy) {
+        long objectId = request.request.objectId();
+        double workUs = transfers.carefulUs(request.request.requestClass());
+        List<Endpoint> usable = new ArrayList<>(endpoints.parents());
+        usable.removeIf(parent -> !slowStart.hasBudget(now, parent, workUs));
+        usable.removeIf(parent -> !evenUnhealthy && (!outliers.isUsable(now, parent) || request.failedFrom(parent)));
+        Endpoint leader = usable.isEmpty() ? null : regions.leaderAmong(now, usable, objectId, workUs);
+        if (usable.isEmpty() || leader != null) {
+            return evenUnhealthy || staleness.mayHoldAcceptableCopy(now, request, leader) ? leader : null;
+        }
+        return fasterOfTwo(now, request, usable);
+    }
+
+    /** The two are drawn by the object, the same each time, so that it is not cached at every parent in turn. */
+    private static Endpoint fasterOfTwo(long now, InFlightRequest request, List<Endpoint> usable) {
+        long objectId = request.request.objectId();
+        List<Endpoint> measured = usable.stream()
+                .filter(parent -> parent.fillLatency.isFresh(now))
+                .toList();
+        double average = Endpoint.mean(measured, parent -> parent.fillLatency.or(now, 0));
+        Endpoint one = RendezvousHash.first(usable, objectId);
+        usable.remove(one);
+        Endpoint two = usable.isEmpty() ? one : RendezvousHash.first(usable, objectId);
+        double gainUs = one.fillLatency.or(now, average) - two.fillLatency.or(now, average);
+        return gainUs > EQUAL_LATENCY * request.requestClass.latencyObjectiveUs() ? two : one;
+    }
+}
--- a/src/main/java/magpiewheel/routing/FleetProtocols.java
+++ b/src/main/java/magpiewheel/routing/FleetProtocols.java
@@ -21,55 +21,55 @@
      * One who speaks to other fronts besides the membership: which messages are its own, and what it wants of its
      * driver.
      */
-    record Speaker(Predicate<byte[]> isOurs, Ear ear, LongUnaryOperator due, LongConsumer tick) {}
+    record PeerProtocol(Predicate<byte[]> accepts, MessageHandler handler, LongUnaryOperator due, LongConsumer tick) {}
 
     /** Who hears messages of other fronts. */
-    interface Ear {
+    interface MessageHandler {
         /** A message from the address of a front. */
-        void heard(long now, int sender, byte[] message);
+        void handle(long now, int sender, byte[] message);
     }
 
     /**
      * us; from one call of all but the membership to the next: one may want more than it can have yet (to propose while
      * nobody hears it), and would want it again at once.
      */
-    private static final long PAUSE_US = 5_000;
+    private static final long MIN_INTERVAL_US = 5_000;
 
     private final MembershipProtocol membership;
     private final RegionConfig regions;
-    private final RoutingActions out;
-    private final long handle;
-    private final boolean speaks;
-    private final List<Speaker> speakers = new ArrayList<>();
+    private final RoutingActions actions;
+    private final long timerHandle;
+    private final boolean enabled;
+    private final List<PeerProtocol> protocols = new ArrayList<>();
     private RegionCoordinator region;
     private boolean started;
     /** When a timer is set for; none before the start, and none where fronts may not speak. */
-    private long wakeAt = Long.MAX_VALUE;
+    private long timerAt = Long.MAX_VALUE;
     /** Until when only the membership is called. */
-    private long pausedTo = Long.MIN_VALUE;
+    private long pausedUntil = Long.MIN_VALUE;
 
-    /** {@code regions} is null where they are off; timers bear the handle; {@code speaks} is whether fronts may. */
+    /** {@code regions} is null where they are off; timers bear the handle; {@code enabled} is whether fronts may. */
     FleetProtocols(MembershipConfig setup, RegionConfig regions, RoutingActions actions, long handle, boolean speaks) {
         this.regions = speaks ? regions : null;
-        this.out = actions;
-        this.handle = handle;
-        this.speaks = speaks;
+        this.actions = actions;
+        this.timerHandle = handle;
+        this.enabled = speaks;
         membership = new MembershipProtocol(setup.startedMs() * 1_000, setup, new DatagramSender() {
             @Override
             public void send(int front, byte[] message) {
-                out.sendToPeer(front, message);
+                actions.sendToPeer(front, message);
             }
 
             @Override
             public void knock(int front, long at) {
-                out.probeReachability(front, at);
+                actions.probeReachability(front, at);
             }
         });
     }
 
     /** One more that is driven from now on. */
-    void add(Speaker speaker) {
-        speakers.add(speaker);
+    void add(PeerProtocol speaker) {
+        protocols.add(speaker);
     }
 
     /** The first list has come: from now on the others hear of this front. */
@@ -77,14 +77,14 @@
         started = true;
         if (regions != null) {
             // Its clock starts now: promises of an earlier process may stand for a lease.
-            region = new RegionCoordinator(now, regions, membership, out::sendToPeer);
-            add(new Speaker(RegionCoordinator::isOurs, region::heard, region::due, region::tick));
+            region = new RegionCoordinator(now, regions, membership, actions::sendToPeer);
+            add(new PeerProtocol(RegionCoordinator::isOurs, region::heard, region::due, region::tick));
         }
-        wake(now);
+        scheduleTimer(now);
     }
 
     /** Who is there. */
-    MembershipView view() {
+    MembershipView membershipView() {
         return membership;
     }
 
@@ -94,16 +94,16 @@
     }
 
     /** Takes a message that is meant for one of them; false for any other. */
-    boolean heard(long now, long sender, byte[] message) {
+    boolean dispatch(long now, long sender, byte[] message) {
         if (MembershipProtocol.isOurs(message)) {
             membership.heard(now, (int) sender, message);
-            wake(now);
+            scheduleTimer(now);
             return true;
         }
-        for (Speaker speaker : speakers) {
-            if (speaker.isOurs().test(message)) {
-                speaker.ear().heard(now, (int) sender, message);
-                wake(now);
+        for (PeerProtocol speaker : protocols) {
+            if (speaker.accepts().test(message)) {
+                speaker.handler().handle(now, (int) sender, message);
+                scheduleTimer(now);
                 return true;
             }
         }
@@ -111,37 +111,37 @@
     }
 
     /** The timer is due. */
-    void tick(long now) {
-        wakeAt = now < wakeAt ? wakeAt : Long.MAX_VALUE;
+    void timerExpired(long now) {
+        timerAt = now < timerAt ? timerAt : Long.MAX_VALUE;
         // It looks around whenever it is called, as it did before others were driven with it.
         membership.tick(now);
         boolean others = false;
-        for (Speaker speaker : speakers) {
-            if (now >= pausedTo && speaker.due().applyAsLong(now) <= now) {
+        for (PeerProtocol speaker : protocols) {
+            if (now >= pausedUntil && speaker.due().applyAsLong(now) <= now) {
                 speaker.tick().accept(now);
                 others = true;
             }
         }
-        pausedTo = others ? now + PAUSE_US : pausedTo;
-        wake(now);
+        pausedUntil = others ? now + MIN_INTERVAL_US : pausedUntil;
+        scheduleTimer(now);
     }
 
     /** When one of them wants to be called next. */
     long due(long now) {
         long due = Long.MAX_VALUE;
-        for (Speaker speaker : speakers) {
+        for (PeerProtocol speaker : protocols) {
             due = Math.min(due, speaker.due().applyAsLong(now));
         }
-        return Math.min(membership.due(), Math.max(pausedTo, due));
+        return Math.min(membership.due(), Math.max(pausedUntil, due));
     }
 
     /** Sets the timer if one of them wants to be called sooner than it stands. */
-    void wake(long now) {
-        if (speaks && started) {
+    void scheduleTimer(long now) {
+        if (enabled && started) {
             long due = due(now);
-            if (due < wakeAt) {
-                wakeAt = due;
-                out.setTimer(due, handle);
+            if (due < timerAt) {
+                timerAt = due;
+                actions.setTimer(due, timerHandle);
             }
         }
     }
@@ -152,12 +152,12 @@
             membership.ready(now);
         }
         membership.leave(now, !serves);
-        wake(now);
+        scheduleTimer(now);
     }
 
     /** Asked at a time whether anybody listens there, the machine of another front said no. */
-    void refused(long now, int front, long askedAt) {
+    void reachabilityRefused(long now, int front, long askedAt) {
         membership.refused(now, front, askedAt);
-        wake(now);
+        scheduleTimer(now);
     }
 }
--- a/src/main/java/magpiewheel/routing/InFlightRequest.java
+++ b/src/main/java/magpiewheel/routing/InFlightRequest.java
@@ -38,6 +38,13 @@
         this.deadline = deadline;
     }
 
+    /** An attempt starts; the next one that asks only for what a cache holds has to be scheduled anew. */
+    void started(Attempt attempt, boolean cachedOnly) {
+        attempts.add(attempt);
+        cachedOnlyAttempts += cachedOnly ? 1 : 0;
+        nextLookupAt = Long.MAX_VALUE;
+    }
+
     /** Sets what its copy must keep to. What can't be proven of a strict read is not even tried. */
     void setBound(StalenessBound asked) {
         bound = asked;
--- a/src/main/java/magpiewheel/routing/LateRatio.java
+++ b/src/main/java/magpiewheel/routing/LateRatio.java
@@ -20,7 +20,7 @@
     }
 
     /** A share that another director saw: one sample for all, and late as of now if it is above 0. */
-    void told(long now, double share) {
+    void reportedByPeer(long now, double share) {
         if (share > 0) {
             this.share.add(share);
             lateAt = now;
--- /dev/null
+++ b/src/main/java/magpiewheel/routing/OutcomeProcessor.java
@@ -0,0 +1,181 @@
+package magpiewheel.routing;
+
+/** What the outcome of an attempt says of its target, its source, the object and the limits. */
+final class OutcomeProcessor {
+    private final RoutingSettings settings;
+    private final HolderTable holders;
+    private final TransferTimes transfers;
+    private final FillCoalescer fills;
+    private final StalenessBridge staleness;
+    private final OutlierDetector outliers;
+    private final OriginHealth originHealth;
+    private final ConcurrencyLimiter limiter;
+    private final CacheMissEstimator misses;
+    private final CachedOnlyPolicy cachedOnly;
+    private final PeerExchange peerExchange;
+
+    /** The parts that learn from outcomes, besides the shared state. */
+    record Learners(
+            OutlierDetector outliers,
+            OriginHealth originHealth,
+            ConcurrencyLimiter limiter,
+            CacheMissEstimator misses,
+            CachedOnlyPolicy cachedOnly,
+            PeerExchange peerExchange) {}
+
+    OutcomeProcessor(RoutingSettings settings, RoutingState state, Learners learners) {
+        this.settings = settings;
+        this.holders = state.holders();
+        this.transfers = state.transfers();
+        this.fills = state.fills();
+        this.staleness = state.staleness();
+        this.outliers = learners.outliers();
+        this.originHealth = learners.originHealth();
+        this.limiter = learners.limiter();
+        this.misses = learners.misses();
+        this.cachedOnly = learners.cachedOnly();
+        this.peerExchange = learners.peerExchange();
+    }
+
+    /** An attempt of a request has ended. */
+    void process(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome) {
+        staleness.attemptEnded(now, request, attempt, outcome);
+        if (outcome.result() != AttemptResult.TIMEOUT && outcome.result() != AttemptResult.CANCELLED) {
+            outliers.connectionEnded(now, attempt.target, outcome.result());
+        }
+        switch (outcome.result()) {
+            case OK -> served(now, request, attempt, outcome);
+            case MISS -> missed(now, request, attempt, outcome);
+            // No sign of an outlier; after the first attempt the holder may be tried again.
+            case CORRUPT -> attempt.sourceAtFault = request.attempts.size() == 1;
+            case CANCELLED, EXPIRED -> {}
+            default -> failed(now, request, attempt, outcome);
+        }
+    }
+
+    // ---------------------------------------------------------------- success
+
+    private void served(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome) {
+        outliers.succeeded(attempt.target);
+        request.attempts.stream().filter(other -> other.ambiguousError).forEach(other -> atFault(now, other));
+        transfers.ended(request.request, true);
+        if (request.requestClass.write()) {
+            return;
+        }
+        boolean hit = outcome.cacheStatus().isHit() && attempt.target.isCache();
+        measure(now, request, attempt, outcome, hit);
+        if (isFilled(outcome.cacheStatus())) {
+            attempt.source.lastAnsweredAt = now;
+            outliers.succeeded(attempt.source);
+            attempt.source.fillLatency.add(now, outcome.waitUs(transfers.ownUs(request.request)));
+        }
+        if (attempt.retentionRank > 0 && attempt.target.isCache()) {
+            noteHolder(now, request, attempt.target, hit);
+        }
+    }
+
+    private static boolean isFilled(CacheStatus status) {
+        return status == CacheStatus.FILLED || status == CacheStatus.FILLED_BY_ORIGIN;
+    }
+
+    /** Another endpoint served what failed here; where no status tells whose fault it was, the source may be it. */
+    private void atFault(long now, Attempt failed) {
+        outliers.failed(now, failed.target);
+        if (!settings.detailedCacheStatus() && failed.source != failed.target) {
+            outliers.failed(now, failed.source);
+        }
+    }
+
+    /** A holder stays one while its hint is fresh: else the other parts follow whoever took a spilled request. */
+    private void noteHolder(long now, InFlightRequest request, Endpoint cache, boolean hit) {
+        ObjectRecord object = holders.record(request.request.objectId());
+        Endpoint holder = holders.holder(now, object);
+        if (holder == null || holder == cache) {
+            object.cached(cache, now, request.request.part());
+            if (!hit) {
+                peerExchange.report(HolderHint.of(request.request, cache.id, 0));
+            }
+        }
+    }
+
+    /** The time of a hit speaks of its cache, any other of the fills. */
+    private void measure(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome, boolean hit) {
+        if (hit) {
+            boolean quiet = attempt.target.inFlight() < ConcurrencyLimiter.MIN_LIMIT;
+            transfers.measured(request.request, outcome.durationUs(), quiet);
+        }
+        boolean late = outcome.durationUs() > transfers.latencyObjectiveUs(request);
+        if (attempt.fillProbability > 0 && attempt.target.isCache()) {
+            misses.responded(hit);
+        }
+        if (!hit && outcome.cacheStatus() != CacheStatus.UNKNOWN) {
+            originHealth.filled(now, outcome.cacheStatus() == CacheStatus.FILLED_BY_ORIGIN, late);
+        }
+        limiter.adapt(now, attempt, hit, late);
+    }
+
+    // ---------------------------------------------------------------- misses
+
+    /** A copy that is not acceptable is a miss of its holder; a second one ends the request. */
+    private void missed(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome) {
+        boolean coalesced = outcome.cacheStatus() == CacheStatus.COALESCED;
+        boolean unacceptable = outcome.originTimeMs() != 0;
+        attempt.sourceAtFault = !unacceptable || !outcome.cacheStatus().isHit();
+        boolean lacks = attempt.source == attempt.target && !unacceptable;
+        boolean waits = cachedOnly.waitsAfterMiss(now, request, lacks && coalesced);
+        request.noMoreAttempts = !waits && (request.noMoreAttempts || unacceptable && request.unproven);
+        request.unproven |= unacceptable;
+        if (unacceptable || !coalesced) {
+            // Parts follow the holder of the first part, which need not hold those behind it.
+            ObjectRecord object = holders.record(request.request.objectId());
+            boolean partBehind = lacks && request.request.part() > object.highestPartCached;
+            object.holder = partBehind ? object.holder : null;
+            fills.missed(request.request, attempt.target);
+        }
+    }
+
+    // ---------------------------------------------------------------- failures
+
+    /** The source is at fault where the status says so, the target otherwise. */
+    private void failed(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome) {
+        CacheStatus status = outcome.cacheStatus();
+        boolean write = request.requestClass.write();
+        if (status == CacheStatus.SOURCE_REJECTED || status == CacheStatus.SOURCE_UNREACHABLE) {
+            attempt.sourceAtFault = true;
+            outliers.failed(now, attempt.source);
+            return;
+        }
+        if (status == CacheStatus.ORIGIN_FAILED || outcome.result() == AttemptResult.TIMEOUT && write) {
+            originHealth.failed(now);
+        }
+        if (status == CacheStatus.ORIGIN_FAILED || status == CacheStatus.NO_CAPACITY) {
+            limiter.adapt(now, attempt, false, true);
+            return;
+        }
+        if (isOverload(outcome.result())) {
+            if (!write) {
+                limiter.adapt(now, attempt, attempt.fillProbability == 0, true);
+            }
+            boolean late = outcome.durationUs() >= request.requestClass.latencyObjectiveUs();
+            if (outcome.result() == AttemptResult.REJECTED || late) {
+                return;
+            }
+        }
+        targetFailed(now, request, attempt, outcome.result());
+    }
+
+    private static boolean isOverload(AttemptResult result) {
+        return result == AttemptResult.TIMEOUT || result == AttemptResult.REJECTED;
+    }
+
+    /** An error may be the request's fault: the target is at fault once another serves it, and two errors end it. */
+    private void targetFailed(long now, InFlightRequest request, Attempt attempt, AttemptResult result) {
+        attempt.ambiguousError = result == AttemptResult.ERROR;
+        if (!attempt.ambiguousError) {
+            outliers.failed(now, attempt.target);
+        }
+        long errors =
+                request.attempts.stream().filter(other -> other.ambiguousError).count();
+        request.noMoreAttempts |= errors > 1;
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiewheel/routing/OutlierDetector.java
@@ -0,0 +1,125 @@
+package magpiewheel.routing;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.function.Predicate;
+
+/**
+ * Ejects endpoints that fail far more often than their tier, refuse connections or are unresponsive. An ejection ends
+ * with a probation, in which the endpoint gets one request at a time until one succeeds.
+ */
+final class OutlierDetector {
+    /** Failure rate from which an endpoint may be ejected: half is beyond what any sound endpoint shows. */
+    private static final double MIN_FAILURE_RATE = 0.4;
+    /** An outlier fails at this multiple of its tier's rate: else the fault is not its own. */
+    static final double FAILURE_RATIO = 2;
+    /** Share of a tier that stays in use whatever its health, so that no tier is ejected as a whole. */
+    private static final double MIN_SHARE_IN_USE = 0.5;
+    /** us; first and longest ejection, doubling between: short against the seconds that faults last. */
+    private static final long FIRST_EJECTION_US = 1_000_000;
+
+    private static final long LONGEST_EJECTION_US = 8_000_000;
+    /** us, attempts: an endpoint silent for so long while so many attempts are overdue is unresponsive. */
+    private static final long SILENCE_US = 400_000;
+
+    private static final int OVERDUE_ATTEMPTS = 3;
+
+    private final EndpointTable endpoints;
+    private final TransferTimes transfers;
+    private final RoutingActions actions;
+    private final boolean mayCancel;
+    /** Whether a tier may be ejected as a whole, since requests may go past it. */
+    private final boolean mayBypassCaches;
+
+    OutlierDetector(
+            RoutingSettings settings, EndpointTable endpoints, TransferTimes transfers, RoutingActions actions) {
+        this.endpoints = endpoints;
+        this.transfers = transfers;
+        this.actions = actions;
+        mayCancel = settings.limits().mayCancel();
+        mayBypassCaches = settings.mayBypassCaches();
+    }
+
+    /** Whether an endpoint may receive ordinary traffic; one on probation gets one request at a time. */
+    boolean isUsable(long now, Endpoint endpoint) {
+        if (now < endpoint.ejectedUntil) {
+            return false;
+        }
+        return !endpoint.onProbation || endpoint.ownInFlight + endpoint.fillsInFlight == 0;
+    }
+
+    /** Counts a success of an endpoint, which ends its probation. */
+    void succeeded(Endpoint endpoint) {
+        endpoint.failureRate.add(0);
+        if (endpoint.onProbation) {
+            endpoint.readmit();
+        }
+    }
+
+    /** Counts a failure of an endpoint, and ejects it where it is an outlier or on probation. */
+    void failed(long now, Endpoint endpoint) {
+        endpoint.failureRate.add(1);
+        if (endpoint.onProbation || isOutlier(endpoint)) {
+            eject(now, endpoint, false);
+        }
+    }
+
+    private boolean isOutlier(Endpoint endpoint) {
+        List<Endpoint> others = new ArrayList<>(endpoints.tierOf(endpoint));
+        others.remove(endpoint);
+        double tierRate = Endpoint.mean(others, other -> other.failureRate.or(0));
+        return endpoint.failureRate.or(0) > Math.max(MIN_FAILURE_RATE, FAILURE_RATIO * tierRate);
+    }
+
+    /** An attempt at an endpoint ended: refused connections in a row prove that it does not run. */
+    void connectionEnded(long now, Endpoint endpoint, AttemptResult result) {
+        boolean refused = result == AttemptResult.UNREACHABLE || result == AttemptResult.CONNECTION_LOST;
+        endpoint.attemptEnded(now, !refused);
+        if (endpoint.refusedConnects >= OVERDUE_ATTEMPTS) {
+            eject(now, endpoint, true);
+        }
+    }
+
+    /** Ejects an endpoint; without proof only while enough of its tier stays in use. */
+    private void eject(long now, Endpoint endpoint, boolean proven) {
+        List<Endpoint> tier = endpoints.tierOf(endpoint);
+        Predicate<Endpoint> inUse = other -> other != endpoint && now >= other.ejectedUntil;
+        boolean enough = tier.stream().filter(inUse).count() >= MIN_SHARE_IN_USE * tier.size();
+        if (now >= endpoint.ejectedUntil && (enough || proven && mayBypassCaches)) {
+            long ejectionUs = Math.max(FIRST_EJECTION_US, 2 * endpoint.ejectionUs);
+            endpoint.eject(now, Math.min(LONGEST_EJECTION_US, ejectionUs));
+        }
+    }
+
+    /** Ejects unresponsive endpoints and cancels what is in flight there: discovery reports late what vanished. */
+    void checkUnresponsive(long now, Collection<InFlightRequest> inFlight) {
+        endpoints.all().forEach(endpoint -> endpoint.overdueAttempts = 0);
+        List<InFlightRequest> requests = new ArrayList<>(inFlight);
+        for (InFlightRequest request : requests) {
+            Endpoint silent = unresponsive(now, request);
+            if (silent != null && ++silent.overdueAttempts >= (silent.onProbation ? 1 : OVERDUE_ATTEMPTS)) {
+                eject(now, silent, true);
+            }
+        }
+        for (InFlightRequest request : requests) {
+            Endpoint silent = unresponsive(now, request);
+            if (silent != null && now < silent.ejectedUntil && mayCancel) {
+                request.lastAttempt().sourceAtFault = silent != request.lastAttempt().target;
+                actions.cancelAttempt(request.request.id(), request.attempts.size() - 1);
+            }
+        }
+    }
+
+    /** The silent endpoint behind an overdue attempt: its cache, or its parent where the cache responds; else null. */
+    private Endpoint unresponsive(long now, InFlightRequest request) {
+        Attempt last = request.lastAttempt();
+        boolean open = last != null && last.open && !request.requestClass.write();
+        if (!open || now - last.sentAt < 2 * transfers.ownUs(request.request) + SILENCE_US) {
+            return null;
+        }
+        Endpoint suspect = now - last.target.lastAnsweredAt > SILENCE_US ? last.target : last.source;
+        long silenceUs = SILENCE_US * (suspect.isParent() ? 2 : 1);
+        return suspect.isOrigin() || now - suspect.lastAnsweredAt < silenceUs ? null : suspect;
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiewheel/routing/PeerExchange.java
@@ -0,0 +1,108 @@
+package magpiewheel.routing;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** What the routers of a zone report to each other: their load, their limits, new holders and fills they started. */
+final class PeerExchange {
+    /** Peers that a message goes to in a tick: more get them less often, so that messages grow with requests only. */
+    private static final int PEERS_PER_TICK = 6;
+    /** The most ticks from one message to the next. */
+    private static final int MAX_TICKS = 50;
+    /** Messages that a peer may miss until the load that it reported last is forgotten. */
+    private static final int SILENT_MESSAGES = 3;
+
+    private final RouterTopology topology;
+    private final boolean mayMessagePeers;
+    private final FleetProtocols fleet;
+    private final PeerReports peers;
+    private final RoutingState state;
+    private final OriginHealth originHealth;
+    private final ConcurrencyLimiter limiter;
+    private final RoutingActions actions;
+    private final List<HolderHint> unreportedHolders = new ArrayList<>();
+    private int ticks;
+
+    /** The parts that peers' reports come from and go to, besides the shared state. */
+    record Parts(FleetProtocols fleet, PeerReports peers, OriginHealth originHealth, ConcurrencyLimiter limiter) {}
+
+    PeerExchange(RoutingSettings settings, RoutingState state, Parts parts, RoutingActions actions) {
+        this.topology = settings.topology();
+        this.mayMessagePeers = settings.limits().mayMessagePeers();
+        this.state = state;
+        this.fleet = parts.fleet();
+        this.peers = parts.peers();
+        this.originHealth = parts.originHealth();
+        this.limiter = parts.limiter();
+        this.actions = actions;
+    }
+
+    /** A cache was filled: peers are to hear of it with the next message. */
+    void report(HolderHint holder) {
+        unreportedHolders.add(holder);
+    }
+
+    /** Called once a tick; sends messages with every so many. */
+    void tick(long now) {
+        if (mayMessagePeers && topology.routers() > 1) {
+            long silentUs = SILENT_MESSAGES * ticksPerMessage() * RequestRouter.TICK_US;
+            peers.updatePeers(now, fleet.membershipView().heardIn(topology.zone()), silentUs);
+            if (ticks % ticksPerMessage() == 0) {
+                sendReports(now);
+                unreportedHolders.clear();
+            }
+        }
+        ticks++;
+    }
+
+    /** A message to all now and then, also an empty one, lets new peers be found. */
+    private void sendReports(long now) {
+        PeerMessage message = new PeerMessage(
+                topology.zone(),
+                now,
+                limiter.ownFills(),
+                limiter.fillLimit(),
+                originHealth.lateRatio(now),
+                PeerMessageCodec.loads(state.endpoints().caches()),
+                state.fills().takeUnreported(now),
+                unreportedHolders);
+        List<byte[]> datagrams = PeerMessageCodec.encode(message);
+        peers.current().forEach(peer -> datagrams.forEach(datagram -> actions.sendToPeer(peer, datagram)));
+    }
+
+    private int ticksPerMessage() {
+        return Math.min(MAX_TICKS, 1 + peers.size() / PEERS_PER_TICK);
+    }
+
+    /** Takes a peer's message in; what can't be used has no effect. */
+    void received(long now, long sender, byte[] bytes) {
+        PeerReports.Heard heard = peers.received(now, sender, PeerMessageCodec.decode(bytes));
+        if (heard == null) {
+            return;
+        }
+        PeerMessage message = heard.message();
+        message.holders().forEach(hint -> holderReported(heard.at() - hint.ageUs(), hint));
+        message.fillsStarted().forEach(hint -> fillReported(heard.at() - hint.ageUs(), hint));
+        if (heard.first()) {
+            originHealth.reportedByPeer(now, message.originLateRatio());
+            limiter.reportedByPeer(message.fillLimit(), message.loads());
+        }
+    }
+
+    private void holderReported(long at, HolderHint hint) {
+        if (fillReported(at, hint)) {
+            state.holders().reportedByPeer(at, state.endpoints().get(hint.endpointId()), hint);
+        }
+    }
+
+    /** A report counts of a ready cache of this zone, if nothing was purged since. */
+    private boolean fillReported(long at, HolderHint hint) {
+        Endpoint cache = state.endpoints().get(hint.endpointId());
+        boolean ours = cache != null && cache.isReady() && cache.isCacheOf(topology.zone());
+        boolean counts = ours && at > state.purges().lastPurge(hint.objectId(), hint.group());
+        if (counts && hint.part() != PeerMessageCodec.NO_PART) {
+            state.fills().reported(new FillCoalescer.Fill(hint.objectId(), hint.part(), hint.group(), cache, at));
+        }
+        return counts;
+    }
+}
--- a/src/main/java/magpiewheel/routing/PeerReports.java
+++ b/src/main/java/magpiewheel/routing/PeerReports.java
@@ -14,17 +14,17 @@
     record Heard(PeerMessage message, long at, boolean first) {}
 
     private final int zone;
-    private final int most;
+    private final int maxPeers;
     private final long forgetUs;
     private final Map<Long, Endpoint> nodes;
     private final TreeMap<Long, PeerState> peers = new TreeMap<>();
-    private List<Integer> met = List.of();
-    private double fills;
+    private List<Integer> current = List.of();
+    private double fillsInFlight;
 
     /** Of one location; so many are remembered at most, and for so long. Loads told are counted at the nodes given. */
     PeerReports(int zone, int most, long forgetUs, Map<Long, Endpoint> nodes) {
         this.zone = zone;
-        this.most = most;
+        this.maxPeers = most;
         this.forgetUs = forgetUs;
         this.nodes = nodes;
     }
@@ -32,24 +32,24 @@
     /**
      * From now on those are told that the membership hears, and those that told something themselves not too long ago.
      */
-    void meet(long now, List<Integer> heard, long silentUs) {
+    void updatePeers(long now, List<Integer> heard, long silentUs) {
         TreeSet<Integer> all = new TreeSet<>(heard);
         peers.forEach((number, peer) -> {
             if (now - peer.heardAt > silentUs) {
                 // What it told of its load is out of date, whether it lives or not.
-                fills += peer.update(0, List.of(), nodes);
+                fillsInFlight += peer.update(0, List.of(), nodes);
             } else {
                 // Fronts of the release before are no members; they are met by what they tell.
                 all.add(number.intValue());
             }
         });
         peers.values().removeIf(peer -> now - peer.heardAt > forgetUs);
-        met = List.copyOf(all);
+        current = List.copyOf(all);
     }
 
     /** Takes a message in; null where it is none, another location's, or older than what was heard. */
-    Heard heard(long now, long sender, PeerMessage message) {
-        if (message == null || message.zone() != zone || peers.size() >= most) {
+    Heard received(long now, long sender, PeerMessage message) {
+        if (message == null || message.zone() != zone || peers.size() >= maxPeers) {
             return null;
         }
         PeerState peer = peers.computeIfAbsent(sender, key -> new PeerState());
@@ -61,21 +61,21 @@
         peer.leastDelay = Math.min(peer.leastDelay, now - message.sentAtUs());
         peer.lastSentAt = message.sentAtUs();
         if (first) {
-            fills += peer.update(message.fillsInFlight(), message.loads(), nodes);
+            fillsInFlight += peer.update(message.fillsInFlight(), message.loads(), nodes);
         }
         return new Heard(message, message.sentAtUs() + peer.leastDelay, first);
     }
 
-    List<Integer> all() {
-        return met;
+    List<Integer> current() {
+        return current;
     }
 
     int size() {
-        return met.size();
+        return current.size();
     }
 
     /** Fills that they have out, as far as they told. */
-    double fills() {
-        return fills;
+    double fillsInFlight() {
+        return fillsInFlight;
     }
 }
--- a/src/main/java/magpiewheel/routing/RegionBridge.java
+++ b/src/main/java/magpiewheel/routing/RegionBridge.java
@@ -23,26 +23,26 @@
  */
 final class RegionBridge {
     /** us; load and room are measured over so long, and looked at so often. */
-    private static final long SPAN_US = 2_000_000;
+    private static final long MEASURED_US = 2_000_000;
 
-    private static final long LOOK_US = 500_000;
+    private static final long REPORT_INTERVAL_US = 500_000;
     /**
      * us; an answer is overdue that takes so much longer than its sending time and the parent's usual wait, both twice:
      * what the module calls silent. A parent that waits for a slow origin does not hang.
      */
     private static final long OVERDUE_US = 400_000;
 
-    private static final double USUAL = 2;
+    private static final double USUAL_WAIT_FACTOR = 2;
     private static final double SECOND_US = 1e6;
 
     /** A fill that a parent owes an answer. */
-    private static final class Owed {
+    private static final class PendingFill {
         final Attempt attempt;
         final Endpoint parent;
         final long dueAt;
-        boolean told;
+        boolean reported;
 
-        Owed(Attempt attempt, Endpoint parent, long dueAt) {
+        PendingFill(Attempt attempt, Endpoint parent, long dueAt) {
             this.attempt = attempt;
             this.parent = parent;
             this.dueAt = dueAt;
@@ -52,12 +52,13 @@
     private final FleetProtocols fleet;
     private final RouterTopology place;
     private final double windowUs;
-    private final PriorityQueue<Owed> owed = new PriorityQueue<>(Comparator.comparingLong(fill -> fill.dueAt));
-    private final List<Owed> late = new ArrayList<>();
-    private final SlidingWindowSum filled = new SlidingWindowSum(SPAN_US);
-    private final Map<Long, SlidingWindowSum> sent = new HashMap<>();
+    private final PriorityQueue<PendingFill> pendingFills =
+            new PriorityQueue<>(Comparator.comparingLong(fill -> fill.dueAt));
+    private final List<PendingFill> overdueFills = new ArrayList<>();
+    private final SlidingWindowSum filledTransfers = new SlidingWindowSum(MEASURED_US);
+    private final Map<Long, SlidingWindowSum> sentTransfers = new HashMap<>();
     private List<Parent> parents = List.of();
-    private long lookAt = Long.MAX_VALUE;
+    private long nextReportAt = Long.MAX_VALUE;
 
     RegionBridge(FleetProtocols fleet, RoutingSettings settings) {
         this.fleet = fleet;
@@ -68,14 +69,15 @@
     }
 
     /** The list as it stands; the function tells how many transfers at once a node bears. */
-    void listed(long now, Collection<Endpoint> nodes, ToDoubleFunction<Endpoint> capacity) {
+    void endpointsChanged(long now, Collection<Endpoint> nodes, ToDoubleFunction<Endpoint> capacity) {
         RegionCoordinator region = fleet.region();
         if (region == null) {
             return;
         }
-        if (lookAt == Long.MAX_VALUE) {
-            lookAt = now + LOOK_US;
-            fleet.add(new FleetProtocols.Speaker(message -> false, (at, sender, message) -> {}, this::due, this::tick));
+        if (nextReportAt == Long.MAX_VALUE) {
+            nextReportAt = now + REPORT_INTERVAL_US;
+            fleet.add(new FleetProtocols.PeerProtocol(
+                    message -> false, (at, sender, message) -> {}, this::due, this::tick));
         }
         parents = nodes.stream()
                 .filter(node -> node.id != 0 && node.state != EndpointState.REMOVED && node.isParent())
@@ -90,13 +92,13 @@
                             node.state == EndpointState.DRAINING);
                 })
                 .toList();
-        sent.keySet().retainAll(parents.stream().map(Parent::id).toList());
+        sentTransfers.keySet().retainAll(parents.stream().map(Parent::id).toList());
         region.parents(now, parents);
-        fleet.wake(now);
+        fleet.scheduleTimer(now);
     }
 
     /** The one of these parents that leads for an object of this branch, or null. */
-    Endpoint among(long now, List<Endpoint> fit, long object, double workUs) {
+    Endpoint leaderAmong(long now, List<Endpoint> fit, long object, double workUs) {
         RegionCoordinator region = fleet.region();
         Leader leader = region == null ? null : region.leaderFor(now, place.zone(), object, workUs / windowUs);
         return leader == null
@@ -108,25 +110,29 @@
     }
 
     /** Whether a miss goes up now. */
-    boolean letsUp(long now, long object, double workUs) {
+    boolean admitsFill(long now, long object, double workUs) {
         return fleet.region() == null || fleet.region().letsUp(now, object, workUs / windowUs);
     }
 
     /** An attempt goes out that may become a fill; {@code ownUs} is its own sending time. */
-    void began(long now, Attempt attempt, long object, double workUs, double ownUs) {
+    void attemptStarted(long now, Attempt attempt, long object, double workUs, double ownUs) {
         RegionCoordinator region = fleet.region();
         if (region == null || attempt.fillProbability <= 0) {
             return;
         }
         double amount = attempt.fillProbability * ownUs / SECOND_US;
-        filled.add(now, amount);
+        filledTransfers.add(now, amount);
         Endpoint parent = parentOf(attempt);
         if (parent != null) {
             region.began(now, parent.id, object, workUs / windowUs, amount);
-            sent.computeIfAbsent(parent.id, id -> new SlidingWindowSum(SPAN_US)).add(now, amount);
-            owed.add(new Owed(
-                    attempt, parent, now + OVERDUE_US + (long) (USUAL * (ownUs + parent.fillLatency.or(now, 0)))));
-            fleet.wake(now);
+            sentTransfers
+                    .computeIfAbsent(parent.id, id -> new SlidingWindowSum(MEASURED_US))
+                    .add(now, amount);
+            pendingFills.add(new PendingFill(
+                    attempt,
+                    parent,
+                    now + OVERDUE_US + (long) (USUAL_WAIT_FACTOR * (ownUs + parent.fillLatency.or(now, 0)))));
+            fleet.scheduleTimer(now);
         }
     }
 
@@ -136,7 +142,7 @@
     }
 
     /** Such an attempt has ended. */
-    void ended(long now, Attempt attempt, long object, AttemptOutcome outcome, double ownUs) {
+    void attemptEnded(long now, Attempt attempt, long object, AttemptOutcome outcome, double ownUs) {
         RegionCoordinator region = fleet.region();
         if (region == null || attempt.fillProbability <= 0) {
             return;
@@ -165,63 +171,65 @@
                 region.overdue(now, parent.id, attempt.sentAt);
             }
         }
-        fleet.wake(now);
+        fleet.scheduleTimer(now);
     }
 
     // ---------------------------------------------------------------- time
 
     private long due(long now) {
-        while (!owed.isEmpty() && !owed.peek().attempt.open) {
-            owed.poll();
+        while (!pendingFills.isEmpty() && !pendingFills.peek().attempt.open) {
+            pendingFills.poll();
         }
-        return owed.isEmpty() ? lookAt : Math.min(lookAt, owed.peek().dueAt);
+        return pendingFills.isEmpty() ? nextReportAt : Math.min(nextReportAt, pendingFills.peek().dueAt);
     }
 
     private void tick(long now) {
-        ArrayDeque<Owed> fresh = new ArrayDeque<>();
-        while (due(now) <= now && !owed.isEmpty() && owed.peek().dueAt <= now) {
-            fresh.add(owed.poll());
+        ArrayDeque<PendingFill> fresh = new ArrayDeque<>();
+        while (due(now) <= now && !pendingFills.isEmpty() && pendingFills.peek().dueAt <= now) {
+            fresh.add(pendingFills.poll());
         }
-        late.removeIf(fill -> !fill.attempt.open);
-        late.addAll(fresh);
-        for (Owed fill : late) {
-            if (!fill.told && atFault(fill)) {
-                fill.told = true;
+        overdueFills.removeIf(fill -> !fill.attempt.open);
+        overdueFills.addAll(fresh);
+        for (PendingFill fill : overdueFills) {
+            if (!fill.reported && atFault(fill)) {
+                fill.reported = true;
                 fleet.region().overdue(now, fill.parent.id, fill.attempt.sentAt);
             }
         }
-        if (now >= lookAt) {
-            lookAt = now + LOOK_US;
-            look(now);
+        if (now >= nextReportAt) {
+            nextReportAt = now + REPORT_INTERVAL_US;
+            reportLoad(now);
         }
     }
 
     /** Whether the silence is the parent's: its cache speaks, or a second one is silent for the same parent. */
-    private boolean atFault(Owed fill) {
+    private boolean atFault(PendingFill fill) {
         Endpoint target = fill.attempt.target;
         return target == fill.parent
                 || target.lastAnsweredAt >= fill.attempt.sentAt
-                || late.stream().anyMatch(other -> other.parent == fill.parent && other.attempt.target != target);
+                || overdueFills.stream()
+                        .anyMatch(other -> other.parent == fill.parent && other.attempt.target != target);
     }
 
     /** Tells what the own branch fills, taking its fronts to be alike, and what is free of each parent's link. */
-    private void look(long now) {
+    private void reportLoad(long now) {
         RegionCoordinator region = fleet.region();
-        double seconds = SPAN_US / SECOND_US;
+        double seconds = MEASURED_US / SECOND_US;
         region.load(
                 now,
-                filled.at(now)
+                filledTransfers.at(now)
                         / seconds
-                        * (1 + fleet.view().heardIn(place.zone()).size()));
+                        * (1 + fleet.membershipView().heardIn(place.zone()).size()));
         Leader leader = region.leader(now);
-        int others = fleet.view().heard().size();
+        int others = fleet.membershipView().heard().size();
         int company = region.region() == null
                 ? others
                 : region.region().branches().stream()
-                        .mapToInt(branch -> fleet.view().heardIn(branch).size())
+                        .mapToInt(
+                                branch -> fleet.membershipView().heardIn(branch).size())
                         .sum();
         for (Parent parent : parents) {
-            SlidingWindowSum its = sent.get(parent.id());
+            SlidingWindowSum its = sentTransfers.get(parent.id());
             // The leader gets its region's fills, another parent those of all that go by the old way.
             int fronts = 1 + (leader != null && leader.parent() == parent.id() ? company : others);
             double use = its == null ? 0 : its.at(now) / seconds * fronts / parent.carries();
@@ -232,7 +240,7 @@
     // ---------------------------------------------------------------- figures
 
     /** What operators are shown, by name; nothing where regions are off. */
-    Map<String, Long> figures(long now) {
+    Map<String, Long> statistics(long now) {
         RegionCoordinator region = fleet.region();
         Map<String, Long> all = new LinkedHashMap<>();
         if (region == null) {
--- /dev/null
+++ b/src/main/java/magpiewheel/routing/RouteSelector.java
@@ -0,0 +1,69 @@
+package magpiewheel.routing;
+
+/** Puts a target, its fill source and the limits of fills together to a route. */
+final class RouteSelector {
+    private final EndpointTable endpoints;
+    private final FillSourceSelector sources;
+    private final ConcurrencyLimiter limiter;
+    private final LoadShedder shedder;
+    private final CacheMissEstimator misses;
+    private final TransferTimes transfers;
+    private final RegionBridge regions;
+
+    RouteSelector(
+            RoutingState state, FillSourceSelector sources, ConcurrencyLimiter limiter, CacheMissEstimator misses) {
+        this.endpoints = state.endpoints();
+        this.sources = sources;
+        this.limiter = limiter;
+        this.shedder = state.shedder();
+        this.misses = misses;
+        this.transfers = state.transfers();
+        this.regions = state.regions();
+    }
+
+    /** The fill source for a request; null where none is usable. */
+    Endpoint source(long now, InFlightRequest request) {
+        return sources.select(now, request);
+    }
+
+    /** The source that a read goes to past the caches while the fill limit admits it; else null. */
+    Endpoint bypassTarget(long now, InFlightRequest request) {
+        return admitsFill(request, 1) ? sources.select(now, request) : null;
+    }
+
+    /** A route past the caches, or null: a miss comes from the origin, or from any parent where there is none. */
+    Route bypass(long now, InFlightRequest request, Endpoint target) {
+        double fill = request.requestClass.write() ? 0 : 1;
+        Endpoint origin = endpoints.origin();
+        Endpoint source = target == null || origin != null ? origin : sources.parent(now, request, true);
+        boolean admitted = target != null && source != null && (fill == 0 || regionAdmitsFill(now, request, fill));
+        return admitted ? new Route(target, source, fill, false, false) : null;
+    }
+
+    /**
+     * A route by a cache; null without a cache or a source.
+     *
+     * @param cachedOnly whether the cache is asked only for what it holds
+     * @param cached whether the cache is known to hold the object
+     */
+    Route byCache(long now, InFlightRequest request, Endpoint cache, boolean cachedOnly, boolean cached) {
+        Endpoint source = sources.select(now, request);
+        if (cache == null || source == null) {
+            return null;
+        }
+        double fill = cached ? 0 : misses.missProbability();
+        // Beyond the limit no fill is started, but what is thought to be missing may be cached all the same.
+        boolean last = !cachedOnly && fill > 0 && (!admitsFill(request, fill) || !regionAdmitsFill(now, request, fill));
+        boolean noFill = cachedOnly || last;
+        return new Route(cache, noFill ? cache : source, noFill ? 0 : fill, noFill, last);
+    }
+
+    private boolean admitsFill(InFlightRequest request, double probability) {
+        return limiter.admitsFill(probability, shedder.limitFactor(request));
+    }
+
+    private boolean regionAdmitsFill(long now, InFlightRequest request, double probability) {
+        double workUs = transfers.workUs(request.request.requestClass());
+        return regions.admitsFill(now, request.request.objectId(), probability * workUs);
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiewheel/routing/RoutingState.java
@@ -0,0 +1,56 @@
+package magpiewheel.routing;
+
+/** What several decisions look at and keep up to date: endpoints, objects, fills in flight and measured times. */
+final class RoutingState {
+    private final EndpointTable endpoints;
+    private final PurgeLog purges = new PurgeLog();
+    private final HolderTable holders = new HolderTable(purges);
+    private final TransferTimes transfers;
+    private final LoadShedder shedder;
+    private final FillCoalescer fills = new FillCoalescer();
+    private final RegionBridge regions;
+    private final StalenessBridge staleness;
+
+    /** The state of an instance that knows only its settings. */
+    RoutingState(RoutingSettings settings, RegionBridge regions, StalenessBridge staleness) {
+        this.regions = regions;
+        this.staleness = staleness;
+        endpoints =
+                new EndpointTable(settings.topology(), settings.safetyLimits().overloadWindowUs());
+        transfers =
+                new TransferTimes(settings.requestClasses(), settings.topology().transferKbPerS());
+        shedder = new LoadShedder(transfers);
+    }
+
+    EndpointTable endpoints() {
+        return endpoints;
+    }
+
+    PurgeLog purges() {
+        return purges;
+    }
+
+    HolderTable holders() {
+        return holders;
+    }
+
+    TransferTimes transfers() {
+        return transfers;
+    }
+
+    LoadShedder shedder() {
+        return shedder;
+    }
+
+    FillCoalescer fills() {
+        return fills;
+    }
+
+    RegionBridge regions() {
+        return regions;
+    }
+
+    StalenessBridge staleness() {
+        return staleness;
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiewheel/routing/SlowStart.java
@@ -0,0 +1,71 @@
+package magpiewheel.routing;
+
+import magpiewheel.membership.MembershipView;
+import magpiewheel.region.SlowStartProfile;
+
+/**
+ * The budget of work that this router may send to an endpoint that started lately: a share of what the settings let the
+ * endpoint tolerate, so that all routers together stay within it.
+ */
+final class SlowStart {
+    /** Share of the budget that is used: the work of an attempt is an estimate. */
+    private static final double SAFETY = 0.6;
+    /** Concurrent transfers that a cache of unknown size is taken to carry when warm: a small machine's. */
+    private static final double MIN_CAPACITY = 3;
+    /** Share of all zones' links that the parents together are sized for, at least. */
+    private static final double PARENT_SHARE = 0.6;
+
+    private final RoutingSettings settings;
+    private final RouterTopology topology;
+    private final EndpointTable endpoints;
+    private final MembershipView membership;
+
+    SlowStart(RoutingSettings settings, EndpointTable endpoints, MembershipView membership) {
+        this.settings = settings;
+        this.topology = settings.topology();
+        this.endpoints = endpoints;
+        this.membership = membership;
+    }
+
+    /** Whether an endpoint tolerates this much more work from this router; always where it is warm. */
+    boolean hasBudget(long now, Endpoint endpoint, double workUs) {
+        SlowStartProfile profile = settings.safetyLimits().slowStart(endpoint.isParent());
+        long sinceStart = now - endpoint.info.startedUs();
+        boolean warm = endpoint.info.startedUs() <= 0 || sinceStart >= profile.warmUpUs() + profile.tipAfterUs();
+        if (warm || endpoint.isOrigin()) {
+            return true;
+        }
+        // The routers of a cache's zone divide its budget among them: those of other zones have none.
+        if (endpoint.isCache() && endpoint.info.zone() != topology.zone()) {
+            return false;
+        }
+        double tolerated = SAFETY * profile.bears(sinceStart) * capacity(endpoint);
+        double share = tolerated / sharers(now, endpoint);
+        double spent = endpoint.recentWork.at(now);
+        return spent + workUs <= share || spent == 0 && draw(now, endpoint, profile) * workUs < share;
+    }
+
+    private double sharers(long now, Endpoint endpoint) {
+        return endpoint.isParent() ? membership.sharers(now) : membership.sharersIn(now, endpoint.info.zone());
+    }
+
+    /** From 0 to 1, anew in each window: a share below one request becomes one request in some of the windows. */
+    private double draw(long now, Endpoint endpoint, SlowStartProfile profile) {
+        long windowUs = Math.max(1, profile.tipAfterUs());
+        long router = RendezvousHash.mix(topology.routerId());
+        long window = Math.floorDiv(now + Math.floorMod(router, windowUs), windowUs);
+        return RendezvousHash.part(router ^ RendezvousHash.mix(window ^ endpoint.hash));
+    }
+
+    /** Concurrent transfers of a warm endpoint, estimated low: by its weight, or for a parent by the links it feeds. */
+    double capacity(Endpoint endpoint) {
+        double weight = endpoint.info.weight();
+        if (settings.weightSource() == WeightSource.NOMINAL || settings.weightSource() == WeightSource.ROUGH) {
+            return Math.min(weight, Math.max(MIN_CAPACITY, weight * SAFETY));
+        }
+        double share = PARENT_SHARE
+                * topology.transfersOfAllLinks()
+                / Math.max(1, endpoints.parents().size());
+        return endpoint.isParent() ? Math.max(MIN_CAPACITY, share) : MIN_CAPACITY;
+    }
+}
--- a/src/main/java/magpiewheel/routing/StalenessBridge.java
+++ b/src/main/java/magpiewheel/routing/StalenessBridge.java
@@ -15,18 +15,17 @@
  */
 final class StalenessBridge implements BoundedReads {
     /** us; stands for the fresh time of a class whose copies never grow too old. */
-    private static final long EVER_US = Long.MAX_VALUE / 8;
+    private static final long UNLIMITED_FRESH_US = Long.MAX_VALUE / 8;
 
-    private static final int PURGES = 20_000;
     private static final long UNKNOWN_AGE = -1;
-    private static final long US_A_MS = 1_000;
-    private final BoundedStalenessReads pins;
+    private static final long US_PER_MS = 1_000;
+    private final BoundedStalenessReads reads;
     private final RouterTopology place;
     private final Map<Long, InFlightRequest> flights;
     /** The last request that went to the origin itself since its clock was not known. */
-    private InFlightRequest learner;
+    private InFlightRequest originReader;
     /** Purges by the origin's clock: the module's own are by this front's. */
-    private final PurgeLog purges = new PurgeLog(PURGES);
+    private final PurgeLog purges = new PurgeLog();
 
     /** Driven by the fleet; nothing is made where it is off. */
     StalenessBridge(
@@ -38,29 +37,30 @@
             RoutingActions out) {
         this.flights = flights;
         this.place = place;
-        pins = !on
+        reads = !on
                 ? null
-                : new BoundedStalenessReads(now, place.routerId(), place.zone(), fleet.view(), out::sendToPeer);
-        if (pins != null) {
-            fleet.add(new FleetProtocols.Speaker(
-                    BoundedStalenessReads::isOurs, pins::heard, at -> pins.due(), pins::tick));
+                : new BoundedStalenessReads(
+                        now, place.routerId(), place.zone(), fleet.membershipView(), out::sendToPeer);
+        if (reads != null) {
+            fleet.add(new FleetProtocols.PeerProtocol(
+                    BoundedStalenessReads::isOurs, reads::heard, at -> reads.due(), reads::tick));
         }
     }
 
     // ---------------------------------------------------------------- what the module asks
 
     /** What a request's copy must keep to; writes ignore hints. */
-    private StalenessBound bound(long now, InFlightRequest flight) {
-        if (pins == null
+    private StalenessBound boundOf(long now, InFlightRequest flight) {
+        if (reads == null
                 || flight.requestClass.write()
                 || !flight.request.hint().bounds()) {
             return StalenessBound.NONE;
         }
         long fresh = flight.requestClass.freshUs();
-        return pins.bound(
+        return reads.bound(
                 now,
                 flight.request.hint(),
-                fresh > 0 ? fresh : EVER_US,
+                fresh > 0 ? fresh : UNLIMITED_FRESH_US,
                 fresh > 0 ? flight.requestClass.staleGraceUs() : 0,
                 purgedUs(flight));
     }
@@ -69,28 +69,28 @@
      * Sets what a request's copy must keep to. Where only the origin can prove it, it goes there as if another copy had
      * not done; while one such request is out, others are refused.
      */
-    void keep(long now, InFlightRequest flight) {
-        flight.setBound(bound(now, flight));
-        if (flight.noMoreAttempts || !byOriginOnly(now, flight)) {
+    void applyHint(long now, InFlightRequest flight) {
+        flight.setBound(boundOf(now, flight));
+        if (flight.noMoreAttempts || !requiresOriginResponse(now, flight)) {
             return;
         }
         flight.unproven = true;
-        flight.noMoreAttempts = !BoundedStalenessReads.mayLearn(learner == null ? 0 : learner.openAttempts());
-        learner = flight.noMoreAttempts ? learner : flight;
+        flight.noMoreAttempts = !BoundedStalenessReads.mayLearn(originReader == null ? 0 : originReader.openAttempts());
+        originReader = flight.noMoreAttempts ? originReader : flight;
     }
 
     /** Whether a request's copy must come from the origin itself, and by no fill that is under way. */
-    boolean byOriginOnly(long now, InFlightRequest flight) {
-        return pins != null && pins.byOriginOnly(now, flight.bound);
+    boolean requiresOriginResponse(long now, InFlightRequest flight) {
+        return reads != null && reads.byOriginOnly(now, flight.bound);
     }
 
     /** The tighter of an age limit of the module's (0: none) and what the bound leaves a node. */
-    long ageLimit(long now, InFlightRequest flight, Endpoint target, long limit) {
+    long tightenAgeLimit(long now, InFlightRequest flight, Endpoint target, long limit) {
         long bound = !flight.bound.asks()
                 ? 0
-                : byOriginOnly(now, flight)
+                : requiresOriginResponse(now, flight)
                         ? 1
-                        : pins.freshUs(now, flight.request.objectId(), flight.request.part(), target.id, flight.bound);
+                        : reads.freshUs(now, flight.request.objectId(), flight.request.part(), target.id, flight.bound);
         return limit == 0 || bound > 0 && bound < limit ? bound : limit;
     }
 
@@ -98,8 +98,8 @@
      * The cache to ask first of those that are fit: the pinned one, or one whose copy will do, else the module's
      * holder.
      */
-    Endpoint pick(long now, InFlightRequest flight, List<Endpoint> fit, Endpoint holder) {
-        if (pins == null || flight.request.hint().session() == 0 && !flight.bound.asks()) {
+    Endpoint preferredCache(long now, InFlightRequest flight, List<Endpoint> fit, Endpoint holder) {
+        if (reads == null || flight.request.hint().session() == 0 && !flight.bound.asks()) {
             return holder;
         }
         List<Endpoint> order = new ArrayList<>(fit);
@@ -107,7 +107,7 @@
         if (holder != null && order.remove(holder)) {
             order.add(0, holder);
         }
-        long picked = pins.pick(
+        long picked = reads.pick(
                 now,
                 flight.request.hint(),
                 flight.request.objectId(),
@@ -122,52 +122,52 @@
     /**
      * Whether the pins themselves name a cache for a request: as where its session reads, or for a copy that will do.
      */
-    boolean picks(long now, InFlightRequest flight, Endpoint cache) {
-        return cache != null && pick(now, flight, List.of(cache), null) == cache;
+    boolean prefers(long now, InFlightRequest flight, Endpoint cache) {
+        return cache != null && preferredCache(now, flight, List.of(cache), null) == cache;
     }
 
     /** Whether what a node is known to hold can do for a request. */
-    boolean satisfies(long now, InFlightRequest flight, Endpoint node) {
+    boolean mayHoldAcceptableCopy(long now, InFlightRequest flight, Endpoint node) {
         return !flight.bound.asks()
                 || node == null
-                || pins.satisfies(now, flight.request.objectId(), flight.request.part(), node.id, flight.bound);
+                || reads.satisfies(now, flight.request.objectId(), flight.request.part(), node.id, flight.bound);
     }
 
     /** Whether a copy keeps to the bound, and is none from before a purge that was told since. */
-    boolean keeps(long now, InFlightRequest flight, long mintedUs) {
-        return !flight.bound.asks() || mintedUs >= purgedUs(flight) && pins.admits(now, flight.bound, mintedUs);
+    boolean accepts(long now, InFlightRequest flight, long mintedUs) {
+        return !flight.bound.asks() || mintedUs >= purgedUs(flight) && reads.admits(now, flight.bound, mintedUs);
     }
 
     /** The earliest that a copy may be minted after all purges; one of a purge's own ms may be from before it. */
     private long purgedUs(InFlightRequest flight) {
         long purge = purges.lastPurge(flight.request.objectId(), flight.request.group());
-        return purge == Long.MIN_VALUE ? 0 : purge + US_A_MS;
+        return purge == Long.MIN_VALUE ? 0 : purge + US_PER_MS;
     }
 
     @Override
     public DeliveryDecision evaluateDelivery(long now, long request, long mintedMs) {
         InFlightRequest flight = flights.get(request);
-        return pins == null || flight == null ? DeliveryDecision.UNCHANGED : passing(now, flight, mintedMs);
+        return reads == null || flight == null ? DeliveryDecision.UNCHANGED : decide(now, flight, mintedMs);
     }
 
     /** A copy that does not keep to the bound is passed on with its age, or not at all. */
-    private DeliveryDecision passing(long now, InFlightRequest flight, long mintedMs) {
-        long minted = Math.max(0, mintedMs) * US_A_MS;
+    private DeliveryDecision decide(long now, InFlightRequest flight, long mintedMs) {
+        long minted = Math.max(0, mintedMs) * US_PER_MS;
         long mark = BoundedStalenessReads.mark(minted, flight.requestClass.write());
-        if (keeps(now, flight, minted)) {
+        if (accepts(now, flight, minted)) {
             return new DeliveryDecision(true, mark, 0);
         }
         if (flight.bound.strict()) {
             return DeliveryDecision.WITHHELD;
         }
         // A copy from before a purge that was told since keeps to the bound as it was.
-        long aged = pins.aged(now, flight.bound, minted);
+        long aged = reads.aged(now, flight.bound, minted);
         return new DeliveryDecision(true, mark, aged == 0 ? UNKNOWN_AGE : aged);
     }
 
     /** How long a client that was refused for its hint is to stay away. */
-    long pauseUs(long now) {
-        return pins.pauseUs(now);
+    long retryAfterUs(long now) {
+        return reads.pauseUs(now);
     }
 
     // ---------------------------------------------------------------- what the pins are told
@@ -175,17 +175,17 @@
     @Override
     public void responseReceived(long request, int index, long at, CacheStatus note, long mintedMs) {
         InFlightRequest flight = flights.get(request);
-        if (pins == null || flight == null || mintedMs <= 0) {
+        if (reads == null || flight == null || mintedMs <= 0) {
             return;
         }
         Attempt attempt = flight.attempts.get(index);
         if (flight.requestClass.write()) {
-            pins.wrote(attempt.sentAt, at, mintedMs * US_A_MS);
+            reads.wrote(attempt.sentAt, at, mintedMs * US_PER_MS);
             return;
         }
         boolean past = !attempt.target.isCache();
         boolean own = attempt.source.isOrigin() && (past || filled(note));
-        pins.fetched(attempt.sentAt, at, mintedMs * US_A_MS, own && (!past || attempt.source == attempt.target));
+        reads.fetched(attempt.sentAt, at, mintedMs * US_PER_MS, own && (!past || attempt.source == attempt.target));
     }
 
     private static boolean filled(CacheStatus note) {
@@ -193,35 +193,35 @@
     }
 
     /** An attempt has ended; a copy that came with a miss would not do, and says only who holds it. */
-    void learn(long now, InFlightRequest flight, Attempt attempt, AttemptOutcome outcome) {
-        if (pins == null || outcome.originTimeMs() <= 0 || flight.requestClass.write()) {
+    void attemptEnded(long now, InFlightRequest flight, Attempt attempt, AttemptOutcome outcome) {
+        if (reads == null || outcome.originTimeMs() <= 0 || flight.requestClass.write()) {
             return;
         }
         ReadHint hint = outcome.result() == AttemptResult.OK ? flight.request.hint() : ReadHint.NONE;
-        long minted = outcome.originTimeMs() * US_A_MS;
+        long minted = outcome.originTimeMs() * US_PER_MS;
         if (attempt.target.isCache()) {
-            pins.served(now, hint, flight.request.objectId(), flight.request.part(), attempt.target.id, minted);
+            reads.served(now, hint, flight.request.objectId(), flight.request.part(), attempt.target.id, minted);
         }
         if (filled(outcome.cacheStatus()) && attempt.source.isParent()) {
-            pins.served(
+            reads.served(
                     now, ReadHint.NONE, flight.request.objectId(), flight.request.part(), attempt.source.id, minted);
         }
     }
 
     /** A purge was made. */
-    void purged(long now, Purge purge) {
-        if (pins != null) {
+    void objectsPurged(long now, Purge purge) {
+        if (reads != null) {
             // Without the origin's own time, this front's stands for it.
-            long at = purge.originTimeMs() > 0 ? purge.originTimeMs() * US_A_MS : now - purge.agoUs();
+            long at = purge.originTimeMs() > 0 ? purge.originTimeMs() * US_PER_MS : now - purge.agoUs();
             purges.add(at, purge);
-            pins.purged(now, purge.objectId(), purge.group(), at);
+            reads.purged(now, purge.objectId(), purge.group(), at);
         }
     }
 
     /** The list changed; of the nodes, the caches of the own branch matter. */
-    void nodes(long now, Collection<Endpoint> all) {
-        if (pins != null) {
-            pins.nodes(
+    void endpointsChanged(long now, Collection<Endpoint> all) {
+        if (reads != null) {
+            reads.nodes(
                     now,
                     all.stream()
                             .filter(node -> node.state != EndpointState.REMOVED
@@ -244,19 +244,21 @@
 
     @Override
     public void discoveryHeard(long at) {
-        if (pins != null) {
-            pins.board(at);
+        if (reads != null) {
+            reads.board(at);
         }
     }
 
     /** Adds what operators are shown to what there is; nothing where pins are off. */
-    Map<String, Long> figures(long now, Map<String, Long> all) {
-        if (pins != null) {
-            all.put("pins_held", (long) pins.pinned());
-            all.put("pins_uncertain_ms", pins.errorUs(now) < 0 ? -1 : (pins.errorUs(now) + US_A_MS - 1) / US_A_MS);
-            all.put("pins_board", (long) pins.step(now));
-            all.put("pins_clock_steps", pins.clockSteps());
-            all.put("pins_spoilt", pins.spoilt());
+    Map<String, Long> addStatistics(long now, Map<String, Long> all) {
+        if (reads != null) {
+            all.put("pins_held", (long) reads.pinned());
+            all.put(
+                    "pins_uncertain_ms",
+                    reads.errorUs(now) < 0 ? -1 : (reads.errorUs(now) + US_PER_MS - 1) / US_PER_MS);
+            all.put("pins_board", (long) reads.step(now));
+            all.put("pins_clock_steps", reads.clockSteps());
+            all.put("pins_spoilt", reads.spoilt());
         }
         return all;
     }
--- a/src/main/java/magpiewheel/routing/TransferTimes.java
+++ b/src/main/java/magpiewheel/routing/TransferTimes.java
@@ -8,39 +8,39 @@
  */
 final class TransferTimes {
     private static final double SECOND_US = 1e6;
-    private final List<RequestClass> profiles;
-    private final double flowKbPerS;
-    private final double carefulWeight;
+    private final List<RequestClass> requestClasses;
+    private final double transferKbPerS;
     private final Ewma[] mean;
     private final double[] careful;
     private final AnswerRateBySize answered;
 
     /**
-     * For classes at a client's pace (0 where that is not told); means move by these weights, those for hard limits by
-     * the second.
+     * Times of these classes.
+     *
+     * @param transferKbPerS the pace of a client's transfer; 0 where the settings do not say
      */
-    TransferTimes(List<RequestClass> profiles, double flowKbPerS, double weight, double carefulWeight) {
-        this.profiles = profiles;
-        this.flowKbPerS = flowKbPerS;
-        this.carefulWeight = carefulWeight;
-        mean = new Ewma[profiles.size()];
-        answered = new AnswerRateBySize(profiles.size());
-        careful =
-                profiles.stream().mapToDouble(RequestClass::latencyObjectiveUs).toArray();
+    TransferTimes(List<RequestClass> requestClasses, double transferKbPerS) {
+        this.requestClasses = requestClasses;
+        this.transferKbPerS = transferKbPerS;
+        mean = new Ewma[requestClasses.size()];
+        answered = new AnswerRateBySize(requestClasses.size());
+        careful = requestClasses.stream()
+                .mapToDouble(RequestClass::latencyObjectiveUs)
+                .toArray();
         for (int i = 0; i < mean.length; i++) {
-            mean[i] = new Ewma(weight);
+            mean[i] = new Ewma(Smoothing.LONG_TERM_WEIGHT);
         }
     }
 
     /** Whether the request's own size tells how long its transfer takes. */
     boolean sized(RoutingRequest request) {
-        return request.sizeKb() > 0 && flowKbPerS > 0;
+        return request.sizeKb() > 0 && transferKbPerS > 0;
     }
 
     /** A request came: where it tells its size, that is what its transfer takes. */
-    void asked(RoutingRequest request) {
+    void requested(RoutingRequest request) {
         if (sized(request)) {
-            double mostUs = profiles.get(request.requestClass()).deadlineUs();
+            double mostUs = requestClasses.get(request.requestClass()).deadlineUs();
             add(request.requestClass(), Math.min(ownUs(request), mostUs), true);
         }
     }
@@ -56,15 +56,15 @@
     }
 
     /** A copy that was held took so long to come; it tells where no size does. */
-    void took(RoutingRequest request, double us, boolean quiet) {
+    void measured(RoutingRequest request, double us, boolean quiet) {
         if (!sized(request)) {
-            add(request.requestClass(), us, quiet || !mean[request.requestClass()].heard());
+            add(request.requestClass(), us, quiet || !mean[request.requestClass()].hasSamples());
         }
     }
 
     /** One took so long; {@code plain} unless it may have shared its node's link with many others. */
     void add(int profile, double us, boolean plain) {
-        careful[profile] += carefulWeight * (us - careful[profile]);
+        careful[profile] += Smoothing.RECENT_WEIGHT * (us - careful[profile]);
         if (plain) {
             mean[profile].add(us);
         }
@@ -72,7 +72,7 @@
 
     /** Mean sending time of a class, us; before anything was seen its aim, which is longer. */
     double workUs(int profile) {
-        return mean[profile].or(profiles.get(profile).latencyObjectiveUs());
+        return mean[profile].or(requestClasses.get(profile).latencyObjectiveUs());
     }
 
     /**
@@ -87,13 +87,21 @@
     double longestReadUs() {
         double longest = 0;
         for (int i = 0; i < mean.length; i++) {
-            longest = profiles.get(i).write() ? longest : Math.max(longest, carefulUs(i));
+            longest = requestClasses.get(i).write() ? longest : Math.max(longest, carefulUs(i));
         }
         return longest;
     }
 
     /** Sending time of this very request where its size is told, else its class's mean, us. */
     double ownUs(RoutingRequest request) {
-        return sized(request) ? request.sizeKb() / flowKbPerS * SECOND_US : workUs(request.requestClass());
+        return sized(request) ? request.sizeKb() / transferKbPerS * SECOND_US : workUs(request.requestClass());
+    }
+
+    /** The latency objective grows with the request's own transfer time, but never past its deadline, us. */
+    double latencyObjectiveUs(InFlightRequest request) {
+        RequestClass requestClass = request.requestClass;
+        double objectiveUs =
+                requestClass.latencyObjectiveUs() + requestClass.objectiveStretch() * ownUs(request.request);
+        return Math.min(objectiveUs, request.deadline - request.arrivedAt);
     }
 }
--- a/src/test/java/magpiewheel/routing/RequestRouterTest.java
+++ b/src/test/java/magpiewheel/routing/RequestRouterTest.java
@@ -9,11 +9,71 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
 import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
 /** Events, their order and their errors. */
 class RequestRouterTest extends RequestRouterFixture {
+    /** The contract and its values; state, averages and codecs; bridges to other packages. */
+    private static final Set<String> NOT_DECIDING = Set.of(
+            "AttemptOutcome",
+            "AttemptPlan",
+            "AttemptResult",
+            "BoundedReads",
+            "CacheStatus",
+            "DeliveryDecision",
+            "EndpointInfo",
+            "EndpointListMode",
+            "EndpointState",
+            "HealthCheckResult",
+            "Idempotency",
+            "IdempotencyKeyScope",
+            "LoadMetric",
+            "LocalCopy",
+            "Purge",
+            "RequestClass",
+            "RequestLimits",
+            "RouterTopology",
+            "RoutingActions",
+            "RoutingPolicy",
+            "RoutingRequest",
+            "RoutingSettings",
+            "SafetyLimits",
+            "SiblingFills",
+            "Tenant",
+            "WeightSource",
+            "package-info",
+            "Attempt",
+            "Endpoint",
+            "EndpointTable",
+            "InFlightRequest",
+            "ObjectRecord",
+            "Route",
+            "RoutingState",
+            "AnswerRateBySize",
+            "DemandDistribution",
+            "Ewma",
+            "ExpiringMean",
+            "LateRatio",
+            "LogBuckets",
+            "LruMap",
+            "RendezvousHash",
+            "SlidingWindowSum",
+            "TransferTimes",
+            "EndpointLoad",
+            "HolderHint",
+            "PeerMessage",
+            "PeerMessageCodec",
+            "PeerReports",
+            "PeerState",
+            "FleetProtocols",
+            "RegionBridge",
+            "StalenessBridge");
+
     @Test
     void sameEventsGiveTheSameActions() {
         RecordingActions again = new RecordingActions();
@@ -82,21 +142,27 @@
                 .contains("profile 9"));
     }
 
-    /** {@code policy} in the deploy file names the files that hold the decisions, and no others. */
+    /**
+     * {@code policy} in the deploy file names just the files that hold decisions: all classes that the router is made
+     * of, but not its contract, nor what only stores, counts, encodes or forwards.
+     */
     @Test
     void theDeployFileNamesTheFilesThatDecide() throws IOException {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("policy = "))
                 .findFirst()
                 .orElseThrow();
-        List<String> files = Pattern.compile("\"([^\"]+)\"")
+        Set<String> named = Pattern.compile("\"src/main/java/magpiewheel/routing/(\\w+)\\.java\"")
                 .matcher(policy)
                 .results()
                 .map(match -> match.group(1))
-                .toList();
-        assertEquals(List.of("src/main/java/magpiewheel/routing/RequestRouter.java"), files);
-        for (String file : files) {
-            assertTrue(Files.exists(Path.of(file)), file);
+                .collect(Collectors.toSet());
+        Set<String> deciding = new TreeSet<>();
+        try (Stream<Path> files = Files.list(Path.of("src/main/java/magpiewheel/routing"))) {
+            files.map(file -> file.getFileName().toString().replace(".java", ""))
+                    .filter(name -> !NOT_DECIDING.contains(name))
+                    .forEach(deciding::add);
         }
+        assertEquals(deciding, named);
     }
 }
--- a/src/test/java/magpiewheel/routing/WarmingFleetTest.java
+++ b/src/test/java/magpiewheel/routing/WarmingFleetTest.java
@@ -120,7 +120,7 @@
     @Test
     void theFirstFewTransfersDoNotTellHowLongTheyTake() {
         RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
-        TransferTimes transfers = new TransferTimes(settings.requestClasses(), 10_000, 0.02, 0.1);
+        TransferTimes transfers = new TransferTimes(settings.requestClasses(), 10_000);
         assertEquals(500_000, transfers.carefulUs(0));
         for (int i = 0; i < 3; i++) {
             transfers.add(0, 5_000, true);
