--- a/src/main/java/magpiewheel/routing/AnswerRateBySize.java
+++ b/src/main/java/magpiewheel/routing/AnswerRateBySize.java
@@ -3,12 +3,12 @@
 import java.util.stream.IntStream;
 
 /**
- * How many of each class's requests ended and how many of them were answered, by their sending time. It tells whether
- * the largest of a class fall short of the rest. It only counts; what is older fades by halves.
+ * How many of each class's requests ended and how many of them were answered, by transfer time: whether the largest of
+ * a class are answered less often than the rest. It only counts; older requests fade by halves.
  */
 final class AnswerRateBySize {
-    /** Requests of a class after which all that was counted before counts half. */
-    private static final int FADE = 256;
+    /** Requests of a class after which all earlier ones count half. */
+    private static final int HALF_LIFE_REQUESTS = 256;
     /** Share of a class's requests that are its largest, and those with the next largest. */
     private static final double LARGEST = 0.1;
 
@@ -31,13 +31,13 @@
         classes = IntStream.range(0, count).mapToObj(number -> new Tally()).toArray(Tally[]::new);
     }
 
-    /** A request of a class with such a sending time has ended. */
+    /** A request of a class with such a transfer time ended. */
     void add(int profile, double sendingUs, boolean answered) {
         Tally tally = classes[profile];
         int step = LogBuckets.step(sendingUs);
         tally.ended[step]++;
         tally.answered[step] += answered ? 1 : 0;
-        if (++tally.counted % FADE == 0) {
+        if (++tally.counted % HALF_LIFE_REQUESTS == 0) {
             halve(tally.ended);
             halve(tally.answered);
         }
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Whether requests with such a sending time are among the largest tenth of their class, or the fifth below it, and
-     * that group's answered share is less than so much of their class's.
+     * Whether requests with such a transfer time are among the largest tenth of their class, or the fifth below it, and
+     * that group's answered share is below that of the class, times the floor.
      */
     boolean fallsShort(int profile, double sendingUs, double floor) {
         Tally tally = classes[profile];
--- a/src/main/java/magpiewheel/routing/Attempt.java
+++ b/src/main/java/magpiewheel/routing/Attempt.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** One attempt of a request. */
+/** One attempt of a request at an endpoint, and whose fault its failure was. */
 final class Attempt {
     final Endpoint target;
     final Endpoint source;
@@ -9,34 +9,34 @@
     final double fillProbability;
     boolean open = true;
     boolean sourceAtFault;
-    /** It ended with a plain error, which says of either the node or the request that it can't be used. */
+    /** It ended with an error that is the fault of either the endpoint or the request. */
     boolean ambiguousError;
 
     AttemptResult result;
 
-    Attempt(Endpoint target, Endpoint source, long sentAt, int keep, double fill) {
+    Attempt(Endpoint target, Endpoint source, long sentAt, int retentionRank, double fillProbability) {
         this.target = target;
         this.source = source;
         this.sentAt = sentAt;
-        this.retentionRank = keep;
-        this.fillProbability = fill;
+        this.retentionRank = retentionRank;
+        this.fillProbability = fillProbability;
     }
 
-    /** It goes out: counts so many in hand, and the work at whoever will have it. */
-    void start(long now, double work, int hands) {
-        target.ownInFlight += hands;
-        target.recentWork.add(now, work);
+    /** Counts it at its endpoints: so many in flight, and its work wherever that will be done. */
+    void start(long now, double workUs, int count) {
+        target.ownInFlight += count;
+        target.recentWork.add(now, workUs);
         if (source != target) {
             source.fillsInFlight++;
-            source.recentWork.add(now, work);
+            source.recentWork.add(now, workUs);
         }
     }
 
-    /** It has ended: what it counted for is taken back. */
-    void end(AttemptResult how, int hands) {
+    /** Takes back what was counted for it. */
+    void end(AttemptResult attemptResult, int count) {
         open = false;
-        result = how;
-        target.ownInFlight -= hands;
+        result = attemptResult;
+        target.ownInFlight -= count;
         if (source != target) {
             source.fillsInFlight--;
         }
--- a/src/main/java/magpiewheel/routing/AttemptOutcome.java
+++ b/src/main/java/magpiewheel/routing/AttemptOutcome.java
@@ -1,8 +1,12 @@
 package magpiewheel.routing;
 
 /**
- * How one attempt ended; {@code requestCompleted} says that the client needs no further answer, {@code originTimeMs}
- * when the origin gave out the copy that came (-1: not told, 0: none came). With {@code MISS} that copy would not do.
+ * How an attempt ended.
+ *
+ * @param requestCompleted whether the client needs no further answer
+ * @param firstByteUs how long the first byte took; 0 where that was not measured
+ * @param originTimeMs when the origin gave out the copy that came, Unix milliseconds: -1 where the response did not
+ *     say, 0 where none came. With {@code MISS} that copy was not acceptable
  */
 public record AttemptOutcome(
         long requestId,
@@ -14,9 +18,13 @@
         CacheStatus cacheStatus,
         long firstByteUs,
         long originTimeMs) {
-    /** How long it waited: to the first byte, or what its end took over its own sending time if that is longer. */
-    double waitUs(double ownUs) {
-        return Math.max(firstByteUs > 0 ? firstByteUs : durationUs, durationUs - ownUs);
+    /**
+     * How long the attempt waited: to the first byte or, where that is longer, beyond its transfer time.
+     *
+     * @param transferUs the time that the transfer alone takes
+     */
+    double waitUs(double transferUs) {
+        return Math.max(firstByteUs > 0 ? firstByteUs : durationUs, durationUs - transferUs);
     }
 
     /** Starts an attempt outcome with what it can't do without; all else has its preset. */
--- a/src/main/java/magpiewheel/routing/AttemptPlan.java
+++ b/src/main/java/magpiewheel/routing/AttemptPlan.java
@@ -1,10 +1,17 @@
 package magpiewheel.routing;
 
 /**
- * How an attempt is to be served. {@code retentionRank} is 0 to pass the object through, else a rank from 1 (dropped
- * first) to 3. {@code fillSource} is where a miss is filled from, the target itself for nowhere. A {@code maxAgeUs} of
- * 0 means the class's own fresh time. From {@code startByUs} on it may not begin: a drain, a purge or the end of a
- * key's window could forbid it.
+ * How an endpoint is to serve an attempt.
+ *
+ * @param retentionRank how long the object is to be cached: 0 not at all, then from 1 (evicted first) to 3
+ * @param deadlineUs when the attempt is to be given up
+ * @param joinFill whether it may join a fill in flight
+ * @param cachedOnly whether a parent may serve only what it holds
+ * @param bypassParentCache whether a parent is not to cache the object
+ * @param revalidate whether a stale copy may be revalidated
+ * @param fillSource where a miss is filled from; the endpoint itself for nowhere
+ * @param maxAgeUs the oldest acceptable copy; 0 for the class's own fresh time
+ * @param startByUs from then on it may not start: a drain, a purge or the end of a key's window could forbid it
  */
 public record AttemptPlan(
         int retentionRank,
--- a/src/main/java/magpiewheel/routing/AttemptResult.java
+++ b/src/main/java/magpiewheel/routing/AttemptResult.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** How an attempt or a probe ended; {@code CORRUPT}: a good answer was marred on its way, as any node's may be. */
+/** How an attempt or a health check ended; {@code CORRUPT} is a good response that was damaged on its way. */
 public enum AttemptResult {
     OK(false),
     ERROR(false),
@@ -13,7 +13,7 @@
     MISS(true),
     CORRUPT(false);
 
-    /** Whether this outcome proves that the request did not run. */
+    /** Whether this result proves that the request did not run. */
     public final boolean neverRan;
 
     AttemptResult(boolean neverRan) {
--- a/src/main/java/magpiewheel/routing/AttemptStarter.java
+++ b/src/main/java/magpiewheel/routing/AttemptStarter.java
@@ -95,6 +95,6 @@
         // A write only waits for the origin: counted in flight, a slow one would crowd hits out of sound caches.
         attempt.start(now, workUs, request.requestClass.write() ? 0 : 1);
         limiter.fillStarted(attempt.fillProbability);
-        regions.attemptStarted(now, attempt, request.request.objectId(), workUs, transfers.ownUs(request.request));
+        regions.attemptStarted(now, attempt, request.request.objectId(), workUs, transfers.transferUs(request.request));
     }
 }
--- a/src/main/java/magpiewheel/routing/BoundedReads.java
+++ b/src/main/java/magpiewheel/routing/BoundedReads.java
@@ -1,23 +1,26 @@
 package magpiewheel.routing;
 
-/** Reads of bounded staleness, as whoever passes answers on sees them. */
+/** Reads with a staleness bound, as whoever delivers responses sees them. */
 public interface BoundedReads {
     /**
-     * What becomes of an answer whose copy the origin gave out at a Unix ms (0 or less: not told). It changes nothing,
-     * and may be asked from inside a call of the module.
+     * Whether a response may be delivered, by the time at which the origin gave its copy out. It changes nothing, and
+     * may be called from inside an action of the policy.
+     *
+     * @param originTimeMs Unix milliseconds of the origin's clock; 0 or less where the response does not say
      */
-    DeliveryDecision evaluateDelivery(long now, long request, long mintedMs);
+    DeliveryDecision evaluateDelivery(long now, long requestId, long originTimeMs);
 
     /**
-     * An answer came to an attempt of a request at a time, with a copy that the origin gave out at a Unix ms (0 or
-     * less: not told). It is told before {@link #evaluateDelivery} is asked: a copy may prove by itself what no clock
-     * did.
+     * A response to an attempt came at a time. Called before {@link #evaluateDelivery}: a copy may prove by itself what
+     * no clock did.
+     *
+     * @param originTimeMs Unix milliseconds of the origin's clock; 0 or less where the response does not say
      */
-    void responseReceived(long request, int attempt, long at, CacheStatus note, long mintedMs);
+    void responseReceived(long requestId, int attempt, long at, CacheStatus status, long originTimeMs);
 
-    /** Whether what a request's hint asks for can't be proven, or a copy came that would not do. */
-    boolean isUnproven(long request);
+    /** Whether the bound of a request can't be proven, or a copy came that violates it. */
+    boolean isUnproven(long requestId);
 
-    /** The board was heard at a time, with all that it told before. */
+    /** Discovery was heard at a time, with all that it sent before. */
     void discoveryHeard(long at);
 }
--- a/src/main/java/magpiewheel/routing/CacheSelector.java
+++ b/src/main/java/magpiewheel/routing/CacheSelector.java
@@ -66,7 +66,7 @@
     /** Where a write passes through: the origin itself where routers reach it, else the least loaded cache, or null. */
     Endpoint forWrite(long now, InFlightRequest request, RetryPolicy.Permit permit) {
         Endpoint origin = endpoints.origin();
-        if (settings.mayBypassCaches() && origin != null && request.sharesKeyScope(permit.keyScopeOf(), origin)) {
+        if (settings.mayBypassCaches() && origin != null && request.isInKeyScope(permit.keyScopeOf(), origin)) {
             return origin;
         }
         List<Endpoint> candidates = candidates(now, request, permit, true);
@@ -78,8 +78,8 @@
             long now, InFlightRequest request, RetryPolicy.Permit permit, boolean evenUnhealthy) {
         double workUs = transfers.carefulUs(request.request.requestClass());
         List<Endpoint> allowed = new ArrayList<>(endpoints.caches());
-        allowed.removeIf(cache ->
-                !request.sharesKeyScope(permit.keyScopeOf(), cache) || !slowStart.hasBudget(now, cache, workUs));
+        allowed.removeIf(
+                cache -> !request.isInKeyScope(permit.keyScopeOf(), cache) || !slowStart.hasBudget(now, cache, workUs));
         List<Endpoint> healthy = new ArrayList<>(allowed);
         healthy.removeIf(cache -> !outliers.isUsable(now, cache) || request.failedAt(cache));
         return evenUnhealthy && healthy.isEmpty() ? allowed : healthy;
--- a/src/main/java/magpiewheel/routing/CacheStatus.java
+++ b/src/main/java/magpiewheel/routing/CacheStatus.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** What a cache says of how it answered; {@code UNKNOWN} where it says nothing. */
+/** How a cache handled an attempt, as its response says; {@code UNKNOWN} where it does not say. */
 public enum CacheStatus {
     UNKNOWN,
     HIT,
@@ -14,7 +14,7 @@
     NO_CAPACITY,
     ORIGIN_FAILED;
 
-    /** Whether it was served from a copy that was there. */
+    /** Whether the response came from a copy that the cache held. */
     boolean isHit() {
         return this == HIT || this == STALE;
     }
--- a/src/main/java/magpiewheel/routing/CachedOnlyPolicy.java
+++ b/src/main/java/magpiewheel/routing/CachedOnlyPolicy.java
@@ -27,7 +27,7 @@
     }
 
     /** The cache that a read first asks for what it holds, where its part is filled or would be; null for none. */
-    Endpoint cacheToAskFirst(long now, InFlightRequest request, Endpoint target) {
+    Endpoint firstCache(long now, InFlightRequest request, Endpoint target) {
         if (!applies(request)) {
             return null;
         }
@@ -41,12 +41,12 @@
     }
 
     private boolean applies(InFlightRequest request) {
-        boolean attemptsLeft = request.attempts.size() + 2 < settings.limits().maxAttempts();
-        boolean done = request.nextLookupAt == Long.MAX_VALUE;
+        boolean attemptsRemain = request.attempts.size() + 2 < settings.limits().maxAttempts();
+        boolean noneScheduled = request.nextLookupAt == Long.MAX_VALUE;
         return !settings.cachesJoinFills()
                 && request.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                && !done
-                && attemptsLeft;
+                && !noneScheduled
+                && attemptsRemain;
     }
 
     /** The cache that the part was sent to lately, unless the staleness bound itself names the target. */
@@ -68,14 +68,16 @@
     /**
      * A cache lacks the part: sets when the request may ask again, and says whether it waits.
      *
-     * @param onItsWay whether the cache said that the part is on its way there
+     * @param fillInFlight whether the cache said that the part is on its way there
      */
-    boolean waitsAfterMiss(long now, InFlightRequest request, boolean onItsWay) {
+    boolean waitsAfterMiss(long now, InFlightRequest request, boolean fillInFlight) {
         double objectiveUs = transfers.latencyObjectiveUs(request);
-        long leftUs = (long) (request.arrivedAt + objectiveUs - transfers.ownUs(request.request)) - now;
-        boolean waits =
-                onItsWay && leftUs > 0 && request.cachedOnlyAttempts < MAX_LOOKUPS && fills.waiting() < MAX_WAITING;
-        request.nextLookupAt = waits ? now + leftUs / (MAX_LOOKUPS - request.cachedOnlyAttempts) : Long.MAX_VALUE;
+        long remainingUs = (long) (request.arrivedAt + objectiveUs - transfers.transferUs(request.request)) - now;
+        boolean waits = fillInFlight
+                && remainingUs > 0
+                && request.cachedOnlyAttempts < MAX_LOOKUPS
+                && fills.waiting() < MAX_WAITING;
+        request.nextLookupAt = waits ? now + remainingUs / (MAX_LOOKUPS - request.cachedOnlyAttempts) : Long.MAX_VALUE;
         return waits;
     }
 }
--- a/src/main/java/magpiewheel/routing/DeliveryDecision.java
+++ b/src/main/java/magpiewheel/routing/DeliveryDecision.java
@@ -1,13 +1,15 @@
 package magpiewheel.routing;
 
 /**
- * What becomes of an answer that came for a request: whether it may be passed on, and what the client is told with it,
- * in ms: the mark by which it asks for nothing older, and the age of a copy older than asked for (-1: nothing bounds
- * it); 0 where it is not told.
+ * Whether a response is delivered, and what the client is told with it.
+ *
+ * @param deliver whether it may be delivered
+ * @param markMs what the client may hand back to get nothing older, Unix milliseconds of the origin; 0 for none
+ * @param ageMs the age of a copy older than was preferred; 0 where it is not older, -1 where its age is not bounded
  */
 public record DeliveryDecision(boolean deliver, long markMs, long ageMs) {
-    /** It is passed on, and nothing is told of it. */
+    /** It is delivered as it is. */
     public static final DeliveryDecision UNCHANGED = new DeliveryDecision(true, 0, 0);
-    /** It will not do. */
+    /** It is not delivered. */
     public static final DeliveryDecision WITHHELD = new DeliveryDecision(false, 0, 0);
 }
--- a/src/main/java/magpiewheel/routing/DemandDistribution.java
+++ b/src/main/java/magpiewheel/routing/DemandDistribution.java
@@ -1,20 +1,20 @@
 package magpiewheel.routing;
 
 /**
- * What was asked for lately: sending time by the worth that it earns. It tells how much of the demand earns less for
- * its time than a given request, in steps of a quarter of an octave; older demand fades by halves.
+ * The demand of late: transfer time by its value density, the priority weight per transfer time. It answers how much of
+ * the demand has a lower density than a request, in steps of a quarter of an octave; older demand fades by halves.
  */
 final class DemandDistribution {
-    /** Requests after which all that was noted before counts half: some busy ten seconds of one front. */
-    private static final int FADE = 256;
+    /** Samples after which all earlier ones count half: some busy ten seconds of one router. */
+    private static final int HALF_LIFE_SAMPLES = 256;
 
     private final double[] timeBy = new double[LogBuckets.STEPS];
     private double total;
-    private int noted;
+    private int samples;
 
-    /** Some sending time was asked for, by a request that earns so much for each unit of it. */
+    /** A request of such a value density needs so much transfer time. */
     void add(double density, double time) {
-        if (++noted % FADE == 0) {
+        if (++samples % HALF_LIFE_SAMPLES == 0) {
             total = 0;
             for (int i = 0; i < LogBuckets.STEPS; i++) {
                 timeBy[i] /= 2;
@@ -25,7 +25,7 @@
         total += time;
     }
 
-    /** Share of the sending time asked for that earns less, from 0 to 1; of its like half counts as less. */
+    /** The share of transfer time with a lower density, from 0 to 1; of the same density half counts as lower. */
     double below(double density) {
         if (total <= 0) {
             return 0;
--- a/src/main/java/magpiewheel/routing/Endpoint.java
+++ b/src/main/java/magpiewheel/routing/Endpoint.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 
-/** A node that discovery has named. */
+/** A cache, a parent or the origin, with what this router measured of it. */
 final class Endpoint {
     final long id;
     final long hash;
@@ -21,7 +21,7 @@
     long ejectedUntil;
     long ejectionUs;
     boolean onProbation;
-    /** When it last answered, as a target or as a source, and how many refused connects came since. */
+    /** When it last responded, as a target or as a source, and how many connections it refused or lost since. */
     long lastAnsweredAt;
 
     int refusedConnects;
@@ -36,12 +36,12 @@
         this.recentWork = new SlidingWindowSum(overloadWindowUs);
     }
 
-    /** The mean of what nodes have; 0 for no nodes. */
-    static double mean(List<Endpoint> nodes, ToDoubleFunction<Endpoint> what) {
-        return nodes.stream().mapToDouble(what).average().orElse(0);
+    /** The mean of a value over endpoints; 0 for none. */
+    static double mean(List<Endpoint> endpoints, ToDoubleFunction<Endpoint> value) {
+        return endpoints.stream().mapToDouble(value).average().orElse(0);
     }
 
-    /** Its process is a new one: what was seen of the one before counts for nothing. */
+    /** Its process was restarted: what was measured of the one before no longer counts. */
     void restarted(double firstLimit) {
         failureRate.forget();
         concurrencyLimit = firstLimit;
@@ -49,32 +49,32 @@
         ejectionUs = 0;
     }
 
-    /** It ended an attempt: with an answer of its own, or by a connection that it refused or broke. */
+    /** An attempt ended: with a response of its own, or by a connection that it refused or lost. */
     void attemptEnded(long now, boolean answered) {
         refusedConnects = answered ? 0 : refusedConnects + 1;
         lastAnsweredAt = answered ? now : lastAnsweredAt;
     }
 
-    /** It gets nothing for so long, and then one request at a time until one is served. */
+    /** It gets nothing for so long, and then one request at a time until one succeeds. */
     void eject(long now, long us) {
         ejectionUs = us;
         ejectedUntil = now + us;
         onProbation = true;
     }
 
-    /** It served its trial. */
+    /** Its probation ended with a success. */
     void readmit() {
         onProbation = false;
         failureRate.forget();
         ejectionUs = 0;
     }
 
-    /** What discovery says of it now. */
-    void update(EndpointInfo now, RouterTopology place) {
-        info = now;
-        state = now.state();
-        isParent = now.kind() == place.parentKind();
-        isOrigin = now.kind() == place.originKind();
+    /** Takes over what discovery says of it. */
+    void update(EndpointInfo newInfo, RouterTopology topology) {
+        info = newInfo;
+        state = newInfo.state();
+        isParent = newInfo.kind() == topology.parentKind();
+        isOrigin = newInfo.kind() == topology.originKind();
     }
 
     boolean isParent() {
@@ -93,22 +93,22 @@
         return isCache() && info.zone() == zone;
     }
 
-    /** Draining and gone nodes get nothing from the moment they are told of, as target and as source. */
+    /** Whether it may be a target or a source at all: draining and removed endpoints may not, from the notice on. */
     boolean isReady() {
         return state == EndpointState.READY;
     }
 
-    /** Whether it gets nothing new now, since it drains or for how it answers. */
+    /** Whether it gets nothing new now, since it drains or is ejected. */
     boolean isAvoided(long now) {
         return state == EndpointState.DRAINING || isReady() && now < ejectedUntil;
     }
 
-    /** Nothing of it is out, and none was sent in the time in which a cold node falls. */
+    /** Whether nothing is in flight there, and nothing was sent within the overload window. */
     boolean isIdle(long now) {
         return ownInFlight + fillsInFlight == 0 && recentWork.at(now) == 0;
     }
 
-    /** Attempts in hand: this director's and those that its location's other directors told. */
+    /** Attempts in flight: this router's and those that its peers reported. */
     int inFlight() {
         return ownInFlight + peersInFlight;
     }
--- a/src/main/java/magpiewheel/routing/EndpointInfo.java
+++ b/src/main/java/magpiewheel/routing/EndpointInfo.java
@@ -1,6 +1,12 @@
 package magpiewheel.routing;
 
-/** One line of discovery's list. {@code startedUs} is 0 for a node that has run for long. */
+/**
+ * One endpoint in discovery's list.
+ *
+ * @param kind its kind of machine, by which caches, parents and the origin are told apart
+ * @param startedUs when it started; 0 for one that has run for long
+ * @param cell the part of its zone in which idempotency keys may be shared
+ */
 public record EndpointInfo(long id, int kind, long startedUs, int zone, double weight, EndpointState state, int cell) {
 
     /** Starts an endpoint info with what it can't do without; all else has its preset. */
--- a/src/main/java/magpiewheel/routing/EndpointListMode.java
+++ b/src/main/java/magpiewheel/routing/EndpointListMode.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** How a list of nodes relates to the one before it. */
+/** How a list of endpoints relates to the one before it. */
 public enum EndpointListMode {
     DELTA,
     FULL,
--- a/src/main/java/magpiewheel/routing/EndpointLoad.java
+++ b/src/main/java/magpiewheel/routing/EndpointLoad.java
@@ -1,4 +1,4 @@
 package magpiewheel.routing;
 
-/** Attempts that the sender has in hand at a cache, and how many it thinks the cache carries. */
+/** The attempts that the sender has in flight at a cache, and its concurrency limit there. */
 record EndpointLoad(long endpointId, int inFlight, double concurrencyLimit) {}
--- a/src/main/java/magpiewheel/routing/EndpointState.java
+++ b/src/main/java/magpiewheel/routing/EndpointState.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** What discovery says of a node. */
+/** What discovery says of an endpoint. */
 public enum EndpointState {
     REMOVED,
     READY,
--- a/src/main/java/magpiewheel/routing/Ewma.java
+++ b/src/main/java/magpiewheel/routing/Ewma.java
@@ -19,9 +19,9 @@
         return samples > 0;
     }
 
-    /** The average, or the given value before anything was heard. */
-    double or(double unheard) {
-        return samples > 0 ? value : unheard;
+    /** The average, or the fallback before the first sample. */
+    double or(double fallback) {
+        return samples > 0 ? value : fallback;
     }
 
     void forget() {
--- a/src/main/java/magpiewheel/routing/ExpiringMean.java
+++ b/src/main/java/magpiewheel/routing/ExpiringMean.java
@@ -1,15 +1,15 @@
 package magpiewheel.routing;
 
-/** A moving average that is forgotten when nothing was added for a while: what a node was like long ago says little. */
+/** A moving average that is forgotten when no sample was added for a while: old samples say little of an endpoint. */
 final class ExpiringMean {
     private final Ewma mean;
-    private final long spanUs;
+    private final long memoryUs;
     private long addedAt = Long.MIN_VALUE / 2;
 
-    /** An average of this weight that stands for so long after the last sample. */
-    ExpiringMean(double weight, long spanUs) {
+    /** An average of this weight, remembered for so long after the last sample. */
+    ExpiringMean(double weight, long memoryUs) {
         this.mean = new Ewma(weight);
-        this.spanUs = spanUs;
+        this.memoryUs = memoryUs;
     }
 
     void add(long now, double sample) {
@@ -21,11 +21,11 @@
     }
 
     boolean isFresh(long now) {
-        return now - addedAt <= spanUs;
+        return now - addedAt <= memoryUs;
     }
 
-    /** The average at a time, or the given value where nothing was heard lately. */
-    double or(long now, double unheard) {
-        return isFresh(now) ? mean.or(unheard) : unheard;
+    /** The average at a time, or the fallback where no sample is fresh. */
+    double or(long now, double fallback) {
+        return isFresh(now) ? mean.or(fallback) : fallback;
     }
 }
--- a/src/main/java/magpiewheel/routing/FillCoalescer.java
+++ b/src/main/java/magpiewheel/routing/FillCoalescer.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** Where parts of objects were lately sent to be filled, and which requests wait for such a fill. It only stores. */
+/** Which fills of parts were started lately and where, and which requests wait for one. It only stores. */
 final class FillCoalescer {
     /** One part of an object. */
-    private record Part(long object, int part) {}
+    private record Part(long objectId, int part) {}
 
-    /** A fill of a part was sent to a cache. */
-    record Fill(long object, int part, int group, Endpoint cache, long since) {}
+    /** A fill of a part was started at a cache. */
+    record Fill(long objectId, int part, int group, Endpoint cache, long since) {}
 
     /** Fills remembered: some seconds' worth. */
     private static final int MAX_FILLS = 4_096;
@@ -23,7 +23,7 @@
     private final Set<InFlightRequest> waiting = new LinkedHashSet<>();
     private final List<Fill> unreported = new ArrayList<>();
 
-    /** A fill of this front goes out; the others are to be told. */
+    /** This router starts a fill; its peers are to hear of it. */
     void started(RoutingRequest request, Endpoint cache, long now) {
         Fill fill = new Fill(request.objectId(), request.part(), request.group(), cache, now);
         reported(fill);
@@ -32,11 +32,11 @@
         }
     }
 
-    /** A fill was sent, by whomever; the newest counts. */
+    /** A fill was started by some router; the newest counts. */
     void reported(Fill fill) {
-        Part part = new Part(fill.object(), fill.part());
-        Fill known = fills.get(part);
-        if (known == null || known.since() < fill.since()) {
+        Part part = new Part(fill.objectId(), fill.part());
+        Fill newest = fills.get(part);
+        if (newest == null || newest.since() < fill.since()) {
             fills.remove(part);
             fills.put(part, fill);
         }
@@ -45,34 +45,34 @@
         }
     }
 
-    /** Where a part was sent last, or null. */
+    /** The newest fill of a part, or null. */
     Fill of(RoutingRequest request) {
         return fills.get(new Part(request.objectId(), request.part()));
     }
 
-    /** A cache has not got a part, and it is not on its way there. */
+    /** A cache lacks a part, and no fill of it is in flight there. */
     void missed(RoutingRequest request, Endpoint cache) {
         fills.computeIfPresent(
                 new Part(request.objectId(), request.part()), (part, fill) -> fill.cache() == cache ? null : fill);
         ended(request, cache);
     }
 
-    /** A fill of this front is out no longer: that it was sent is no news. */
+    /** A fill of this router ended: that it was started need not be reported any more. */
     void ended(RoutingRequest request, Endpoint cache) {
-        unreported.removeIf(
-                fill -> fill.object() == request.objectId() && fill.part() == request.part() && fill.cache() == cache);
+        unreported.removeIf(fill ->
+                fill.objectId() == request.objectId() && fill.part() == request.part() && fill.cache() == cache);
     }
 
-    /** Forgets those of the fills. */
+    /** Forgets the fills that match. */
     void forget(Predicate<Fill> which) {
         fills.values().removeIf(which);
         unreported.removeIf(which);
     }
 
-    /** Fills that are still out and that the others were not told of: they are told once. */
+    /** The fills in flight that were not reported to peers yet; each is reported once. */
     List<HolderHint> takeUnreported(long now) {
         List<HolderHint> taken = unreported.stream()
-                .map(fill -> new HolderHint(fill.object(), fill.part(), fill.cache().id, fill.group(), (int)
+                .map(fill -> new HolderHint(fill.objectId(), fill.part(), fill.cache().id, fill.group(), (int)
                         ((now - fill.since()) / 1_000)))
                 .toList();
         unreported.clear();
@@ -84,7 +84,7 @@
         return waiting.size();
     }
 
-    /** A request waits for what is on its way to a cache; it counts in hand there. */
+    /** A request waits for a fill at a cache; it counts as in flight there. */
     void await(InFlightRequest flight, Endpoint cache) {
         flight.awaitedCache = cache;
         cache.ownInFlight++;
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Those of the waiting that may go on now. */
+    /** Ends the waiting of the requests that match, and returns them. */
     List<InFlightRequest> released(Predicate<InFlightRequest> which) {
         List<InFlightRequest> released = waiting.stream().filter(which).toList();
         released.forEach(this::release);
--- a/src/main/java/magpiewheel/routing/FleetProtocols.java
+++ b/src/main/java/magpiewheel/routing/FleetProtocols.java
@@ -13,25 +13,22 @@
 import magpiewheel.region.RegionCoordinator;
 
 /**
- * Drives as one what speaks to the other fronts: the membership, and the regions where they are on. Each message goes
- * to whom its first byte names, and one timer wakes all of them. Nothing is decided here.
+ * Drives the protocols between routers: the membership, and others that are enabled. Each message is dispatched by its
+ * first byte, and one timer serves all of them. Nothing is decided here.
  */
 final class FleetProtocols {
-    /**
-     * One who speaks to other fronts besides the membership: which messages are its own, and what it wants of its
-     * driver.
-     */
+    /** A protocol besides the membership: which messages are its own, and when it wants to be called. */
     record PeerProtocol(Predicate<byte[]> accepts, MessageHandler handler, LongUnaryOperator due, LongConsumer tick) {}
 
-    /** Who hears messages of other fronts. */
+    /** Handles the messages of a protocol. */
     interface MessageHandler {
-        /** A message from the address of a front. */
+        /** A message came from the address of a router. */
         void handle(long now, int sender, byte[] message);
     }
 
     /**
-     * us; from one call of all but the membership to the next: one may want more than it can have yet (to propose while
-     * nobody hears it), and would want it again at once.
+     * us; least time from one call of the other protocols to the next: one may be due again at once for something that
+     * it can not do yet, such as to propose while no peer is reachable.
      */
     private static final long MIN_INTERVAL_US = 5_000;
 
@@ -43,66 +40,73 @@
     private final List<PeerProtocol> protocols = new ArrayList<>();
     private RegionCoordinator region;
     private boolean started;
-    /** When a timer is set for; none before the start, and none where fronts may not speak. */
+    /** When the timer expires; {@link Long#MAX_VALUE} for none: before the start, or where messages are not allowed. */
     private long timerAt = Long.MAX_VALUE;
     /** Until when only the membership is called. */
     private long pausedUntil = Long.MIN_VALUE;
 
-    /** {@code regions} is null where they are off; timers bear the handle; {@code enabled} is whether fronts may. */
-    FleetProtocols(MembershipConfig setup, RegionConfig regions, RoutingActions actions, long handle, boolean speaks) {
-        this.regions = speaks ? regions : null;
+    /**
+     * The protocols of one router.
+     *
+     * @param regions the configuration of its regions; null where they are off
+     * @param timerHandle the handle of the timers that it sets
+     * @param enabled whether routers may send messages
+     */
+    FleetProtocols(
+            MembershipConfig config, RegionConfig regions, RoutingActions actions, long timerHandle, boolean enabled) {
+        this.regions = enabled ? regions : null;
         this.actions = actions;
-        this.timerHandle = handle;
-        this.enabled = speaks;
-        membership = new MembershipProtocol(setup.startedMs() * 1_000, setup, new DatagramSender() {
+        this.timerHandle = timerHandle;
+        this.enabled = enabled;
+        membership = new MembershipProtocol(config.startedMs() * 1_000, config, new DatagramSender() {
             @Override
-            public void send(int front, byte[] message) {
-                actions.sendToPeer(front, message);
+            public void send(int router, byte[] message) {
+                actions.sendToPeer(router, message);
             }
 
             @Override
-            public void knock(int front, long at) {
-                actions.probeReachability(front, at);
+            public void knock(int router, long at) {
+                actions.probeReachability(router, at);
             }
         });
     }
 
-    /** One more that is driven from now on. */
-    void add(PeerProtocol speaker) {
-        protocols.add(speaker);
+    /** Adds a protocol, which is driven from now on. */
+    void add(PeerProtocol protocol) {
+        protocols.add(protocol);
     }
 
-    /** The first list has come: from now on the others hear of this front. */
+    /** The first list came: from now on the other routers hear of this one. */
     void start(long now) {
         started = true;
         if (regions != null) {
-            // Its clock starts now: promises of an earlier process may stand for a lease.
+            // Its clock starts now: a promise of an earlier process may still support a lease.
             region = new RegionCoordinator(now, regions, membership, actions::sendToPeer);
             add(new PeerProtocol(RegionCoordinator::isOurs, region::heard, region::due, region::tick));
         }
         scheduleTimer(now);
     }
 
-    /** Who is there. */
+    /** The routers of the fleet, as far as is known. */
     MembershipView membershipView() {
         return membership;
     }
 
-    /** The regions, or null where they are off or nothing has started yet. */
+    /** The regions; null while they are off, or before the start. */
     RegionCoordinator region() {
         return region;
     }
 
-    /** Takes a message that is meant for one of them; false for any other. */
+    /** Dispatches a message to its protocol; false where it belongs to none. */
     boolean dispatch(long now, long sender, byte[] message) {
         if (MembershipProtocol.isOurs(message)) {
             membership.heard(now, (int) sender, message);
             scheduleTimer(now);
             return true;
         }
-        for (PeerProtocol speaker : protocols) {
-            if (speaker.accepts().test(message)) {
-                speaker.handler().handle(now, (int) sender, message);
+        for (PeerProtocol protocol : protocols) {
+            if (protocol.accepts().test(message)) {
+                protocol.handler().handle(now, (int) sender, message);
                 scheduleTimer(now);
                 return true;
             }
@@ -110,32 +114,32 @@
         return false;
     }
 
-    /** The timer is due. */
+    /** The timer expired. */
     void timerExpired(long now) {
         timerAt = now < timerAt ? timerAt : Long.MAX_VALUE;
-        // It looks around whenever it is called, as it did before others were driven with it.
+        // The membership expects a call with every expiry, whether or not it is due.
         membership.tick(now);
-        boolean others = false;
-        for (PeerProtocol speaker : protocols) {
-            if (now >= pausedUntil && speaker.due().applyAsLong(now) <= now) {
-                speaker.tick().accept(now);
-                others = true;
+        boolean anyTicked = false;
+        for (PeerProtocol protocol : protocols) {
+            if (now >= pausedUntil && protocol.due().applyAsLong(now) <= now) {
+                protocol.tick().accept(now);
+                anyTicked = true;
             }
         }
-        pausedUntil = others ? now + MIN_INTERVAL_US : pausedUntil;
+        pausedUntil = anyTicked ? now + MIN_INTERVAL_US : pausedUntil;
         scheduleTimer(now);
     }
 
-    /** When one of them wants to be called next. */
+    /** When a protocol wants to be called next. */
     long due(long now) {
         long due = Long.MAX_VALUE;
-        for (PeerProtocol speaker : protocols) {
-            due = Math.min(due, speaker.due().applyAsLong(now));
+        for (PeerProtocol protocol : protocols) {
+            due = Math.min(due, protocol.due().applyAsLong(now));
         }
         return Math.min(membership.due(), Math.max(pausedUntil, due));
     }
 
-    /** Sets the timer if one of them wants to be called sooner than it stands. */
+    /** Sets the timer where a protocol wants to be called sooner. */
     void scheduleTimer(long now) {
         if (enabled && started) {
             long due = due(now);
@@ -146,7 +150,7 @@
         }
     }
 
-    /** Whether this front serves from now on, or wants no more clients. */
+    /** Whether this router serves from now on, or drains. */
     void serving(long now, boolean serves) {
         if (serves) {
             membership.ready(now);
@@ -155,9 +159,9 @@
         scheduleTimer(now);
     }
 
-    /** Asked at a time whether anybody listens there, the machine of another front said no. */
-    void reachabilityRefused(long now, int front, long askedAt) {
-        membership.refused(now, front, askedAt);
+    /** The host of another router refused a reachability probe that was sent at a time. */
+    void reachabilityRefused(long now, int router, long probedAt) {
+        membership.refused(now, router, probedAt);
         scheduleTimer(now);
     }
 }
--- a/src/main/java/magpiewheel/routing/HealthCheckResult.java
+++ b/src/main/java/magpiewheel/routing/HealthCheckResult.java
@@ -1,4 +1,4 @@
 package magpiewheel.routing;
 
-/** How one probe ended. */
+/** How one health check ended. */
 public record HealthCheckResult(long endpointId, AttemptResult result, long durationUs) {}
--- a/src/main/java/magpiewheel/routing/HolderHint.java
+++ b/src/main/java/magpiewheel/routing/HolderHint.java
@@ -1,8 +1,6 @@
 package magpiewheel.routing;
 
-/**
- * A cache was seen to hold a part of an object, or to be sent a fill of it, {@code ageMs} before the message went out.
- */
+/** A cache holds a part of an object, or was sent a fill of it, as seen {@code ageMs} before the message was sent. */
 record HolderHint(long objectId, int part, long endpointId, int group, int ageMs) {
     private static final long US_PER_MS = 1_000;
 
--- a/src/main/java/magpiewheel/routing/Idempotency.java
+++ b/src/main/java/magpiewheel/routing/Idempotency.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** What running a request twice does: nothing, nothing while its key is remembered, or harm. */
+/** What running a request twice does: nothing, nothing while its idempotency key is remembered, or harm. */
 public enum Idempotency {
     IDEMPOTENT,
     KEYED,
--- a/src/main/java/magpiewheel/routing/IdempotencyKeyScope.java
+++ b/src/main/java/magpiewheel/routing/IdempotencyKeyScope.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** The nodes that together drop the repeats of a keyed request. */
+/** Which endpoints together recognise the idempotency key of a request. */
 public enum IdempotencyKeyScope {
     ALL,
     ZONE,
--- a/src/main/java/magpiewheel/routing/InFlightRequest.java
+++ b/src/main/java/magpiewheel/routing/InFlightRequest.java
@@ -5,7 +5,7 @@
 import java.util.stream.IntStream;
 import magpiewheel.staleness.StalenessBound;
 
-/** A request in hand. */
+/** A request from its arrival to the end of its last attempt. */
 final class InFlightRequest {
     final RoutingRequest request;
     final RequestClass requestClass;
@@ -14,27 +14,28 @@
     boolean completed;
     boolean noMoreAttempts;
     final long arrivedAt;
-    /**
-     * How often it asked a cache only for what that holds, when it may again, and where it waits for a fill, or null.
-     */
+    /** Attempts that asked a cache only for what it holds. */
     int cachedOnlyAttempts;
-
+    /** When the next of those may start; {@link Long#MAX_VALUE} for never. */
     long nextLookupAt;
+    /** The cache whose fill the request waits for; null while it waits for none. */
     Endpoint awaitedCache;
+
     final LocalCopy localCopy;
-    /** When the origin gave out the router's own copy. */
+    /** When the origin gave out the router's own copy, by this router's clock. */
     final long localCopyFrom;
-    /** What its copy must keep to, and whether that can't be proven or a copy came that does not. */
+    /** The staleness bound of the response. */
     StalenessBound bound = StalenessBound.NONE;
-
+    /** Whether the bound can't be proven, or a copy came that violates it. */
     boolean unproven;
 
-    InFlightRequest(RoutingRequest request, RequestClass profile, long now, long deadline, LocalCopy own) {
-        this.localCopy = own;
+    /** A request that arrived now; the copy is null where the router has none. */
+    InFlightRequest(RoutingRequest request, RequestClass requestClass, long now, long deadline, LocalCopy localCopy) {
+        this.localCopy = localCopy;
         this.arrivedAt = now;
-        this.localCopyFrom = own == null ? 0 : now - own.ageUs();
+        this.localCopyFrom = localCopy == null ? 0 : now - localCopy.ageUs();
         this.request = request;
-        this.requestClass = profile;
+        this.requestClass = requestClass;
         this.deadline = deadline;
     }
 
@@ -45,19 +46,19 @@
         nextLookupAt = Long.MAX_VALUE;
     }
 
-    /** Sets what its copy must keep to. What can't be proven of a strict read is not even tried. */
-    void setBound(StalenessBound asked) {
-        bound = asked;
-        unproven = asked.strict() && !asked.provable();
+    /** Sets the staleness bound. A strict read whose bound can't be proven is not attempted. */
+    void setBound(StalenessBound newBound) {
+        bound = newBound;
+        unproven = newBound.strict() && !newBound.provable();
         noMoreAttempts = unproven;
     }
 
-    /** Whether a node drops the repeats of what ran at another, or null for none. */
-    boolean sharesKeyScope(Endpoint group, Endpoint node) {
-        return group == null
+    /** Whether an endpoint recognises the idempotency keys of another; every endpoint does where that is null. */
+    boolean isInKeyScope(Endpoint of, Endpoint endpoint) {
+        return of == null
                 || (requestClass.keyScope() == IdempotencyKeyScope.CELL
-                        ? group.info.cell() == node.info.cell()
-                        : group.info.zone() == node.info.zone());
+                        ? of.info.cell() == endpoint.info.cell()
+                        : of.info.zone() == endpoint.info.zone());
     }
 
     /** Whether another request is for the same part. */
@@ -65,13 +66,13 @@
         return request.objectId() == other.objectId() && request.part() == other.part();
     }
 
-    /** The attempt of a number if it is still out, else null. */
+    /** The attempt of a number if it is still open, else null. */
     Attempt openAttempt(int number) {
-        boolean known = number >= 0 && number < attempts.size();
-        return known && attempts.get(number).open ? attempts.get(number) : null;
+        boolean exists = number >= 0 && number < attempts.size();
+        return exists && attempts.get(number).open ? attempts.get(number) : null;
     }
 
-    /** The numbers of the attempts that are out. */
+    /** The numbers of the open attempts. */
     List<Integer> openAttemptNumbers() {
         return IntStream.range(0, attempts.size())
                 .filter(number -> attempts.get(number).open)
@@ -79,7 +80,7 @@
                 .toList();
     }
 
-    /** The first attempt that is out or whose outcome does not prove that it never ran; null if there is none. */
+    /** The first attempt that is open, or whose result does not prove that it never ran; null if there is none. */
     Attempt firstThatMayHaveRun() {
         return attempts.stream()
                 .filter(attempt -> attempt.open || !attempt.result.neverRan)
@@ -92,16 +93,17 @@
         return attempts.isEmpty() ? null : attempts.get(attempts.size() - 1);
     }
 
-    /** Whether an attempt already failed for a reason that lies with the node itself. */
-    boolean failedAt(Endpoint node) {
-        return attempts.stream().anyMatch(attempt -> attempt.target == node && !attempt.sourceAtFault);
+    /** Whether an attempt already failed for a reason that lies with the endpoint itself. */
+    boolean failedAt(Endpoint endpoint) {
+        return attempts.stream().anyMatch(attempt -> attempt.target == endpoint && !attempt.sourceAtFault);
     }
 
-    /** Whether an attempt that the node was to fill, or to serve past the caches, already failed. */
-    boolean failedFrom(Endpoint node) {
-        return attempts.stream().anyMatch(attempt -> attempt.source == node || attempt.target == node);
+    /** Whether an attempt that the endpoint was to fill, or to serve past the caches, already failed. */
+    boolean failedFrom(Endpoint endpoint) {
+        return attempts.stream().anyMatch(attempt -> attempt.source == endpoint || attempt.target == endpoint);
     }
 
+    /** How many attempts are open. */
     int openAttempts() {
         int open = 0;
         for (Attempt attempt : attempts) {
--- a/src/main/java/magpiewheel/routing/LateRatio.java
+++ b/src/main/java/magpiewheel/routing/LateRatio.java
@@ -1,34 +1,32 @@
 package magpiewheel.routing;
 
-/**
- * The share of late answers among the last, as long as one was late a short while ago: after that none counts as late.
- */
+/** The ratio of late responses among the last ones; 0 once none was late for a while. */
 final class LateRatio {
-    private final Ewma share;
-    private final long spanUs;
+    private final Ewma ratio;
+    private final long memoryUs;
     private long lateAt = Long.MIN_VALUE / 2;
 
-    /** An average of this weight, that stands for so long after the last late answer. */
-    LateRatio(double weight, long spanUs) {
-        this.share = new Ewma(weight);
-        this.spanUs = spanUs;
+    /** A ratio of this weight, remembered for so long after the last late response. */
+    LateRatio(double weight, long memoryUs) {
+        this.ratio = new Ewma(weight);
+        this.memoryUs = memoryUs;
     }
 
     void add(long now, boolean late) {
-        share.add(late ? 1 : 0);
+        ratio.add(late ? 1 : 0);
         lateAt = late ? now : lateAt;
     }
 
-    /** A share that another director saw: one sample for all, and late as of now if it is above 0. */
-    void reportedByPeer(long now, double share) {
-        if (share > 0) {
-            this.share.add(share);
+    /** A ratio that another router measured: it counts as one sample, and as late now if it is above 0. */
+    void reportedByPeer(long now, double lateRatio) {
+        if (lateRatio > 0) {
+            this.ratio.add(lateRatio);
             lateAt = now;
         }
     }
 
-    /** The share at a time; 0 before anything was heard. */
+    /** The ratio at a time; 0 before the first sample. */
     double at(long now) {
-        return now - lateAt < spanUs ? share.or(0) : 0;
+        return now - lateAt < memoryUs ? ratio.or(0) : 0;
     }
 }
--- a/src/main/java/magpiewheel/routing/LoadMetric.java
+++ b/src/main/java/magpiewheel/routing/LoadMetric.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** Meaning of one value of a load report. */
+/** The meaning of one value of a load report. */
 public enum LoadMetric {
     IN_FLIGHT,
     QUEUED,
--- a/src/main/java/magpiewheel/routing/LoadShedder.java
+++ b/src/main/java/magpiewheel/routing/LoadShedder.java
@@ -23,7 +23,7 @@
 
     /** A read arrived. */
     void requested(InFlightRequest request) {
-        demand.add(valueDensity(request), transfers.ownUs(request.request));
+        demand.add(valueDensity(request), transfers.transferUs(request.request));
     }
 
     /** The multiple of a limit up to which a request is admitted. */
@@ -36,7 +36,7 @@
 
     /** Priority weight by transfer time; writes are shed last. */
     private double valueDensity(InFlightRequest request) {
-        double density = request.requestClass.priorityWeight() / transfers.ownUs(request.request);
+        double density = request.requestClass.priorityWeight() / transfers.transferUs(request.request);
         return request.requestClass.write() ? Double.MAX_VALUE : density;
     }
 }
--- a/src/main/java/magpiewheel/routing/LocalCopy.java
+++ b/src/main/java/magpiewheel/routing/LocalCopy.java
@@ -1,7 +1,10 @@
 package magpiewheel.routing;
 
 /**
- * A copy that the router itself holds of what is asked for: its age since the origin gave it out, the time that its
- * transfer takes, and for how much of that it takes the router's own link up.
+ * The router's own copy of a requested object.
+ *
+ * @param ageUs its age since the origin gave it out
+ * @param transferUs how long its transfer to the client takes
+ * @param linkUs for how much of that the router's own link is busy
  */
 public record LocalCopy(long ageUs, long transferUs, long linkUs) {}
--- a/src/main/java/magpiewheel/routing/LruMap.java
+++ b/src/main/java/magpiewheel/routing/LruMap.java
@@ -3,19 +3,19 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A map from numbers that forgets what was used longest ago once it holds its most. */
+/** A map from numbers that evicts the least recently used entry once it is full. */
 final class LruMap<V> extends LinkedHashMap<Long, V> {
     private static final long serialVersionUID = 1L;
     private static final float LOAD_FACTOR = 0.75f;
-    private final int most;
+    private final int maxEntries;
 
-    LruMap(int most) {
+    LruMap(int maxEntries) {
         super(16, LOAD_FACTOR, true);
-        this.most = most;
+        this.maxEntries = maxEntries;
     }
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<Long, V> eldest) {
-        return size() > most;
+        return size() > maxEntries;
     }
 }
--- a/src/main/java/magpiewheel/routing/ObjectRecord.java
+++ b/src/main/java/magpiewheel/routing/ObjectRecord.java
@@ -1,15 +1,15 @@
 package magpiewheel.routing;
 
-/** What is known of an object: a hint to its holder, and how it was used. */
+/** What is known of an object: the cache that is thought to hold it, and which of its parts were requested. */
 final class ObjectRecord {
     Endpoint holder;
-    long holderSeenAt;
+    long holderSince;
     int requests;
     int group;
     int highestPartRequested = -1;
     int highestPartCached = -1;
 
-    /** It was asked for: once more where its parts begin anew. */
+    /** It was requested; a request of its parts from the first on counts once. */
     void requested(RoutingRequest request) {
         group = request.group();
         if (request.part() <= highestPartRequested || requests == 0) {
@@ -18,19 +18,19 @@
         highestPartRequested = Math.max(highestPartRequested, request.part());
     }
 
-    /** An answer said that a node holds a part now. */
-    void cached(Endpoint node, long now, int part) {
-        highestPartCached = Math.max(holder == node ? highestPartCached : -1, part);
-        holder = node;
-        holderSeenAt = now;
+    /** A response proved that a cache holds a part now. */
+    void cached(Endpoint cache, long now, int part) {
+        highestPartCached = Math.max(holder == cache ? highestPartCached : -1, part);
+        holder = cache;
+        holderSince = now;
     }
 
-    /** A peer said so; the newer word counts. */
-    void reportedByPeer(Endpoint node, long at, int of) {
-        group = of;
-        if (at > holderSeenAt) {
-            holder = node;
-            holderSeenAt = at;
+    /** A peer reported at a time that a cache holds it; the newer report counts. */
+    void reportedByPeer(Endpoint cache, long at, int objectGroup) {
+        group = objectGroup;
+        if (at > holderSince) {
+            holder = cache;
+            holderSince = at;
         }
     }
 }
--- a/src/main/java/magpiewheel/routing/OutcomeProcessor.java
+++ b/src/main/java/magpiewheel/routing/OutcomeProcessor.java
@@ -67,7 +67,7 @@
         if (isFilled(outcome.cacheStatus())) {
             attempt.source.lastAnsweredAt = now;
             outliers.succeeded(attempt.source);
-            attempt.source.fillLatency.add(now, outcome.waitUs(transfers.ownUs(request.request)));
+            attempt.source.fillLatency.add(now, outcome.waitUs(transfers.transferUs(request.request)));
         }
         if (attempt.retentionRank > 0 && attempt.target.isCache()) {
             noteHolder(now, request, attempt.target, hit);
@@ -101,8 +101,8 @@
     /** The time of a hit speaks of its cache, any other of the fills. */
     private void measure(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome, boolean hit) {
         if (hit) {
-            boolean quiet = attempt.target.inFlight() < ConcurrencyLimiter.MIN_LIMIT;
-            transfers.measured(request.request, outcome.durationUs(), quiet);
+            boolean lowLoad = attempt.target.inFlight() < ConcurrencyLimiter.MIN_LIMIT;
+            transfers.measured(request.request, outcome.durationUs(), lowLoad);
         }
         boolean late = outcome.durationUs() > transfers.latencyObjectiveUs(request);
         if (attempt.fillProbability > 0 && attempt.target.isCache()) {
--- a/src/main/java/magpiewheel/routing/OutlierDetector.java
+++ b/src/main/java/magpiewheel/routing/OutlierDetector.java
@@ -74,8 +74,8 @@
 
     /** An attempt at an endpoint ended: refused connections in a row prove that it does not run. */
     void connectionEnded(long now, Endpoint endpoint, AttemptResult result) {
-        boolean refused = result == AttemptResult.UNREACHABLE || result == AttemptResult.CONNECTION_LOST;
-        endpoint.attemptEnded(now, !refused);
+        boolean unreachable = result == AttemptResult.UNREACHABLE || result == AttemptResult.CONNECTION_LOST;
+        endpoint.attemptEnded(now, !unreachable);
         if (endpoint.refusedConnects >= OVERDUE_ATTEMPTS) {
             eject(now, endpoint, true);
         }
@@ -97,15 +97,15 @@
         endpoints.all().forEach(endpoint -> endpoint.overdueAttempts = 0);
         List<InFlightRequest> requests = new ArrayList<>(inFlight);
         for (InFlightRequest request : requests) {
-            Endpoint silent = unresponsive(now, request);
-            if (silent != null && ++silent.overdueAttempts >= (silent.onProbation ? 1 : OVERDUE_ATTEMPTS)) {
-                eject(now, silent, true);
+            Endpoint suspect = unresponsive(now, request);
+            if (suspect != null && ++suspect.overdueAttempts >= (suspect.onProbation ? 1 : OVERDUE_ATTEMPTS)) {
+                eject(now, suspect, true);
             }
         }
         for (InFlightRequest request : requests) {
-            Endpoint silent = unresponsive(now, request);
-            if (silent != null && now < silent.ejectedUntil && mayCancel) {
-                request.lastAttempt().sourceAtFault = silent != request.lastAttempt().target;
+            Endpoint suspect = unresponsive(now, request);
+            if (suspect != null && now < suspect.ejectedUntil && mayCancel) {
+                request.lastAttempt().sourceAtFault = suspect != request.lastAttempt().target;
                 actions.cancelAttempt(request.request.id(), request.attempts.size() - 1);
             }
         }
@@ -115,7 +115,7 @@
     private Endpoint unresponsive(long now, InFlightRequest request) {
         Attempt last = request.lastAttempt();
         boolean open = last != null && last.open && !request.requestClass.write();
-        if (!open || now - last.sentAt < 2 * transfers.ownUs(request.request) + SILENCE_US) {
+        if (!open || now - last.sentAt < 2 * transfers.transferUs(request.request) + SILENCE_US) {
             return null;
         }
         Endpoint suspect = now - last.target.lastAnsweredAt > SILENCE_US ? last.target : last.source;
--- a/src/main/java/magpiewheel/routing/PeerExchange.java
+++ b/src/main/java/magpiewheel/routing/PeerExchange.java
@@ -81,8 +81,8 @@
             return;
         }
         PeerMessage message = heard.message();
-        message.holders().forEach(hint -> holderReported(heard.at() - hint.ageUs(), hint));
-        message.fillsStarted().forEach(hint -> fillReported(heard.at() - hint.ageUs(), hint));
+        message.holders().forEach(hint -> holderReported(heard.sentAt() - hint.ageUs(), hint));
+        message.fillsStarted().forEach(hint -> fillReported(heard.sentAt() - hint.ageUs(), hint));
         if (heard.first()) {
             originHealth.reportedByPeer(now, message.originLateRatio());
             limiter.reportedByPeer(message.fillLimit(), message.loads());
--- a/src/main/java/magpiewheel/routing/PeerMessage.java
+++ b/src/main/java/magpiewheel/routing/PeerMessage.java
@@ -3,8 +3,13 @@
 import java.util.List;
 
 /**
- * One message; {@code fillsInFlight} are the sender's fills in hand, {@code fillLimit} what it thinks fits,
- * {@code originLateRatio} the share of its fills from the origin that came late lately, 0 to 1.
+ * A message to a peer.
+ *
+ * @param fillsInFlight the sender's fills in flight
+ * @param fillLimit the fills that the sender thinks the zone's link carries
+ * @param originLateRatio the share of its fills from the origin that were late lately, 0 to 1
+ * @param fillsStarted the fills that it started since its last message
+ * @param holders the caches that it saw filled since
  */
 record PeerMessage(
         int zone,
--- a/src/main/java/magpiewheel/routing/PeerReports.java
+++ b/src/main/java/magpiewheel/routing/PeerReports.java
@@ -5,49 +5,47 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** The other fronts of this location: who is to be told, and what each told last. It only stores. */
+/** The other routers of this zone: who gets reports, and what each reported last. It only stores. */
 final class PeerReports {
     /**
-     * A message that is not older than the last of its sender, when that was sent, and whether it is the first of its
+     * A report that is not older than its sender's last: when it was sent, and whether it is the first datagram of its
      * time.
      */
-    record Heard(PeerMessage message, long at, boolean first) {}
+    record Heard(PeerMessage message, long sentAt, boolean first) {}
 
     private final int zone;
     private final int maxPeers;
-    private final long forgetUs;
-    private final Map<Long, Endpoint> nodes;
+    private final long memoryUs;
+    private final Map<Long, Endpoint> endpoints;
     private final TreeMap<Long, PeerState> peers = new TreeMap<>();
     private List<Integer> current = List.of();
     private double fillsInFlight;
 
-    /** Of one location; so many are remembered at most, and for so long. Loads told are counted at the nodes given. */
-    PeerReports(int zone, int most, long forgetUs, Map<Long, Endpoint> nodes) {
+    /** The peers of a zone: so many at most, remembered for so long. Their loads are counted at the endpoints. */
+    PeerReports(int zone, int maxPeers, long memoryUs, Map<Long, Endpoint> endpoints) {
         this.zone = zone;
-        this.maxPeers = most;
-        this.forgetUs = forgetUs;
-        this.nodes = nodes;
+        this.maxPeers = maxPeers;
+        this.memoryUs = memoryUs;
+        this.endpoints = endpoints;
     }
 
-    /**
-     * From now on those are told that the membership hears, and those that told something themselves not too long ago.
-     */
-    void updatePeers(long now, List<Integer> heard, long silentUs) {
-        TreeSet<Integer> all = new TreeSet<>(heard);
-        peers.forEach((number, peer) -> {
-            if (now - peer.heardAt > silentUs) {
-                // What it told of its load is out of date, whether it lives or not.
-                fillsInFlight += peer.update(0, List.of(), nodes);
+    /** Sets who gets reports: the members of the zone, and those that sent a report not too long ago. */
+    void updatePeers(long now, List<Integer> members, long silentUs) {
+        TreeSet<Integer> updated = new TreeSet<>(members);
+        peers.forEach((id, peer) -> {
+            if (now - peer.receivedAt > silentUs) {
+                // The load that it reported is out of date, whether it runs or not.
+                fillsInFlight += peer.update(0, List.of(), endpoints);
             } else {
-                // Fronts of the release before are no members; they are met by what they tell.
-                all.add(number.intValue());
+                // Routers of the release before are no members; they are found by their reports.
+                updated.add(id.intValue());
             }
         });
-        peers.values().removeIf(peer -> now - peer.heardAt > forgetUs);
-        current = List.copyOf(all);
+        peers.values().removeIf(peer -> now - peer.receivedAt > memoryUs);
+        current = List.copyOf(updated);
     }
 
-    /** Takes a message in; null where it is none, another location's, or older than what was heard. */
+    /** Takes a report in; null where it is none, comes from another zone, or is older than its sender's last. */
     Heard received(long now, long sender, PeerMessage message) {
         if (message == null || message.zone() != zone || peers.size() >= maxPeers) {
             return null;
@@ -57,13 +55,13 @@
             return null;
         }
         boolean first = message.sentAtUs() > peer.lastSentAt;
-        peer.heardAt = now;
-        peer.leastDelay = Math.min(peer.leastDelay, now - message.sentAtUs());
+        peer.receivedAt = now;
+        peer.minDelay = Math.min(peer.minDelay, now - message.sentAtUs());
         peer.lastSentAt = message.sentAtUs();
         if (first) {
-            fillsInFlight += peer.update(message.fillsInFlight(), message.loads(), nodes);
+            fillsInFlight += peer.update(message.fillsInFlight(), message.loads(), endpoints);
         }
-        return new Heard(message, message.sentAtUs() + peer.leastDelay, first);
+        return new Heard(message, message.sentAtUs() + peer.minDelay, first);
     }
 
     List<Integer> current() {
@@ -74,7 +72,7 @@
         return current.size();
     }
 
-    /** Fills that they have out, as far as they told. */
+    /** Their fills in flight, as far as they reported. */
     double fillsInFlight() {
         return fillsInFlight;
     }
--- a/src/main/java/magpiewheel/routing/PeerState.java
+++ b/src/main/java/magpiewheel/routing/PeerState.java
@@ -3,29 +3,29 @@
 import java.util.List;
 import java.util.Map;
 
-/** What is known of another director of the location. */
+/** What a peer reported last, and how late its messages are. */
 final class PeerState {
     long lastSentAt = Long.MIN_VALUE;
-    long leastDelay = Long.MAX_VALUE;
-    long heardAt;
+    long minDelay = Long.MAX_VALUE;
+    long receivedAt;
     double fillsInFlight;
     List<EndpointLoad> loads = List.of();
 
-    /** Puts what it tells now in the place of what it told before; returns the change in its fills. */
-    double update(double nowFills, List<EndpointLoad> nowLoads, Map<Long, Endpoint> nodes) {
-        double change = nowFills - fillsInFlight;
-        fillsInFlight = nowFills;
-        count(nodes, -1);
-        loads = nowLoads;
-        count(nodes, 1);
+    /** Replaces what it reported before; returns the change in its fills. */
+    double update(double newFills, List<EndpointLoad> newLoads, Map<Long, Endpoint> endpoints) {
+        double change = newFills - fillsInFlight;
+        fillsInFlight = newFills;
+        count(endpoints, -1);
+        loads = newLoads;
+        count(endpoints, 1);
         return change;
     }
 
-    private void count(Map<Long, Endpoint> nodes, int sign) {
+    private void count(Map<Long, Endpoint> endpoints, int sign) {
         for (EndpointLoad load : loads) {
-            Endpoint node = nodes.get(load.endpointId());
-            if (node != null) {
-                node.peersInFlight += sign * load.inFlight();
+            Endpoint endpoint = endpoints.get(load.endpointId());
+            if (endpoint != null) {
+                endpoint.peersInFlight += sign * load.inFlight();
             }
         }
     }
--- a/src/main/java/magpiewheel/routing/RegionBridge.java
+++ b/src/main/java/magpiewheel/routing/RegionBridge.java
@@ -17,25 +17,25 @@
 import magpiewheel.region.RouteReason;
 
 /**
- * Between the module and its regions: turns nodes into parents, measures what the own branch fills and keeps which
- * answers of parents are overdue. Work is counted in transfers that take the whole time in which a cold node falls,
- * load in transfers at once. It decides nothing about a request; where regions are off nothing here does anything.
+ * Connects the routing decisions with the regions: passes parents on, measures what the own zone fills, and finds
+ * responses of parents that are overdue. Work is counted in transfers that last the whole overload window, load in
+ * concurrent transfers. It decides nothing itself, and does nothing while regions are disabled.
  */
 final class RegionBridge {
-    /** us; load and room are measured over so long, and looked at so often. */
+    /** us; load and free capacity are measured over so long. */
     private static final long MEASURED_US = 2_000_000;
 
     private static final long REPORT_INTERVAL_US = 500_000;
     /**
-     * us; an answer is overdue that takes so much longer than its sending time and the parent's usual wait, both twice:
-     * what the module calls silent. A parent that waits for a slow origin does not hang.
+     * us; a response is overdue that takes so much longer than twice its transfer time and the parent's usual wait. A
+     * parent that waits for a slow origin does not hang.
      */
-    private static final long OVERDUE_US = 400_000;
+    private static final long OVERDUE_AFTER_US = 400_000;
 
     private static final double USUAL_WAIT_FACTOR = 2;
     private static final double SECOND_US = 1e6;
 
-    /** A fill that a parent owes an answer. */
+    /** A fill that waits for the response of a parent. */
     private static final class PendingFill {
         final Attempt attempt;
         final Endpoint parent;
@@ -50,7 +50,7 @@
     }
 
     private final FleetProtocols fleet;
-    private final RouterTopology place;
+    private final RouterTopology topology;
     private final double windowUs;
     private final PriorityQueue<PendingFill> pendingFills =
             new PriorityQueue<>(Comparator.comparingLong(fill -> fill.dueAt));
@@ -62,14 +62,14 @@
 
     RegionBridge(FleetProtocols fleet, RoutingSettings settings) {
         this.fleet = fleet;
-        this.place = settings.topology();
+        this.topology = settings.topology();
         this.windowUs = settings.safetyLimits().overloadWindowUs() > 0
                 ? settings.safetyLimits().overloadWindowUs()
                 : SECOND_US;
     }
 
-    /** The list as it stands; the function tells how many transfers at once a node bears. */
-    void endpointsChanged(long now, Collection<Endpoint> nodes, ToDoubleFunction<Endpoint> capacity) {
+    /** The list changed; the function returns the concurrent transfers that an endpoint carries. */
+    void endpointsChanged(long now, Collection<Endpoint> endpoints, ToDoubleFunction<Endpoint> capacity) {
         RegionCoordinator region = fleet.region();
         if (region == null) {
             return;
@@ -79,17 +79,17 @@
             fleet.add(new FleetProtocols.PeerProtocol(
                     message -> false, (at, sender, message) -> {}, this::due, this::tick));
         }
-        parents = nodes.stream()
-                .filter(node -> node.id != 0 && node.state != EndpointState.REMOVED && node.isParent())
-                .map(node -> {
-                    double bears = capacity.applyAsDouble(node);
+        parents = endpoints.stream()
+                .filter(endpoint -> endpoint.id != 0 && endpoint.state != EndpointState.REMOVED && endpoint.isParent())
+                .map(endpoint -> {
+                    double parentCapacity = capacity.applyAsDouble(endpoint);
                     return new Parent(
-                            node.id,
-                            node.info.zone(),
-                            bears,
-                            bears,
-                            node.info.startedUs(),
-                            node.state == EndpointState.DRAINING);
+                            endpoint.id,
+                            endpoint.info.zone(),
+                            parentCapacity,
+                            parentCapacity,
+                            endpoint.info.startedUs(),
+                            endpoint.state == EndpointState.DRAINING);
                 })
                 .toList();
         sentTransfers.keySet().retainAll(parents.stream().map(Parent::id).toList());
@@ -97,77 +97,82 @@
         fleet.scheduleTimer(now);
     }
 
-    /** The one of these parents that leads for an object of this branch, or null. */
-    Endpoint leaderAmong(long now, List<Endpoint> fit, long object, double workUs) {
+    /** The candidate that leads for an object of this zone, or null. */
+    Endpoint leaderAmong(long now, List<Endpoint> candidates, long objectId, double workUs) {
         RegionCoordinator region = fleet.region();
-        Leader leader = region == null ? null : region.leaderFor(now, place.zone(), object, workUs / windowUs);
+        Leader leader = region == null ? null : region.leaderFor(now, topology.zone(), objectId, workUs / windowUs);
         return leader == null
                 ? null
-                : fit.stream()
-                        .filter(node -> node.id == leader.parent())
+                : candidates.stream()
+                        .filter(endpoint -> endpoint.id == leader.parent())
                         .findFirst()
                         .orElse(null);
     }
 
-    /** Whether a miss goes up now. */
-    boolean admitsFill(long now, long object, double workUs) {
-        return fleet.region() == null || fleet.region().letsUp(now, object, workUs / windowUs);
+    /** Whether the region admits a fill now. */
+    boolean admitsFill(long now, long objectId, double workUs) {
+        return fleet.region() == null || fleet.region().letsUp(now, objectId, workUs / windowUs);
     }
 
-    /** An attempt goes out that may become a fill; {@code ownUs} is its own sending time. */
-    void attemptStarted(long now, Attempt attempt, long object, double workUs, double ownUs) {
+    /** An attempt starts that may become a fill; {@code transferUs} is its own transfer time. */
+    void attemptStarted(long now, Attempt attempt, long objectId, double workUs, double transferUs) {
         RegionCoordinator region = fleet.region();
         if (region == null || attempt.fillProbability <= 0) {
             return;
         }
-        double amount = attempt.fillProbability * ownUs / SECOND_US;
-        filledTransfers.add(now, amount);
+        double transfers = attempt.fillProbability * transferUs / SECOND_US;
+        filledTransfers.add(now, transfers);
         Endpoint parent = parentOf(attempt);
         if (parent != null) {
-            region.began(now, parent.id, object, workUs / windowUs, amount);
+            region.began(now, parent.id, objectId, workUs / windowUs, transfers);
             sentTransfers
                     .computeIfAbsent(parent.id, id -> new SlidingWindowSum(MEASURED_US))
-                    .add(now, amount);
+                    .add(now, transfers);
             pendingFills.add(new PendingFill(
                     attempt,
                     parent,
-                    now + OVERDUE_US + (long) (USUAL_WAIT_FACTOR * (ownUs + parent.fillLatency.or(now, 0)))));
+                    now
+                            + OVERDUE_AFTER_US
+                            + (long) (USUAL_WAIT_FACTOR * (transferUs + parent.fillLatency.or(now, 0)))));
             fleet.scheduleTimer(now);
         }
     }
 
-    /** The parent that serves an attempt, or that fills for it; null where it is neither. */
+    /** The parent that serves an attempt or fills for it; null where there is none. */
     private Endpoint parentOf(Attempt attempt) {
         return attempt.target.isParent() ? attempt.target : attempt.source.isParent() ? attempt.source : null;
     }
 
-    /** Such an attempt has ended. */
-    void attemptEnded(long now, Attempt attempt, long object, AttemptOutcome outcome, double ownUs) {
+    /** Such an attempt ended. */
+    void attemptEnded(long now, Attempt attempt, long objectId, AttemptOutcome outcome, double transferUs) {
         RegionCoordinator region = fleet.region();
         if (region == null || attempt.fillProbability <= 0) {
             return;
         }
         Endpoint parent = parentOf(attempt);
-        boolean past = parent == attempt.target;
-        CacheStatus note = outcome.cacheStatus();
-        boolean ok = past
+        boolean bypassed = parent == attempt.target;
+        CacheStatus status = outcome.cacheStatus();
+        boolean ok = bypassed
                 ? outcome.result() == AttemptResult.OK
-                : note == CacheStatus.FILLED || note == CacheStatus.FILLED_BY_ORIGIN || note == CacheStatus.SOURCE_MISS;
-        boolean refused = past
+                : status == CacheStatus.FILLED
+                        || status == CacheStatus.FILLED_BY_ORIGIN
+                        || status == CacheStatus.SOURCE_MISS;
+        boolean rejected = bypassed
                 ? outcome.result() == AttemptResult.ERROR || outcome.result() == AttemptResult.REJECTED
-                : note == CacheStatus.SOURCE_REJECTED;
-        boolean silent = past ? outcome.result() == AttemptResult.UNREACHABLE : note == CacheStatus.SOURCE_UNREACHABLE;
-        if (parent != null && (ok || refused)) {
+                : status == CacheStatus.SOURCE_REJECTED;
+        boolean unreachable =
+                bypassed ? outcome.result() == AttemptResult.UNREACHABLE : status == CacheStatus.SOURCE_UNREACHABLE;
+        if (parent != null && (ok || rejected)) {
             region.answered(
                     now,
                     parent.id,
-                    object,
-                    (long) outcome.waitUs(ownUs),
+                    objectId,
+                    (long) outcome.waitUs(transferUs),
                     ok,
-                    note == (past ? CacheStatus.HIT : CacheStatus.FILLED));
+                    status == (bypassed ? CacheStatus.HIT : CacheStatus.FILLED));
         } else {
-            region.ended(object, outcome.result() == AttemptResult.OK);
-            if (parent != null && silent) {
+            region.ended(objectId, outcome.result() == AttemptResult.OK);
+            if (parent != null && unreachable) {
                 region.overdue(now, parent.id, attempt.sentAt);
             }
         }
@@ -184,14 +189,14 @@
     }
 
     private void tick(long now) {
-        ArrayDeque<PendingFill> fresh = new ArrayDeque<>();
+        ArrayDeque<PendingFill> newlyOverdue = new ArrayDeque<>();
         while (due(now) <= now && !pendingFills.isEmpty() && pendingFills.peek().dueAt <= now) {
-            fresh.add(pendingFills.poll());
+            newlyOverdue.add(pendingFills.poll());
         }
         overdueFills.removeIf(fill -> !fill.attempt.open);
-        overdueFills.addAll(fresh);
+        overdueFills.addAll(newlyOverdue);
         for (PendingFill fill : overdueFills) {
-            if (!fill.reported && atFault(fill)) {
+            if (!fill.reported && isParentAtFault(fill)) {
                 fill.reported = true;
                 fleet.region().overdue(now, fill.parent.id, fill.attempt.sentAt);
             }
@@ -202,8 +207,8 @@
         }
     }
 
-    /** Whether the silence is the parent's: its cache speaks, or a second one is silent for the same parent. */
-    private boolean atFault(PendingFill fill) {
+    /** Whether the parent is at fault: its cache responds to others, or a second cache waits for the same parent. */
+    private boolean isParentAtFault(PendingFill fill) {
         Endpoint target = fill.attempt.target;
         return target == fill.parent
                 || target.lastAnsweredAt >= fill.attempt.sentAt
@@ -211,7 +216,9 @@
                         .anyMatch(other -> other.parent == fill.parent && other.attempt.target != target);
     }
 
-    /** Tells what the own branch fills, taking its fronts to be alike, and what is free of each parent's link. */
+    /**
+     * Reports the load of the own zone, taking its routers to be alike, and the free capacity of each parent's link.
+     */
     private void reportLoad(long now) {
         RegionCoordinator region = fleet.region();
         double seconds = MEASURED_US / SECOND_US;
@@ -219,44 +226,45 @@
                 now,
                 filledTransfers.at(now)
                         / seconds
-                        * (1 + fleet.membershipView().heardIn(place.zone()).size()));
+                        * (1 + fleet.membershipView().heardIn(topology.zone()).size()));
         Leader leader = region.leader(now);
-        int others = fleet.membershipView().heard().size();
-        int company = region.region() == null
-                ? others
+        int otherRouters = fleet.membershipView().heard().size();
+        int routersOfRegion = region.region() == null
+                ? otherRouters
                 : region.region().branches().stream()
                         .mapToInt(
                                 branch -> fleet.membershipView().heardIn(branch).size())
                         .sum();
         for (Parent parent : parents) {
-            SlidingWindowSum its = sentTransfers.get(parent.id());
-            // The leader gets its region's fills, another parent those of all that go by the old way.
-            int fronts = 1 + (leader != null && leader.parent() == parent.id() ? company : others);
-            double use = its == null ? 0 : its.at(now) / seconds * fronts / parent.carries();
-            region.room(parent.id(), Math.max(0, 1 - use));
+            SlidingWindowSum transfersOfParent = sentTransfers.get(parent.id());
+            // The leader gets its region's fills, another parent those of all routers that choose for themselves.
+            int routers = 1 + (leader != null && leader.parent() == parent.id() ? routersOfRegion : otherRouters);
+            double utilization =
+                    transfersOfParent == null ? 0 : transfersOfParent.at(now) / seconds * routers / parent.carries();
+            region.room(parent.id(), Math.max(0, 1 - utilization));
         }
     }
 
     // ---------------------------------------------------------------- figures
 
-    /** What operators are shown, by name; nothing where regions are off. */
+    /** Statistics by their external names; none while regions are disabled. */
     Map<String, Long> statistics(long now) {
         RegionCoordinator region = fleet.region();
-        Map<String, Long> all = new LinkedHashMap<>();
+        Map<String, Long> statistics = new LinkedHashMap<>();
         if (region == null) {
-            return all;
+            return statistics;
         }
         Leader leader = region.leader(now);
-        all.put("region_verdict", (long) region.verdict(now).ordinal());
-        all.put("region_leader", leader == null ? 0 : leader.parent());
-        all.put("region_term", leader == null ? 0 : leader.term());
-        all.put(
+        statistics.put("region_verdict", (long) region.verdict(now).ordinal());
+        statistics.put("region_leader", leader == null ? 0 : leader.parent());
+        statistics.put("region_term", leader == null ? 0 : leader.term());
+        statistics.put(
                 "region_branches",
                 region.region() == null ? 0 : (long) region.region().branches().size());
-        for (RouteReason why : RouteReason.values()) {
-            all.put("region_" + why.name().toLowerCase(Locale.ROOT), region.answers(why));
+        for (RouteReason reason : RouteReason.values()) {
+            statistics.put("region_" + reason.name().toLowerCase(Locale.ROOT), region.answers(reason));
         }
-        all.put("region_paced", region.held());
-        return all;
+        statistics.put("region_paced", region.held());
+        return statistics;
     }
 }
--- a/src/main/java/magpiewheel/routing/RendezvousHash.java
+++ b/src/main/java/magpiewheel/routing/RendezvousHash.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Rendezvous hashing: the order in which an object falls to nodes, the same at every director. */
+/** Rendezvous hashing: the order of endpoints for an object, the same at every router. */
 final class RendezvousHash {
     private RendezvousHash() {}
 
@@ -23,7 +23,7 @@
 
     /** From the first to the last for an object. */
     static Comparator<Endpoint> order(long object) {
-        return Comparator.comparingLong(node -> mix(object ^ node.hash));
+        return Comparator.comparingLong(endpoint -> mix(object ^ endpoint.hash));
     }
 
     /** The first for an object. */
--- a/src/main/java/magpiewheel/routing/RequestClass.java
+++ b/src/main/java/magpiewheel/routing/RequestClass.java
@@ -1,6 +1,18 @@
 package magpiewheel.routing;
 
-/** A request class: its aim grows by {@code objectiveStretch} times the request's own sending time. */
+/**
+ * A class of requests.
+ *
+ * @param latencyObjectiveUs the latency objective of a request whose transfer takes no time
+ * @param objectiveStretch how often the transfer time of a request is added to the objective
+ * @param priorityWeight what a response in time is worth
+ * @param latePriorityWeight what a late response is worth
+ * @param idempotencyWindowUs how long idempotency keys are remembered
+ * @param multipart whether objects are requested in parts
+ * @param freshUs how long copies are fresh; 0 where they never become stale
+ * @param staleGraceUs how long a stale copy may be served as a last resort
+ * @param stalePriorityWeight what a stale response is worth
+ */
 public record RequestClass(
         long latencyObjectiveUs,
         double objectiveStretch,
--- a/src/main/java/magpiewheel/routing/RequestLimits.java
+++ b/src/main/java/magpiewheel/routing/RequestLimits.java
@@ -1,6 +1,12 @@
 package magpiewheel.routing;
 
-/** What the site allows. */
+/**
+ * What the site allows routers to do.
+ *
+ * @param mayHedge whether two attempts of a request may be in flight at once
+ * @param maxAttempts the most attempts of one request
+ * @param maxInFlight the most requests in flight at a router
+ */
 public record RequestLimits(
         boolean mayCancel,
         boolean mayHedge,
@@ -11,7 +17,7 @@
         int maxInFlight,
         long maxRetryAfterUs,
         long connectTimeoutUs) {
-    /** The advice that a refused client may be given in place of a wanted one; 0 for none. */
+    /** The Retry-After that a rejected client may be given where this one is wanted; 0 for none. */
     public long retryAfterUs(long wantedUs) {
         return maySendRetryAfter ? Math.min(maxRetryAfterUs, wantedUs) : 0;
     }
--- a/src/main/java/magpiewheel/routing/RequestRouter.java
+++ b/src/main/java/magpiewheel/routing/RequestRouter.java
@@ -161,7 +161,7 @@
         if (purge.objectId() != 0) {
             state.holders().forget(purge.objectId());
         }
-        fills.forget(fill -> fill.since() <= purges.lastPurge(fill.object(), fill.group()));
+        fills.forget(fill -> fill.since() <= purges.lastPurge(fill.objectId(), fill.group()));
     }
 
     // ---------------------------------------------------------------- requests
@@ -190,11 +190,11 @@
     private void advance(long now, InFlightRequest request) {
         RetryPolicy.Permit permit = retryPolicy.permit(now, request);
         int retriesSpent = request.attempts.size() > request.cachedOnlyAttempts ? 1 : 0;
-        boolean attemptsLeft = now < request.deadline
+        boolean attemptsRemain = now < request.deadline
                 && request.attempts.size() < settings.limits().maxAttempts();
         if (permit.attempt()
                 && !request.noMoreAttempts
-                && attemptsLeft
+                && attemptsRemain
                 && retryBudget.trySpend(retriesSpent)
                 && proceed(now, request, permit)) {
             return;
@@ -215,14 +215,14 @@
             serveLocalCopy(request);
             return true;
         }
-        Endpoint askFirst = cached ? null : cachedOnly.cacheToAskFirst(now, request, target);
-        if (askFirst != null && now < request.nextLookupAt) {
-            fills.await(request, askFirst);
+        Endpoint cachedOnlyTarget = cached ? null : cachedOnly.firstCache(now, request, target);
+        if (cachedOnlyTarget != null && now < request.nextLookupAt) {
+            fills.await(request, cachedOnlyTarget);
             actions.setTimer(request.nextLookupAt, LOOKUP_TIMER);
             return true;
         }
-        Route route = askFirst != null
-                ? routes.byCache(now, request, askFirst, true, cached)
+        Route route = cachedOnlyTarget != null
+                ? routes.byCache(now, request, cachedOnlyTarget, true, cached)
                 : write ? routes.bypass(now, request, target) : readRoute(now, request, permit, target, cached);
         if (route == null) {
             return false;
@@ -318,8 +318,8 @@
             request.deadline = now;
         }
         limiter.fillEnded(attempt.fillProbability);
-        double ownUs = transfers.ownUs(request.request);
-        regions.attemptEnded(now, attempt, request.request.objectId(), outcome, ownUs);
+        double transferUs = transfers.transferUs(request.request);
+        regions.attemptEnded(now, attempt, request.request.objectId(), outcome, transferUs);
         outcomes.process(now, request, attempt, outcome);
         if (outcome.requestCompleted() || request.completed) {
             close(request);
--- a/src/main/java/magpiewheel/routing/RouterTopology.java
+++ b/src/main/java/magpiewheel/routing/RouterTopology.java
@@ -3,7 +3,17 @@
 import java.util.Arrays;
 import magpiewheel.membership.MembershipConfig;
 
-/** Who and where this director is. {@code routersByZone} and {@code linkKbPerSByZone} are by zone. */
+/**
+ * Which router this is, and where it stands.
+ *
+ * @param routers how many routers the site has
+ * @param routersByZone how many routers the clients of each zone reach
+ * @param hubByZone the hub that each zone is attached to
+ * @param linkKbPerSByZone the capacity of the link into each zone
+ * @param parentKind the kind of machine that is a parent; {@link #NO_KIND} where there is none
+ * @param originKind the kind of machine that is the origin; {@link #NO_KIND} where there is none
+ * @param transferKbPerS the pace of a client's transfer; 0 where the settings do not say
+ */
 public record RouterTopology(
         int routerId,
         int routers,
@@ -17,22 +27,31 @@
     /** In the place of a kind of endpoints that the settings do not have. */
     public static final int NO_KIND = -1;
 
-    /** Directors that a zone's clients reach. */
-    public int routersIn(int of) {
-        return Math.max(1, of < routersByZone.length ? routersByZone[of] : routers);
+    /** How many routers the clients of a zone reach. */
+    public int routersIn(int ofZone) {
+        return Math.max(1, ofZone < routersByZone.length ? routersByZone[ofZone] : routers);
     }
 
-    /** What the membership is told of this place; the address is what clients are named, the beat in microseconds. */
-    public MembershipConfig membershipConfig(int address, long beatUs, long startedMs, boolean refusals) {
-        return new MembershipConfig(routerId, routers, zone, address, routersByZone, beatUs, startedMs, refusals);
+    /**
+     * The configuration of this router's membership.
+     *
+     * @param address the IPv4 address that clients are given
+     * @param heartbeatUs from one heartbeat to the next
+     * @param startedMs the Unix millisecond at which this process started
+     * @param reachabilityProbes whether silent routers are probed
+     */
+    public MembershipConfig membershipConfig(
+            int address, long heartbeatUs, long startedMs, boolean reachabilityProbes) {
+        return new MembershipConfig(
+                routerId, routers, zone, address, routersByZone, heartbeatUs, startedMs, reachabilityProbes);
     }
 
-    /** Transfers at a client's pace that the links into all zones carry; 0 where the pace is not told. */
+    /** Transfers at a client's pace that the links into all zones carry; 0 where the pace is unknown. */
     double transfersOfAllLinks() {
         return transferKbPerS > 0 ? Arrays.stream(linkKbPerSByZone).sum() / transferKbPerS : 0;
     }
 
-    /** Transfers at a client's pace that the link into the own zone carries; 0 where it is not told. */
+    /** Transfers at a client's pace that the link into the own zone carries; 0 where the pace is unknown. */
     double transfersOfOwnLink() {
         return transferKbPerS > 0 && zone < linkKbPerSByZone.length ? linkKbPerSByZone[zone] / transferKbPerS : 0;
     }
--- a/src/main/java/magpiewheel/routing/RoutingActions.java
+++ b/src/main/java/magpiewheel/routing/RoutingActions.java
@@ -1,43 +1,47 @@
 package magpiewheel.routing;
 
-/** What the module can ask of its router. Attempts of a request are numbered from 0 in their order. */
+/** What a routing policy can ask of its caller. Attempts of a request are numbered from 0 in their order. */
 public interface RoutingActions {
 
-    /** Send an attempt to a node. */
-    void startAttempt(long request, long node, AttemptPlan plan);
+    /** Start an attempt at an endpoint. */
+    void startAttempt(long requestId, long endpointId, AttemptPlan plan);
 
-    /** Stop waiting for an attempt. */
-    void cancelAttempt(long request, int attempt);
+    /** Cancel an attempt; it ends all the same, with an outcome. */
+    void cancelAttempt(long requestId, int attempt);
 
-    /** Final answer: the copy that the router holds itself. */
-    default void serveLocalCopy(long request) {
-        throw new UnsupportedOperationException("request " + request + " came without a copy");
+    /** Final answer: the router's own copy. */
+    default void serveLocalCopy(long requestId) {
+        throw new UnsupportedOperationException("request " + requestId + " came without a copy");
     }
 
-    /** Final answer: turned away, a retry does no harm; {@code backoffUs} 0 gives no advice. */
-    void reject(long request, long backoffUs);
+    /**
+     * Final answer: rejected, and a retry does no harm.
+     *
+     * @param retryAfterUs how long the client is advised to wait; 0 for no advice
+     */
+    void reject(long requestId, long retryAfterUs);
 
-    /** Final answer: failed, with no promise. */
-    void fail(long request);
+    /** Final answer: failed, with no promise about its effects. */
+    void fail(long requestId);
 
-    /** Ask for {@link RoutingPolicy#timerExpired} at a time. */
+    /** Call {@link RoutingPolicy#timerExpired} at a time. */
     void setTimer(long atUs, long handle);
 
-    /** Check a node. */
-    void checkHealth(long node);
+    /** Check the health of an endpoint. */
+    void checkHealth(long endpointId);
 
-    /** Send up to 256 bytes to one director. */
-    void sendToPeer(int recipient, byte[] message);
+    /** Send a datagram of at most 256 bytes to another router. */
+    void sendToPeer(int router, byte[] message);
 
-    /** Ask the transport whether anybody listens at a director's address; where it can't tell, nothing comes of it. */
-    default void probeReachability(int director, long at) {}
+    /** Probe whether anybody listens at another router's address; where that can't be told, nothing happens. */
+    default void probeReachability(int router, long at) {}
 
-    /** Ask discovery for changes from now on, or no longer. */
+    /** Subscribe to changes of discovery's list, or unsubscribe. */
     void subscribe(boolean on);
 
-    /** Ask discovery once for the whole list. */
+    /** Ask discovery once for the complete list. */
     void fetchEndpointList();
 
-    /** A line for the operators' log. */
+    /** Write a line to the operators' log. */
     void log(String line);
 }
--- a/src/main/java/magpiewheel/routing/RoutingPolicy.java
+++ b/src/main/java/magpiewheel/routing/RoutingPolicy.java
@@ -5,76 +5,84 @@
 import magpiewheel.membership.MembershipView;
 
 /**
- * The interface between a request router and its decision module. The router calls one method for each event; the
- * module answers through the {@link RoutingActions} sink that it was built with, during that call only.
+ * The routing decisions, as events in and actions out. The caller calls one method for each event; the policy answers
+ * through the {@link RoutingActions} that it was built with, during that call only.
  *
- * <p>All times are microseconds. {@code now} is the caller's clock, which starts anywhere and never goes back; the
- * module has no other. Nodes, requests and objects are opaque numbers chosen by the caller. Events about requests that
- * the module does not hold are ignored, since outcomes and timers may be late. One instance is used by one thread at a
- * time.
+ * <p>Units: all times are microseconds unless a name says otherwise. {@code now} is the caller's clock, which starts
+ * anywhere and never goes back; the policy has no other. Endpoints, requests and objects are opaque numbers chosen by
+ * the caller.
+ *
+ * <p>Threading: one instance is used by one thread at a time, and is never called from inside one of its own actions,
+ * but for {@link #evaluateDelivery}.
+ *
+ * <p>Errors: events about requests that are not in flight are ignored, since outcomes and timers may be late. A request
+ * of an unknown class is an {@link IllegalArgumentException}.
  */
 public interface RoutingPolicy {
+    /** What {@link #selectCache} returns where no cache is usable. */
+    long NO_CACHE = -1;
 
-    /** Discovery's list or a change to it; {@code FAILED} carries no members. */
-    void endpointsChanged(long now, EndpointListMode mode, List<EndpointInfo> members);
+    /** Discovery sent a list or a change to it; with {@code FAILED} there are no endpoints in it. */
+    void endpointsChanged(long now, EndpointListMode mode, List<EndpointInfo> endpoints);
 
-    /** A client's request has come and is owed one final answer; {@code own} is null unless the router holds a copy. */
-    void requestArrived(long now, RoutingRequest request, LocalCopy own);
+    /**
+     * A client's request arrived. It gets exactly one final answer, unless the client disconnects.
+     *
+     * @param localCopy the router's own copy of what is requested; null where it has none
+     */
+    void requestArrived(long now, RoutingRequest request, LocalCopy localCopy);
 
-    /** Likewise, for a router without copies. */
+    /** Likewise, where the router has no copy. */
     default void requestArrived(long now, RoutingRequest request) {
         requestArrived(now, request, null);
     }
 
-    /** A stream has begun: this attempt is the client's now. */
-    void streamStarted(long now, long request, int attempt);
+    /** A streaming response started: this attempt is the client's now, and nothing else may answer. */
+    void streamStarted(long now, long requestId, int attempt);
 
-    /** Asked of every answer before it is passed on, whatever way it came; {@link BoundedReads#evaluateDelivery}. */
-    default DeliveryDecision evaluateDelivery(long now, long request, long mintedMs) {
-        return boundedReads().evaluateDelivery(now, request, mintedMs);
+    /** Whether a response may be delivered; asked for every response. See {@link BoundedReads#evaluateDelivery}. */
+    default DeliveryDecision evaluateDelivery(long now, long requestId, long originTimeMs) {
+        return boundedReads().evaluateDelivery(now, requestId, originTimeMs);
     }
 
-    /** An attempt has ended. */
+    /** An attempt ended. */
     void attemptEnded(long now, AttemptOutcome outcome);
 
-    /** The client has left; nothing is owed. */
-    void clientDisconnected(long now, long request);
+    /** The client disconnected; no answer is due. */
+    void clientDisconnected(long now, long requestId);
 
     /** A purge was made at the origin. */
     void objectsPurged(long now, Purge purge);
 
-    /** A timer asked for by {@link RoutingActions#setTimer} is due. */
+    /** A timer set with {@link RoutingActions#setTimer} expired. */
     void timerExpired(long now, long handle);
 
-    /** A probe has ended. Who asks for none has nothing to do. */
+    /** A health check ended; a policy that requests none ignores it. */
     default void healthCheckEnded(long now, HealthCheckResult result) {}
 
-    /** A message from another director; anything may stand in it. */
+    /** A message from another router; it may contain anything. */
     void peerMessageReceived(long now, long sender, byte[] message);
 
-    /** Which other directors are there, as far as is known. */
-    MembershipView membership();
-
-    /** What operators are shown of parts that are off by preset, by name; empty while they are. */
-    default Map<String, Long> statistics(long now) {
-        return Map.of();
-    }
-
-    /** Whether this director serves from now on, or wants no more clients. */
+    /** Whether this router serves from now on, or drains. */
     void setServing(long now, boolean serves);
 
-    /** Asked at a time whether anybody listens there, the machine of another director said no. */
-    void reachabilityRefused(long now, int director, long askedAt);
+    /** The host of another router refused a reachability probe that was sent at a time. */
+    void reachabilityRefused(long now, int router, long probedAt);
 
-    /** Reads of bounded staleness. */
-    BoundedReads boundedReads();
+    /** The cache of a zone that a client should connect to for an object, or {@link #NO_CACHE}. */
+    long selectCache(long now, int zone, long objectId);
 
-    /** How many nodes of the list get nothing new now: those that drain, and those left out for how they answer. */
+    /** How many endpoints get nothing new now: those that drain and those that are ejected. */
     int avoidedEndpoints(long now);
 
-    /** Where {@link #selectCache} finds no cache. */
-    long NO_CACHE = -1;
+    /** Reads with a staleness bound. */
+    BoundedReads boundedReads();
+
+    /** The other routers, as far as is known. */
+    MembershipView membership();
 
-    /** The cache of a zone that a client should go to by itself for an object, or {@link #NO_CACHE}. */
-    long selectCache(long now, int zone, long object);
+    /** Statistics of the parts that are off by default, by their external names; empty while they are off. */
+    default Map<String, Long> statistics(long now) {
+        return Map.of();
+    }
 }
--- a/src/main/java/magpiewheel/routing/RoutingRequest.java
+++ b/src/main/java/magpiewheel/routing/RoutingRequest.java
@@ -2,7 +2,15 @@
 
 import magpiewheel.staleness.ReadHint;
 
-/** A client's request. {@code sizeKb} is 0 where no size is told, {@code tenant} where there are none. */
+/**
+ * A client's request.
+ *
+ * @param group the purge group of its object
+ * @param sizeKb the size of the object; 0 where it is unknown
+ * @param timeBudgetUs the time that the client leaves; 0 for the class's deadline
+ * @param part the part of the object that is requested
+ * @param clientRetry whether the client retries an earlier request
+ */
 public record RoutingRequest(
         long id,
         int requestClass,
--- a/src/main/java/magpiewheel/routing/RoutingSettings.java
+++ b/src/main/java/magpiewheel/routing/RoutingSettings.java
@@ -3,7 +3,14 @@
 import java.util.List;
 import magpiewheel.region.RegionConfig;
 
-/** Everything the module is told at its start. */
+/**
+ * The settings of a site, as the routing decisions need them.
+ *
+ * @param mustSubscribe whether discovery sends changes only after a subscription
+ * @param cachesJoinFills whether caches let a request join a fill in flight
+ * @param mayBypassCaches whether routers reach parents and the origin themselves
+ * @param detailedCacheStatus whether caches report how they handled a miss, not only hits
+ */
 public record RoutingSettings(
         RouterTopology topology,
         List<RequestClass> requestClasses,
@@ -18,9 +25,9 @@
         boolean detailedCacheStatus,
         WeightSource weightSource,
         List<LoadMetric> loadMetrics) {
-    /** us; over so long work is counted where no time is told in which a cold node falls. */
-    private static final long WINDOW_US = 1_000_000;
-    /** Work a second that nothing bounds: transfers at once of an origin of which nothing is told. */
+    /** us; the overload window where the settings have none. */
+    private static final long DEFAULT_WINDOW_US = 1_000_000;
+    /** Transfers at once of an origin whose capacity is unknown. */
     private static final double UNBOUNDED = 1e9;
 
     /** The longest time that a request of any class may take, us. */
@@ -29,8 +36,10 @@
     }
 
     /**
-     * What regions are told of this place; null where there are no parents, none is attached to a hub, or fronts may
-     * not speak. The origin bears so many transfers at once, 0 where that is not told.
+     * The configuration of this router's regions; null where there are no parents, the zone is attached to no hub, or
+     * routers may not send messages.
+     *
+     * @param originTransfers the transfers that the origin carries at once; 0 where that is unknown
      */
     public RegionConfig regionConfig(long startedMs, int originTransfers) {
         int[] hubs = topology.hubByZone();
@@ -40,8 +49,8 @@
                 || topology.zone() >= hubs.length) {
             return null;
         }
-        long window = safetyLimits.overloadWindowUs() > 0 ? safetyLimits.overloadWindowUs() : WINDOW_US;
-        // No load until it is measured: what is too little is known before much of it has moved to a leader.
+        long window = safetyLimits.overloadWindowUs() > 0 ? safetyLimits.overloadWindowUs() : DEFAULT_WINDOW_US;
+        // No load until it is measured: too low an estimate is corrected before much of it has moved to a leader.
         return new RegionConfig(
                 topology.routerId(),
                 topology.zone(),
--- a/src/main/java/magpiewheel/routing/SiblingFills.java
+++ b/src/main/java/magpiewheel/routing/SiblingFills.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** Which caches may be named as the source of a fill. */
+/** Which other caches may be named as the source of a fill. */
 public enum SiblingFills {
     OFF,
     LOCATION,
--- a/src/main/java/magpiewheel/routing/SlidingWindowSum.java
+++ b/src/main/java/magpiewheel/routing/SlidingWindowSum.java
@@ -2,16 +2,16 @@
 
 import java.util.ArrayDeque;
 
-/** The sum of what was added over the last span of time. */
+/** The sum of the amounts that were added within the last window of time. */
 final class SlidingWindowSum {
     private record Entry(long at, double amount) {}
 
     private final ArrayDeque<Entry> entries = new ArrayDeque<>();
-    private final long span;
+    private final long windowUs;
     private double sum;
 
-    SlidingWindowSum(long span) {
-        this.span = span;
+    SlidingWindowSum(long windowUs) {
+        this.windowUs = windowUs;
     }
 
     void add(long now, double amount) {
@@ -26,7 +26,7 @@
     }
 
     private void expire(long now) {
-        while (!entries.isEmpty() && entries.peekFirst().at() <= now - span) {
+        while (!entries.isEmpty() && entries.peekFirst().at() <= now - windowUs) {
             sum -= entries.pollFirst().amount();
         }
         if (entries.isEmpty()) {
--- a/src/main/java/magpiewheel/routing/StalenessBridge.java
+++ b/src/main/java/magpiewheel/routing/StalenessBridge.java
@@ -10,236 +10,251 @@
 import magpiewheel.staleness.StalenessBound;
 
 /**
- * Carries words between the module and the pinned reads: the module's nodes, copies and purges as the pins know them,
- * and their answers back. It decides nothing about a request; off, it answers as if no hint had come.
+ * Connects the routing decisions with the reads of bounded staleness: passes endpoints, copies and purges on, and their
+ * answers back. It decides nothing itself; while disabled it answers as if no request had a hint.
  */
 final class StalenessBridge implements BoundedReads {
-    /** us; stands for the fresh time of a class whose copies never grow too old. */
+    /** us; the fresh time of a class whose copies never become stale. */
     private static final long UNLIMITED_FRESH_US = Long.MAX_VALUE / 8;
 
     private static final long UNKNOWN_AGE = -1;
     private static final long US_PER_MS = 1_000;
     private final BoundedStalenessReads reads;
-    private final RouterTopology place;
-    private final Map<Long, InFlightRequest> flights;
-    /** The last request that went to the origin itself since its clock was not known. */
+    private final RouterTopology topology;
+    private final Map<Long, InFlightRequest> inFlight;
+    /** The last request that was sent to the origin itself to learn its clock; null before the first. */
     private InFlightRequest originReader;
-    /** Purges by the origin's clock: the module's own are by this front's. */
+    /** Purges by the origin's clock; {@link PurgeLog} of the routing decisions goes by this router's. */
     private final PurgeLog purges = new PurgeLog();
 
-    /** Driven by the fleet; nothing is made where it is off. */
+    /** A bridge that the fleet protocols drive; while disabled it exchanges no messages. */
     StalenessBridge(
-            boolean on,
+            boolean enabled,
             long now,
-            RouterTopology place,
+            RouterTopology topology,
             FleetProtocols fleet,
-            Map<Long, InFlightRequest> flights,
-            RoutingActions out) {
-        this.flights = flights;
-        this.place = place;
-        reads = !on
+            Map<Long, InFlightRequest> inFlight,
+            RoutingActions actions) {
+        this.inFlight = inFlight;
+        this.topology = topology;
+        reads = !enabled
                 ? null
                 : new BoundedStalenessReads(
-                        now, place.routerId(), place.zone(), fleet.membershipView(), out::sendToPeer);
+                        now, topology.routerId(), topology.zone(), fleet.membershipView(), actions::sendToPeer);
         if (reads != null) {
             fleet.add(new FleetProtocols.PeerProtocol(
                     BoundedStalenessReads::isOurs, reads::heard, at -> reads.due(), reads::tick));
         }
     }
 
-    // ---------------------------------------------------------------- what the module asks
+    // ---------------------------------------------------------------- queries of the routing decisions
 
-    /** What a request's copy must keep to; writes ignore hints. */
-    private StalenessBound boundOf(long now, InFlightRequest flight) {
+    /** The staleness bound that a request's hint asks for; writes ignore hints. */
+    private StalenessBound boundOf(long now, InFlightRequest request) {
         if (reads == null
-                || flight.requestClass.write()
-                || !flight.request.hint().bounds()) {
+                || request.requestClass.write()
+                || !request.request.hint().bounds()) {
             return StalenessBound.NONE;
         }
-        long fresh = flight.requestClass.freshUs();
+        long freshUs = request.requestClass.freshUs();
         return reads.bound(
                 now,
-                flight.request.hint(),
-                fresh > 0 ? fresh : UNLIMITED_FRESH_US,
-                fresh > 0 ? flight.requestClass.staleGraceUs() : 0,
-                purgedUs(flight));
+                request.request.hint(),
+                freshUs > 0 ? freshUs : UNLIMITED_FRESH_US,
+                freshUs > 0 ? request.requestClass.staleGraceUs() : 0,
+                purgedUs(request));
     }
 
     /**
-     * Sets what a request's copy must keep to. Where only the origin can prove it, it goes there as if another copy had
-     * not done; while one such request is out, others are refused.
+     * Sets the staleness bound of a request. Where only the origin can prove it, the request goes there; while one such
+     * request is in flight, others are rejected.
      */
-    void applyHint(long now, InFlightRequest flight) {
-        flight.setBound(boundOf(now, flight));
-        if (flight.noMoreAttempts || !requiresOriginResponse(now, flight)) {
+    void applyHint(long now, InFlightRequest request) {
+        request.setBound(boundOf(now, request));
+        if (request.noMoreAttempts || !requiresOriginResponse(now, request)) {
             return;
         }
-        flight.unproven = true;
-        flight.noMoreAttempts = !BoundedStalenessReads.mayLearn(originReader == null ? 0 : originReader.openAttempts());
-        originReader = flight.noMoreAttempts ? originReader : flight;
+        request.unproven = true;
+        request.noMoreAttempts =
+                !BoundedStalenessReads.mayLearn(originReader == null ? 0 : originReader.openAttempts());
+        originReader = request.noMoreAttempts ? originReader : request;
     }
 
-    /** Whether a request's copy must come from the origin itself, and by no fill that is under way. */
-    boolean requiresOriginResponse(long now, InFlightRequest flight) {
-        return reads != null && reads.byOriginOnly(now, flight.bound);
+    /** Whether the response must come from the origin itself, and not from a fill that is already in flight. */
+    boolean requiresOriginResponse(long now, InFlightRequest request) {
+        return reads != null && reads.byOriginOnly(now, request.bound);
     }
 
-    /** The tighter of an age limit of the module's (0: none) and what the bound leaves a node. */
-    long tightenAgeLimit(long now, InFlightRequest flight, Endpoint target, long limit) {
-        long bound = !flight.bound.asks()
+    /** The tighter of an age limit (0 for none) and the one that the bound leaves for an endpoint, us. */
+    long tightenAgeLimit(long now, InFlightRequest request, Endpoint target, long limit) {
+        long bound = !request.bound.asks()
                 ? 0
-                : requiresOriginResponse(now, flight)
+                : requiresOriginResponse(now, request)
                         ? 1
-                        : reads.freshUs(now, flight.request.objectId(), flight.request.part(), target.id, flight.bound);
+                        : reads.freshUs(
+                                now, request.request.objectId(), request.request.part(), target.id, request.bound);
         return limit == 0 || bound > 0 && bound < limit ? bound : limit;
     }
 
     /**
-     * The cache to ask first of those that are fit: the pinned one, or one whose copy will do, else the module's
-     * holder.
+     * The preferred one of the candidates: the session's sticky cache, or one with an acceptable copy, else the holder.
      */
-    Endpoint preferredCache(long now, InFlightRequest flight, List<Endpoint> fit, Endpoint holder) {
-        if (reads == null || flight.request.hint().session() == 0 && !flight.bound.asks()) {
+    Endpoint preferredCache(long now, InFlightRequest request, List<Endpoint> candidates, Endpoint holder) {
+        if (reads == null || request.request.hint().session() == 0 && !request.bound.asks()) {
             return holder;
         }
-        List<Endpoint> order = new ArrayList<>(fit);
-        order.sort(RendezvousHash.order(flight.request.objectId()));
-        if (holder != null && order.remove(holder)) {
-            order.add(0, holder);
+        List<Endpoint> ordered = new ArrayList<>(candidates);
+        ordered.sort(RendezvousHash.order(request.request.objectId()));
+        if (holder != null && ordered.remove(holder)) {
+            ordered.add(0, holder);
         }
-        long picked = reads.pick(
+        long preferred = reads.pick(
                 now,
-                flight.request.hint(),
-                flight.request.objectId(),
-                flight.request.part(),
-                order.stream().map(node -> node.id).toList(),
-                flight.bound);
-        return picked == 0
+                request.request.hint(),
+                request.request.objectId(),
+                request.request.part(),
+                ordered.stream().map(endpoint -> endpoint.id).toList(),
+                request.bound);
+        return preferred == 0
                 ? holder
-                : order.stream().filter(node -> node.id == picked).findFirst().orElse(holder);
+                : ordered.stream()
+                        .filter(endpoint -> endpoint.id == preferred)
+                        .findFirst()
+                        .orElse(holder);
     }
 
-    /**
-     * Whether the pins themselves name a cache for a request: as where its session reads, or for a copy that will do.
-     */
-    boolean prefers(long now, InFlightRequest flight, Endpoint cache) {
-        return cache != null && preferredCache(now, flight, List.of(cache), null) == cache;
+    /** Whether the bound itself prefers a cache: as the sticky one of the session, or for an acceptable copy. */
+    boolean prefers(long now, InFlightRequest request, Endpoint cache) {
+        return cache != null && preferredCache(now, request, List.of(cache), null) == cache;
     }
 
-    /** Whether what a node is known to hold can do for a request. */
-    boolean mayHoldAcceptableCopy(long now, InFlightRequest flight, Endpoint node) {
-        return !flight.bound.asks()
-                || node == null
-                || reads.satisfies(now, flight.request.objectId(), flight.request.part(), node.id, flight.bound);
+    /** Whether what an endpoint is known to hold may be acceptable; true where there is no bound. */
+    boolean mayHoldAcceptableCopy(long now, InFlightRequest request, Endpoint endpoint) {
+        return !request.bound.asks()
+                || endpoint == null
+                || reads.satisfies(now, request.request.objectId(), request.request.part(), endpoint.id, request.bound);
     }
 
-    /** Whether a copy keeps to the bound, and is none from before a purge that was told since. */
-    boolean accepts(long now, InFlightRequest flight, long mintedUs) {
-        return !flight.bound.asks() || mintedUs >= purgedUs(flight) && reads.admits(now, flight.bound, mintedUs);
+    /** Whether a copy satisfies the bound, and is not older than a purge. */
+    boolean accepts(long now, InFlightRequest request, long originTimeUs) {
+        return !request.bound.asks()
+                || originTimeUs >= purgedUs(request) && reads.admits(now, request.bound, originTimeUs);
     }
 
-    /** The earliest that a copy may be minted after all purges; one of a purge's own ms may be from before it. */
-    private long purgedUs(InFlightRequest flight) {
-        long purge = purges.lastPurge(flight.request.objectId(), flight.request.group());
+    /**
+     * The earliest acceptable origin time after the purges; a copy of a purge's own millisecond may be older than it.
+     */
+    private long purgedUs(InFlightRequest request) {
+        long purge = purges.lastPurge(request.request.objectId(), request.request.group());
         return purge == Long.MIN_VALUE ? 0 : purge + US_PER_MS;
     }
 
     @Override
-    public DeliveryDecision evaluateDelivery(long now, long request, long mintedMs) {
-        InFlightRequest flight = flights.get(request);
-        return reads == null || flight == null ? DeliveryDecision.UNCHANGED : decide(now, flight, mintedMs);
+    public DeliveryDecision evaluateDelivery(long now, long requestId, long originTimeMs) {
+        InFlightRequest request = inFlight.get(requestId);
+        return reads == null || request == null ? DeliveryDecision.UNCHANGED : decide(now, request, originTimeMs);
     }
 
-    /** A copy that does not keep to the bound is passed on with its age, or not at all. */
-    private DeliveryDecision decide(long now, InFlightRequest flight, long mintedMs) {
-        long minted = Math.max(0, mintedMs) * US_PER_MS;
-        long mark = BoundedStalenessReads.mark(minted, flight.requestClass.write());
-        if (accepts(now, flight, minted)) {
+    /** A copy that violates the bound is delivered with its age or, for a strict read, not at all. */
+    private DeliveryDecision decide(long now, InFlightRequest request, long originTimeMs) {
+        long originTimeUs = Math.max(0, originTimeMs) * US_PER_MS;
+        long mark = BoundedStalenessReads.mark(originTimeUs, request.requestClass.write());
+        if (accepts(now, request, originTimeUs)) {
             return new DeliveryDecision(true, mark, 0);
         }
-        if (flight.bound.strict()) {
+        if (request.bound.strict()) {
             return DeliveryDecision.WITHHELD;
         }
-        // A copy from before a purge that was told since keeps to the bound as it was.
-        long aged = reads.aged(now, flight.bound, minted);
-        return new DeliveryDecision(true, mark, aged == 0 ? UNKNOWN_AGE : aged);
+        // A copy that only a later purge made unacceptable satisfies the bound as it was set.
+        long ageMs = reads.aged(now, request.bound, originTimeUs);
+        return new DeliveryDecision(true, mark, ageMs == 0 ? UNKNOWN_AGE : ageMs);
     }
 
-    /** How long a client that was refused for its hint is to stay away. */
+    /** How long a client is to wait that was rejected for its bound, us. */
     long retryAfterUs(long now) {
         return reads.pauseUs(now);
     }
 
-    // ---------------------------------------------------------------- what the pins are told
+    // ---------------------------------------------------------------- events
 
     @Override
-    public void responseReceived(long request, int index, long at, CacheStatus note, long mintedMs) {
-        InFlightRequest flight = flights.get(request);
-        if (reads == null || flight == null || mintedMs <= 0) {
+    public void responseReceived(long requestId, int attemptNumber, long at, CacheStatus status, long originTimeMs) {
+        InFlightRequest request = inFlight.get(requestId);
+        if (reads == null || request == null || originTimeMs <= 0) {
             return;
         }
-        Attempt attempt = flight.attempts.get(index);
-        if (flight.requestClass.write()) {
-            reads.wrote(attempt.sentAt, at, mintedMs * US_PER_MS);
+        Attempt attempt = request.attempts.get(attemptNumber);
+        if (request.requestClass.write()) {
+            reads.wrote(attempt.sentAt, at, originTimeMs * US_PER_MS);
             return;
         }
-        boolean past = !attempt.target.isCache();
-        boolean own = attempt.source.isOrigin() && (past || filled(note));
-        reads.fetched(attempt.sentAt, at, mintedMs * US_PER_MS, own && (!past || attempt.source == attempt.target));
+        boolean bypassed = !attempt.target.isCache();
+        boolean fromOrigin = attempt.source.isOrigin() && (bypassed || filled(status));
+        reads.fetched(
+                attempt.sentAt,
+                at,
+                originTimeMs * US_PER_MS,
+                fromOrigin && (!bypassed || attempt.source == attempt.target));
     }
 
-    private static boolean filled(CacheStatus note) {
-        return note == CacheStatus.FILLED || note == CacheStatus.FILLED_BY_ORIGIN;
+    private static boolean filled(CacheStatus status) {
+        return status == CacheStatus.FILLED || status == CacheStatus.FILLED_BY_ORIGIN;
     }
 
-    /** An attempt has ended; a copy that came with a miss would not do, and says only who holds it. */
-    void attemptEnded(long now, InFlightRequest flight, Attempt attempt, AttemptOutcome outcome) {
-        if (reads == null || outcome.originTimeMs() <= 0 || flight.requestClass.write()) {
+    /** An attempt ended; a copy that came with a miss was not acceptable, and proves only who holds it. */
+    void attemptEnded(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome) {
+        if (reads == null || outcome.originTimeMs() <= 0 || request.requestClass.write()) {
             return;
         }
-        ReadHint hint = outcome.result() == AttemptResult.OK ? flight.request.hint() : ReadHint.NONE;
-        long minted = outcome.originTimeMs() * US_PER_MS;
+        ReadHint hint = outcome.result() == AttemptResult.OK ? request.request.hint() : ReadHint.NONE;
+        long originTimeUs = outcome.originTimeMs() * US_PER_MS;
         if (attempt.target.isCache()) {
-            reads.served(now, hint, flight.request.objectId(), flight.request.part(), attempt.target.id, minted);
+            reads.served(
+                    now, hint, request.request.objectId(), request.request.part(), attempt.target.id, originTimeUs);
         }
         if (filled(outcome.cacheStatus()) && attempt.source.isParent()) {
             reads.served(
-                    now, ReadHint.NONE, flight.request.objectId(), flight.request.part(), attempt.source.id, minted);
+                    now,
+                    ReadHint.NONE,
+                    request.request.objectId(),
+                    request.request.part(),
+                    attempt.source.id,
+                    originTimeUs);
         }
     }
 
-    /** A purge was made. */
+    /** A purge was made at the origin. */
     void objectsPurged(long now, Purge purge) {
         if (reads != null) {
-            // Without the origin's own time, this front's stands for it.
+            // Without the origin's own time, this router's stands for it.
             long at = purge.originTimeMs() > 0 ? purge.originTimeMs() * US_PER_MS : now - purge.agoUs();
             purges.add(at, purge);
             reads.purged(now, purge.objectId(), purge.group(), at);
         }
     }
 
-    /** The list changed; of the nodes, the caches of the own branch matter. */
-    void endpointsChanged(long now, Collection<Endpoint> all) {
+    /** The list changed; only the caches of the router's own zone matter. */
+    void endpointsChanged(long now, Collection<Endpoint> statistics) {
         if (reads != null) {
             reads.nodes(
                     now,
-                    all.stream()
-                            .filter(node -> node.state != EndpointState.REMOVED
-                                    && node.isCache()
-                                    && node.info.zone() == place.zone())
-                            .map(node -> new Replica(
-                                    node.id,
-                                    node.state == EndpointState.DRAINING,
-                                    node.info.weight(),
-                                    node.info.startedUs()))
+                    statistics.stream()
+                            .filter(endpoint -> endpoint.state != EndpointState.REMOVED
+                                    && endpoint.isCache()
+                                    && endpoint.info.zone() == topology.zone())
+                            .map(endpoint -> new Replica(
+                                    endpoint.id,
+                                    endpoint.state == EndpointState.DRAINING,
+                                    endpoint.info.weight(),
+                                    endpoint.info.startedUs()))
                             .toList());
         }
     }
 
     @Override
-    public boolean isUnproven(long request) {
-        InFlightRequest flight = flights.get(request);
-        return flight != null && flight.unproven;
+    public boolean isUnproven(long requestId) {
+        InFlightRequest request = inFlight.get(requestId);
+        return request != null && request.unproven;
     }
 
     @Override
@@ -249,17 +264,17 @@
         }
     }
 
-    /** Adds what operators are shown to what there is; nothing where pins are off. */
-    Map<String, Long> addStatistics(long now, Map<String, Long> all) {
+    /** Adds the statistics of bounded reads; none while they are disabled. */
+    Map<String, Long> addStatistics(long now, Map<String, Long> statistics) {
         if (reads != null) {
-            all.put("pins_held", (long) reads.pinned());
-            all.put(
+            statistics.put("pins_held", (long) reads.pinned());
+            statistics.put(
                     "pins_uncertain_ms",
                     reads.errorUs(now) < 0 ? -1 : (reads.errorUs(now) + US_PER_MS - 1) / US_PER_MS);
-            all.put("pins_board", (long) reads.step(now));
-            all.put("pins_clock_steps", reads.clockSteps());
-            all.put("pins_spoilt", reads.spoilt());
+            statistics.put("pins_board", (long) reads.step(now));
+            statistics.put("pins_clock_steps", reads.clockSteps());
+            statistics.put("pins_spoilt", reads.spoilt());
         }
-        return all;
+        return statistics;
     }
 }
--- a/src/main/java/magpiewheel/routing/Tenant.java
+++ b/src/main/java/magpiewheel/routing/Tenant.java
@@ -1,4 +1,9 @@
 package magpiewheel.routing;
 
-/** A tenant, and the requests a second over all directors that are inside its share. */
+/**
+ * A tenant of the site.
+ *
+ * @param quotaPerS the requests a second, over all routers, that are inside its quota
+ * @param portion its portion of the demand
+ */
 public record Tenant(double quotaPerS, double portion) {}
--- a/src/main/java/magpiewheel/routing/TransferTimes.java
+++ b/src/main/java/magpiewheel/routing/TransferTimes.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * How long transfers take: that of a request where its size is told, else the mean of its class; and how many of each
- * size were answered. It only counts.
+ * How long transfers take: by the size of a request where it is known, else by the mean of its class; and how many of
+ * each size were answered. It only counts.
  */
 final class TransferTimes {
     private static final double SECOND_US = 1e6;
@@ -32,37 +32,37 @@
         }
     }
 
-    /** Whether the request's own size tells how long its transfer takes. */
+    /** Whether the request's own size determines how long its transfer takes. */
     boolean sized(RoutingRequest request) {
         return request.sizeKb() > 0 && transferKbPerS > 0;
     }
 
-    /** A request came: where it tells its size, that is what its transfer takes. */
+    /** A request arrived; where its size is known, so is its transfer time. */
     void requested(RoutingRequest request) {
         if (sized(request)) {
             double mostUs = requestClasses.get(request.requestClass()).deadlineUs();
-            add(request.requestClass(), Math.min(ownUs(request), mostUs), true);
+            add(request.requestClass(), Math.min(transferUs(request), mostUs), true);
         }
     }
 
-    /** A request got its final answer: it was answered, or refused or failed. */
+    /** A request got its final answer: served, or rejected or failed. */
     void ended(RoutingRequest request, boolean served) {
-        answered.add(request.requestClass(), ownUs(request), served);
+        answered.add(request.requestClass(), transferUs(request), served);
     }
 
-    /** Whether requests as large as this one are answered less than so much of their class's share. */
+    /** Whether requests as large as this one are answered less often than their class, times the floor. */
     boolean fallsShort(RoutingRequest request, double floor) {
-        return answered.fallsShort(request.requestClass(), ownUs(request), floor);
+        return answered.fallsShort(request.requestClass(), transferUs(request), floor);
     }
 
-    /** A copy that was held took so long to come; it tells where no size does. */
-    void measured(RoutingRequest request, double us, boolean quiet) {
+    /** A hit took so long; it counts where the size is unknown. */
+    void measured(RoutingRequest request, double us, boolean lowLoad) {
         if (!sized(request)) {
-            add(request.requestClass(), us, quiet || !mean[request.requestClass()].hasSamples());
+            add(request.requestClass(), us, lowLoad || !mean[request.requestClass()].hasSamples());
         }
     }
 
-    /** One took so long; {@code plain} unless it may have shared its node's link with many others. */
+    /** A transfer took so long; {@code plain} unless it may have shared a link with many others. */
     void add(int profile, double us, boolean plain) {
         careful[profile] += Smoothing.RECENT_WEIGHT * (us - careful[profile]);
         if (plain) {
@@ -70,20 +70,20 @@
         }
     }
 
-    /** Mean sending time of a class, us; before anything was seen its aim, which is longer. */
+    /** Mean transfer time of a class, us; at first its latency objective, which is longer. */
     double workUs(int profile) {
         return mean[profile].or(requestClasses.get(profile).latencyObjectiveUs());
     }
 
     /**
-     * What hard limits are kept with, us: a class's mean, but its aim until many were seen. The first few say little
-     * where sizes differ much, and those that end first are the short ones.
+     * The estimate for hard limits, us: a class's mean, but its objective until many were measured. The first few say
+     * little where sizes differ much, and those that end first are the short ones.
      */
     double carefulUs(int profile) {
         return Math.max(careful[profile], workUs(profile));
     }
 
-    /** The longest of the classes that read, as hard limits are kept with it. */
+    /** The longest such estimate of the classes that read. */
     double longestReadUs() {
         double longest = 0;
         for (int i = 0; i < mean.length; i++) {
@@ -92,8 +92,8 @@
         return longest;
     }
 
-    /** Sending time of this very request where its size is told, else its class's mean, us. */
-    double ownUs(RoutingRequest request) {
+    /** The transfer time of this very request where its size is known, else the mean of its class, us. */
+    double transferUs(RoutingRequest request) {
         return sized(request) ? request.sizeKb() / transferKbPerS * SECOND_US : workUs(request.requestClass());
     }
 
@@ -101,7 +101,7 @@
     double latencyObjectiveUs(InFlightRequest request) {
         RequestClass requestClass = request.requestClass;
         double objectiveUs =
-                requestClass.latencyObjectiveUs() + requestClass.objectiveStretch() * ownUs(request.request);
+                requestClass.latencyObjectiveUs() + requestClass.objectiveStretch() * transferUs(request.request);
         return Math.min(objectiveUs, request.deadline - request.arrivedAt);
     }
 }
--- a/src/main/java/magpiewheel/routing/WeightSource.java
+++ b/src/main/java/magpiewheel/routing/WeightSource.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** What a node's weight stands for. */
+/** What the weight of an endpoint stands for. */
 public enum WeightSource {
     OFF,
     NOMINAL,
--- a/src/main/java/magpiewheel/routing/package-info.java
+++ b/src/main/java/magpiewheel/routing/package-info.java
@@ -1,6 +1,8 @@
 /**
- * The decision module: every decision on a request (caches, sources, health, cold nodes, purges) is made by
- * {@link magpiewheel.routing.RequestRouter} behind the interface {@link magpiewheel.routing.RoutingPolicy}. It has no
- * clock, no socket and no wire; times and events are given to it.
+ * The routing decisions: which cache a request goes to, where a miss is filled from, what is retried, shed or rejected.
+ *
+ * <p>{@link magpiewheel.routing.RoutingPolicy} is the contract and {@link magpiewheel.routing.RequestRouter} the order
+ * of the decisions; each decision is a class of its own. The package has no clock, no socket and no wire: times and
+ * events are passed in, and identical events yield identical actions.
  */
 package magpiewheel.routing;
--- a/src/test/java/magpiewheel/resp/AbandonedRequestTest.java
+++ b/src/test/java/magpiewheel/resp/AbandonedRequestTest.java
@@ -130,7 +130,7 @@
     private static RoutingPolicy module(RoutingActions actions) {
         AttemptPlan plan = AttemptPlan.builder(1).build();
         return EngineStubs.module((method, arguments) -> {
-            if (method.equals("request")) {
+            if (method.equals("requestArrived")) {
                 actions.startAttempt(((RoutingRequest) arguments[1]).id(), 1, plan);
             }
             return null;
--- a/src/test/java/magpiewheel/resp/ClientConnectionTest.java
+++ b/src/test/java/magpiewheel/resp/ClientConnectionTest.java
@@ -334,11 +334,11 @@
         }
 
         private void told(RoutingActions actions, String method, Object[] args) {
-            if (method.equals("request") && asked.getCount() > 0) {
+            if (method.equals("requestArrived") && asked.getCount() > 0) {
                 asked.countDown();
-            } else if (method.equals("request")) {
+            } else if (method.equals("requestArrived")) {
                 actions.fail(((RoutingRequest) args[1]).id());
-            } else if (method.equals("clientGone")) {
+            } else if (method.equals("clientDisconnected")) {
                 givenUp.countDown();
             }
         }
--- a/src/test/java/magpiewheel/routing/PeerMessageCodecTest.java
+++ b/src/test/java/magpiewheel/routing/PeerMessageCodecTest.java
@@ -25,7 +25,7 @@
         List<byte[]> messages = PeerMessageCodec.encode(message(40));
         List<HolderHint> heard = new ArrayList<>();
         for (byte[] bytes : messages) {
-            assertTrue(bytes.length <= PeerMessageCodec.MOST_BYTES);
+            assertTrue(bytes.length <= PeerMessageCodec.MAX_MESSAGE_BYTES);
             PeerMessage one = PeerMessageCodec.decode(bytes);
             assertEquals(
                     message(0),
--- /dev/null
+++ b/src/test/java/magpiewheel/routing/RetryBudgetTest.java
@@ -0,0 +1,47 @@
+package magpiewheel.routing;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class RetryBudgetTest {
+    private final RetryBudget budget = new RetryBudget();
+
+    private void spendAll() {
+        while (budget.trySpend(1)) {
+            // Each call spends one.
+        }
+    }
+
+    @Test
+    void aFullBudgetHoldsTwentyRetries() {
+        for (int retry = 0; retry < 20; retry++) {
+            assertTrue(budget.trySpend(1));
+        }
+        assertFalse(budget.trySpend(1));
+        assertTrue(budget.trySpend(0), "a first attempt costs nothing");
+    }
+
+    @Test
+    void fiveRequestsEarnOneRetry() {
+        spendAll();
+        for (int request = 0; request < 4; request++) {
+            budget.earn();
+        }
+        assertFalse(budget.trySpend(1));
+        budget.earn();
+        budget.earn();
+        assertTrue(budget.trySpend(1));
+        assertFalse(budget.trySpend(1));
+    }
+
+    @Test
+    void noMoreThanTwentyAreSavedUp() {
+        for (int request = 0; request < 1_000; request++) {
+            budget.earn();
+        }
+        assertTrue(budget.trySpend(20));
+        assertFalse(budget.trySpend(1));
+    }
+}
