--- a/src/main/java/magpiewheel/WarmUp.java
+++ b/src/main/java/magpiewheel/WarmUp.java
@@ -105,7 +105,7 @@
                         config.seed(),
                         actions,
                         settings.topology()
-                                .membershipConfig(0, MembershipConfig.SLOW_BEAT_US, clock.now() / 1_000, false),
+                                .membershipConfig(0, MembershipConfig.SLOW_HEARTBEAT_US, clock.now() / 1_000, false),
                         null,
                         false),
                 clock,
--- a/src/main/java/magpiewheel/adapter/Adapter.java
+++ b/src/main/java/magpiewheel/adapter/Adapter.java
@@ -109,7 +109,8 @@
                         seed,
                         writer.actionsOf(who),
                         settings.topology()
-                                .membershipConfig(0, MembershipConfig.SLOW_BEAT_US, Math.max(1, now / 1_000), false),
+                                .membershipConfig(
+                                        0, MembershipConfig.SLOW_HEARTBEAT_US, Math.max(1, now / 1_000), false),
                         null,
                         false);
                 made.setServing(now, true);
--- a/src/main/java/magpiewheel/config/AppConfig.java
+++ b/src/main/java/magpiewheel/config/AppConfig.java
@@ -117,7 +117,7 @@
     private static int beatMs(int given, boolean dns) {
         return given > 0
                 ? Math.max(LEAST_BEAT_MS, given)
-                : (int) ((dns ? MembershipConfig.QUICK_BEAT_US : MembershipConfig.SLOW_BEAT_US) / 1_000);
+                : (int) ((dns ? MembershipConfig.FAST_HEARTBEAT_US : MembershipConfig.SLOW_HEARTBEAT_US) / 1_000);
     }
 
     private static Flows flows(Json at) throws ConfigException {
--- a/src/main/java/magpiewheel/engine/Engine.java
+++ b/src/main/java/magpiewheel/engine/Engine.java
@@ -78,7 +78,7 @@
             figures.nodes(listed.size(), director.avoidedEndpoints(clock.now()));
             figures.fleet(
                     director.membership().verdict().ordinal(),
-                    director.membership().heard().size());
+                    director.membership().runningMembers().size());
             figures.parts(director.statistics(clock.now()));
             show(figures);
         });
@@ -187,7 +187,7 @@
     private List<Integer> found(int zone, Long object) {
         long now = clock.now();
         if (object == null) {
-            return director.membership().addresses(zone);
+            return director.membership().servingAddresses(zone);
         }
         ListedEndpoint node = listed.get(director.selectCache(now, zone, number(object)));
         return node == null ? List.of() : List.of(node.address());
--- /dev/null
+++ b/src/main/java/magpiewheel/membership/AntiEntropy.java
@@ -0,0 +1,106 @@
+package magpiewheel.membership;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+
+/** Compares this member's table with others by digests, and repairs what dissemination missed. */
+final class AntiEntropy {
+    /** Messages in a row with another digest until the tables are taken to differ. */
+    private static final int MISMATCHES = 4;
+    /** Heartbeats from one request of differences to the next. */
+    private static final int REQUEST_HEARTBEATS = 4;
+    /** Heartbeats from one request to a member to the next to the same one. */
+    private static final int SAME_MEMBER_HEARTBEATS = 2;
+    /** Messages sent at once to a member whose table differs. */
+    private static final int MAX_REPAIR_MESSAGES = 8;
+
+    private final MembershipConfig config;
+    private final MemberTable members;
+    private final HeartbeatMonitor monitor;
+    private final UpdateDissemination dissemination;
+    private final SplittableRandom random;
+    private final PartitionDetector partition;
+    private final Messenger messenger;
+    private long requestedAt;
+    private int nextNeighbour;
+
+    AntiEntropy(MembershipContext context, PartitionDetector partition, Messenger messenger) {
+        config = context.config;
+        members = context.members;
+        monitor = context.monitor;
+        dissemination = context.dissemination;
+        random = context.random;
+        this.partition = partition;
+        this.messenger = messenger;
+    }
+
+    /** A member sent the digest of its table; while updates are on their way tables differ for a moment anyway. */
+    void compare(long now, Member with, int digest) {
+        with.digestMismatches = digest == members.digest() ? 0 : with.digestMismatches + 1;
+        if (with.digestMismatches >= MISMATCHES
+                && dissemination.isIdle()
+                && now - requestedAt >= REQUEST_HEARTBEATS * config.heartbeatUs()) {
+            requestDifferences(now, with);
+        }
+    }
+
+    private void requestDifferences(long now, Member from) {
+        if (now - from.syncRequestedAt >= SAME_MEMBER_HEARTBEATS * config.heartbeatUs()) {
+            from.syncRequestedAt = now;
+            requestedAt = now;
+            messenger.sendDigests(now, from);
+        }
+    }
+
+    /** A member that just started asks one neighbour after another, not all at once; returns that one, or null. */
+    Member requestWhileYoung(long now, List<Member> neighbours) {
+        if (monitor.hasSettled(now)) {
+            return null;
+        }
+        for (int i = 0; i < neighbours.size(); i++) {
+            Member neighbour = neighbours.get(nextNeighbour++ % neighbours.size());
+            if (!monitor.heardAnyone() || neighbour.digestMismatches > 0 && monitor.isHeard(now, neighbour)) {
+                requestDifferences(now, neighbour);
+                return neighbour;
+            }
+        }
+        return null;
+    }
+
+    /** Sends a member the updates of the buckets whose digests differ. */
+    void repair(long now, Member to, int[] itsDigests) {
+        List<MemberUpdate> updates = new ArrayList<>();
+        int space = MembershipMessage.MAX_MESSAGE_BYTES - MembershipMessage.HEADER_BYTES;
+        int sent = 0;
+        int first = random.nextInt(members.size());
+        for (int i = 0; i < members.size() && sent < MAX_REPAIR_MESSAGES; i++) {
+            Member member = members.get((first + i) % members.size());
+            if (!differs(member, itsDigests)) {
+                continue;
+            }
+            MemberUpdate update = member.toUpdate(now);
+            if (partition.isIsolated() && update.declaresFailure()) {
+                continue;
+            }
+            if (MembershipMessage.bytes(update) > space) {
+                messenger.sendUpdates(now, to, updates, false);
+                sent++;
+                updates = new ArrayList<>();
+                space = MembershipMessage.MAX_MESSAGE_BYTES - MembershipMessage.HEADER_BYTES;
+            }
+            updates.add(update);
+            space -= MembershipMessage.bytes(update);
+        }
+        if (!updates.isEmpty() && sent < MAX_REPAIR_MESSAGES) {
+            messenger.sendUpdates(now, to, updates, false);
+        }
+    }
+
+    private boolean differs(Member member, int[] itsDigests) {
+        int bucket = MemberTable.bucketOf(member);
+        return member.incarnation != 0
+                && member != members.self()
+                && itsDigests[bucket] != members.bucketDigests()[bucket];
+    }
+}
--- a/src/main/java/magpiewheel/membership/DatagramSender.java
+++ b/src/main/java/magpiewheel/membership/DatagramSender.java
@@ -1,16 +1,16 @@
 package magpiewheel.membership;
 
-/** Where a membership's messages go. Neither call may wait. */
+/** Sends the membership's datagrams and probes. Neither call may wait. */
 public interface DatagramSender {
-    /** us; the latest that an answer to a knock counts. */
-    long ANSWER_US = 100_000;
+    /** us; the latest that an answer to a probe counts. */
+    long PROBE_REPLY_US = 100_000;
 
-    /** One datagram of at most 256 bytes to a front. */
-    void send(int front, byte[] message);
+    /** Sends one datagram of at most 256 bytes to a member. */
+    void send(int memberId, byte[] message);
 
     /**
-     * Ask the transport whether anybody listens at a front's address. An answer, if one comes, is
-     * {@link MembershipProtocol#refused} with the time of this question; it counts within {@link #ANSWER_US}.
+     * Probes whether anybody listens at a member's address. A refusal, if one comes, is reported with
+     * {@link MembershipProtocol#probeRefused} and the time of this probe; it counts within {@link #PROBE_REPLY_US}.
      */
-    void knock(int front, long at);
+    void probe(int memberId, long at);
 }
--- /dev/null
+++ b/src/main/java/magpiewheel/membership/DeadMemberProber.java
@@ -0,0 +1,62 @@
+package magpiewheel.membership;
+
+/** Probes the dead members that this one would observe: their hosts may prove that nobody listens there. */
+final class DeadMemberProber {
+    /** us; from one probe to the next: soon where the first was refused, or nobody answered. */
+    private static final long RETRY_US = 200_000;
+    /** Refusals in a row that prove it. */
+    private static final int REFUSALS_NEEDED = 2;
+
+    private static final long US_PER_MS = 1_000;
+
+    private final MembershipConfig config;
+    private final MemberTable members;
+    private final ObserverRings rings;
+    private final DatagramSender sender;
+    private final UpdateDissemination dissemination;
+
+    DeadMemberProber(MembershipContext context) {
+        config = context.config;
+        members = context.members;
+        rings = context.rings;
+        sender = context.sender;
+        dissemination = context.dissemination;
+    }
+
+    /** Probes the members for which that is due. */
+    void probe(long now) {
+        if (!config.reachabilityProbes()) {
+            return;
+        }
+        for (Member member : members.all()) {
+            if (member != members.self()
+                    && !member.isInRing()
+                    && now - member.lastProbeOfDeadAt >= intervalUs(member)
+                    && observes(member)) {
+                long retryAt = now - QuotaDivision.PROOF_RENEWAL_US + RETRY_US;
+                member.lastProbeOfDeadAt = Math.max(member.lastProbeOfDeadAt, retryAt);
+                sender.probe(member.id, now);
+            }
+        }
+    }
+
+    private boolean observes(Member dead) {
+        return rings.observersOf(dead.id, id -> members.get(id).isInRing(), id -> false)
+                .contains(config.memberId());
+    }
+
+    private static long intervalUs(Member member) {
+        return member.refusedProbesInRow == 1 ? RETRY_US / 2 : QuotaDivision.PROOF_RENEWAL_US;
+    }
+
+    /** The host of a dead member refused a probe that was sent at a time: a process may have started since. */
+    void refused(long now, Member member, long probedAt) {
+        boolean inRow = now - member.lastProbeOfDeadAt < QuotaDivision.PROOF_LEASE_US;
+        member.refusedProbesInRow = inRow ? member.refusedProbesInRow + 1 : 1;
+        member.lastProbeOfDeadAt = now;
+        if (member.refusedProbesInRow >= REFUSALS_NEEDED) {
+            member.unreachableProvenMs = probedAt / US_PER_MS;
+            dissemination.announce(now, member);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiewheel/membership/GossipRound.java
@@ -0,0 +1,125 @@
+package magpiewheel.membership;
+
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.SplittableRandom;
+
+/** One round of messages: to the neighbours, to temporary peers and, with a heartbeat, to members at random. */
+final class GossipRound {
+    /** Messages of a heartbeat: to the neighbours, and to others at random where these are fewer. */
+    private static final int MESSAGES = 2 * ObserverRings.RINGS;
+    /** Heartbeats in which a member that just started only requests updates. */
+    private static final int FIRST_HEARTBEATS = 2;
+    /** Heartbeats from one attempt to reach a dead member to the next. */
+    private static final int REACH_HEARTBEATS = 5;
+    /** Heartbeats for which a member that wrote and is no neighbour is written to; three, as one may be lost. */
+    private static final int TEMPORARY_HEARTBEATS = 3;
+
+    private static final int MAX_TEMPORARY_PEERS = 16;
+
+    private final MembershipConfig config;
+    private final MemberTable members;
+    private final HeartbeatMonitor monitor;
+    private final RoundSchedule schedule;
+    private final UpdateDissemination dissemination;
+    private final SplittableRandom random;
+    private final Neighbours neighbours;
+    private final PartitionDetector partition;
+    private final Messenger messenger;
+    private final AntiEntropy antiEntropy;
+
+    GossipRound(
+            MembershipContext context,
+            Neighbours neighbours,
+            PartitionDetector partition,
+            Messenger messenger,
+            AntiEntropy antiEntropy) {
+        config = context.config;
+        members = context.members;
+        monitor = context.monitor;
+        schedule = context.schedule;
+        dissemination = context.dissemination;
+        random = context.random;
+        this.neighbours = neighbours;
+        this.partition = partition;
+        this.messenger = messenger;
+        this.antiEntropy = antiEntropy;
+    }
+
+    /** The round of a process that a younger one superseded: now and then it asks whether that still runs. */
+    void runSuperseded(long now, boolean heartbeat) {
+        List<Member> list = neighbours.list();
+        if (heartbeat && schedule.isEvery(REACH_HEARTBEATS) && !list.isEmpty()) {
+            messenger.sendRound(now, list.get(random.nextInt(list.size())), List.of(), true);
+        }
+    }
+
+    /** Sends one round; returns whether it was a full one, and not only the first request of a new member. */
+    boolean run(long now, boolean heartbeat) {
+        Set<Member> receivers = receivers(now);
+        List<MemberUpdate> updates = dissemination.takeUpdates(now, partition.isIsolated());
+        Member requested = heartbeat ? antiEntropy.requestWhileYoung(now, neighbours.list()) : null;
+        if (requested != null
+                && !monitor.heardAnyone()
+                && monitor.uptimeUs(now) < FIRST_HEARTBEATS * config.heartbeatUs()) {
+            // A member that knows nothing asks one other first: the rest would only repeat that answer.
+            return false;
+        }
+        for (Member receiver : receivers) {
+            if (receiver != requested) {
+                messenger.sendRound(now, receiver, updates, neighbours.contains(receiver));
+            }
+        }
+        if (heartbeat) {
+            sendAtRandom(now, receivers, updates);
+            reachDead(now, updates);
+        }
+        return true;
+    }
+
+    private Set<Member> receivers(long now) {
+        Set<Member> receivers = new LinkedHashSet<>(neighbours.list());
+        int temporary = 0;
+        for (Member member : members.all()) {
+            if (now < member.temporaryPeerUntil && temporary < MAX_TEMPORARY_PEERS && receivers.add(member)) {
+                temporary++;
+            }
+        }
+        return receivers;
+    }
+
+    /** What the neighbours leave of a heartbeat's messages goes to others; an isolated member sends more. */
+    private void sendAtRandom(long now, Set<Member> receivers, List<MemberUpdate> updates) {
+        boolean lost = !partition.isReached(now);
+        int messages = Math.max(MESSAGES - receivers.size(), lost ? MESSAGES : 0);
+        for (int draws = 2 * MESSAGES; draws > 0 && messages > 0; draws--) {
+            Member other = members.get(random.nextInt(members.size()));
+            if (other != members.self() && (lost || other.isInRing()) && receivers.add(other)) {
+                messenger.sendRound(now, other, updates, lost);
+                messages--;
+            }
+        }
+    }
+
+    /** Now and then a member that is thought dead is written to: it may be on the other side of a partition. */
+    private void reachDead(long now, List<MemberUpdate> updates) {
+        if (!schedule.isEvery(REACH_HEARTBEATS)) {
+            return;
+        }
+        List<Member> dead = members.all().stream()
+                .filter(member -> member.status == MemberStatus.DEAD && member.unreachableProvenMs == 0)
+                .toList();
+        if (!dead.isEmpty()) {
+            messenger.sendRound(now, dead.get(random.nextInt(dead.size())), updates, true);
+        }
+    }
+
+    /** Answers a message of a member that is no neighbour, and writes to it for a while. */
+    void reply(long now, Member from) {
+        if (now > from.temporaryPeerUntil) {
+            messenger.reply(now, from, List.of());
+        }
+        from.temporaryPeerUntil = now + TEMPORARY_HEARTBEATS * monitor.heartbeatUs(from);
+    }
+}
--- a/src/main/java/magpiewheel/membership/Member.java
+++ b/src/main/java/magpiewheel/membership/Member.java
@@ -1,196 +1,204 @@
 package magpiewheel.membership;
 
-/** What is known of one front. This class only stores, but for what follows from its own fields. */
+/** What is known of one member, and what was measured of it here. Fields are set by the parts of the membership. */
 final class Member {
-    /** Messages over which the least delay is taken: a clock that was set is believed again after two of these. */
-    private static final int DELAYS = 32;
+    /** Datagrams over which the least delay is taken: after two of these a clock that was stepped is trusted again. */
+    private static final int DELAY_SAMPLES = 32;
 
     private static final long NEVER = Long.MIN_VALUE / 4;
 
-    final int front;
-    MemberStatus status = MemberStatus.UNSEEN;
+    final int id;
+    MemberStatus status = MemberStatus.UNKNOWN;
     long incarnation;
-    int zone = MemberUpdate.NOWHERE;
+    int zone = MemberUpdate.UNKNOWN_ZONE;
     int address;
-    /** Accusers of a suspect, and since when it is one. */
-    int first = MemberUpdate.NOBODY;
-
-    int second = MemberUpdate.NOBODY;
-    long suspectAt;
-    /** Somebody holds it to be dead, whoever accused it. */
-    boolean condemned;
-    /** Of somebody's word that it is dead: when its machine said so, Unix ms; 0 where nobody asked. */
-    long condemnedMs;
-    /** When this front may say again that it hears nothing of it, and how long it waits the next time. */
-    long accuseFrom;
-
-    long accuseWait;
+    /** Accusers of a suspect. */
+    int firstAccuser = MemberUpdate.NO_MEMBER;
+
+    int secondAccuser = MemberUpdate.NO_MEMBER;
+    long suspectedAt;
+    /** Another member declared it dead, whoever accuses it. */
+    boolean declaredDead;
+    /** The Unix millisecond of the proof in that declaration; 0 for none. */
+    long declaredUnreachableMs;
+    /** When this member may accuse it again, and how long the next backoff is. */
+    long nextAccusationAt;
+
+    long accusationBackoffUs;
     /**
-     * When its machine last said that nobody listens there, Unix ms; refusals in a row. Of a suspect: that the first of
-     * its accusers was refused, and nobody else yet.
+     * When its host last proved that nobody listens there, Unix milliseconds; of a suspect, that its first accuser was
+     * refused, and nobody else yet.
      */
-    long provedMs;
+    long unreachableProvenMs;
 
-    int refusals;
-    long refusedAt = NEVER;
-    /** Since when it is out of the rings, and since when it is known at its incarnation. */
-    long goneAt = NEVER;
+    int refusedProbesInRow;
+    long lastProbeOfDeadAt = NEVER;
+    /** Since when it is out of the ring, and since when its incarnation is known. */
+    long leftRingAt = NEVER;
 
-    long knownFrom = NEVER;
+    long incarnationKnownAt = NEVER;
     /**
-     * While it is silent here: knocks without an answer, the last of them, refusals in a row and the last question
+     * While it is silent here: probes without an answer, the last of them, refusals in a row and the last probe
      * refused.
      */
-    int knocks;
-
-    long knockedAt = NEVER;
-    int shut;
-    long shutAt = NEVER;
-    /** It came to be watched when others died: perhaps nobody watched it. */
-    boolean unsure;
-    /** What was heard from its very own datagrams. */
-    long heardIncarnation;
-
-    long lastClock = NEVER;
-    long lifeAt = NEVER;
-    long beatUs;
-    /** Since when a sign of life is due here; {@link #NEVER} where none is. */
-    long watchedAt = NEVER;
-    /** Messages in a row that showed another view than the own; when it was last asked, answered and guested. */
-    int differs;
-
-    long askedAt = NEVER;
-    long answeredAt = NEVER;
-    long guestUntil = NEVER;
-    /** Rounds in which word of it is still to be sent. */
-    int news;
+    int unansweredProbes;
+
+    long probedAt = NEVER;
+    int probesRefused;
+    long probeRefusedAt = NEVER;
+    /** It came to be observed when others failed: perhaps nobody observed it. */
+    boolean possiblyUnobserved;
+    /** What its own datagrams said. */
+    long senderIncarnation;
+
+    long lastSentAt = NEVER;
+    long lastAliveAt = NEVER;
+    long heartbeatUs;
+    /** Since when its heartbeats are expected here; {@link #NEVER} where they are not. */
+    long observedSince = NEVER;
+    /**
+     * Messages in a row whose digest differed from the own; when it was last sent a request and a reply, and until when
+     * it is a temporary peer.
+     */
+    int digestMismatches;
+
+    long syncRequestedAt = NEVER;
+    long repliedAt = NEVER;
+    long temporaryPeerUntil = NEVER;
+    /** Rounds in which an update of it is still to be sent. */
+    int sendsLeft;
 
     boolean queued;
-    private long least = Long.MAX_VALUE;
-    private long leastBefore = Long.MAX_VALUE;
+    private long minDelay = Long.MAX_VALUE;
+    private long minDelayBefore = Long.MAX_VALUE;
     private int delays;
 
-    Member(int front) {
-        this.front = front;
+    Member(int id) {
+        this.id = id;
     }
 
-    boolean watched() {
-        return watchedAt != NEVER;
+    boolean isObserved() {
+        return observedSince != NEVER;
     }
 
-    void watch(long now) {
-        watchedAt = watched() ? watchedAt : now;
+    void observe(long now) {
+        observedSince = isObserved() ? observedSince : now;
     }
 
-    void unwatch() {
-        watchedAt = NEVER;
-        opens();
+    void stopObserving() {
+        observedSince = NEVER;
+        resetProbes();
     }
 
-    /** What is known of its door in this silence counts no longer. */
-    void opens() {
-        knocks = 0;
-        shut = 0;
-        unsure = false;
+    /** Forgets the probes of the silence that ended. */
+    void resetProbes() {
+        unansweredProbes = 0;
+        probesRefused = 0;
+        possiblyUnobserved = false;
     }
 
-    /** Whether it takes part in the rings. */
-    boolean inRing() {
+    /** Whether it is in the rings: neither dead nor left. */
+    boolean isInRing() {
         return status != MemberStatus.DEAD && status != MemberStatus.LEFT;
     }
 
-    /** Whether its last datagram is young; a late one counts from when it was sent. */
-    boolean fresh(long now, long silenceUs) {
-        return now - lifeAt <= silenceUs;
+    /** Whether it runs as far as is known: some incarnation is known, and it neither failed nor left. */
+    boolean isRunning() {
+        return incarnation > 0 && isInRing();
+    }
+
+    /** Whether its last datagram was sent within this time; a late one counts from when it was sent. */
+    boolean isFresh(long now, long withinUs) {
+        return now - lastAliveAt <= withinUs;
     }
 
-    /** A datagram of its own has come; says whether it is newer than all before. */
-    boolean signOfLife(long now, long from, long clock) {
-        if (from < heardIncarnation) {
+    /** A datagram of its own came; returns whether it is newer than all before. */
+    boolean heartbeatReceived(long now, long incarnationOfSender, long sentAt) {
+        if (incarnationOfSender < senderIncarnation) {
             return false;
         }
-        if (clock <= lastClock && from == heardIncarnation) {
+        if (sentAt <= lastSentAt && incarnationOfSender == senderIncarnation) {
             return false;
         }
-        if (clock <= lastClock) {
-            // A process that came back with a clock set back: what was learnt of the other clock counts for nothing.
-            least = Long.MAX_VALUE;
-            leastBefore = Long.MAX_VALUE;
+        if (sentAt <= lastSentAt) {
+            // A process that restarted with its clock set back: the delays of the other clock no longer count.
+            minDelay = Long.MAX_VALUE;
+            minDelayBefore = Long.MAX_VALUE;
             delays = 0;
         }
-        heardIncarnation = from;
-        lastClock = clock;
-        if (++delays > DELAYS) {
+        senderIncarnation = incarnationOfSender;
+        lastSentAt = sentAt;
+        if (++delays > DELAY_SAMPLES) {
             delays = 1;
-            leastBefore = least;
-            least = Long.MAX_VALUE;
+            minDelayBefore = minDelay;
+            minDelay = Long.MAX_VALUE;
         }
-        least = Math.min(least, now - clock);
-        lifeAt = Math.max(lifeAt, Math.min(now, clock + Math.min(least, leastBefore)));
+        minDelay = Math.min(minDelay, now - sentAt);
+        lastAliveAt = Math.max(lastAliveAt, Math.min(now, sentAt + Math.min(minDelay, minDelayBefore)));
         return true;
     }
 
-    boolean accusedBy(int accuser) {
-        return first == accuser || second == accuser;
+    boolean isAccusedBy(int accuser) {
+        return firstAccuser == accuser || secondAccuser == accuser;
     }
 
-    int accusers() {
-        return (first == MemberUpdate.NOBODY ? 0 : 1) + (second == MemberUpdate.NOBODY ? 0 : 1);
+    int accuserCount() {
+        return (firstAccuser == MemberUpdate.NO_MEMBER ? 0 : 1) + (secondAccuser == MemberUpdate.NO_MEMBER ? 0 : 1);
     }
 
-    /** Takes an accuser in while there is room; says whether that was new. */
-    boolean accuse(int accuser) {
-        if (accuser == MemberUpdate.NOBODY || accuser == front || accusedBy(accuser) || accusers() == 2) {
+    /** Adds an accuser, two at most; returns whether it is a new one. */
+    boolean addAccuser(int accuser) {
+        if (accuser == MemberUpdate.NO_MEMBER || accuser == id || isAccusedBy(accuser) || accuserCount() == 2) {
             return false;
         }
-        if (first == MemberUpdate.NOBODY) {
-            first = accuser;
+        if (firstAccuser == MemberUpdate.NO_MEMBER) {
+            firstAccuser = accuser;
         } else {
-            second = accuser;
+            secondAccuser = accuser;
         }
         return true;
     }
 
-    /** Its machine refused one front: that one stands first. */
-    void refusedBy(int accuser, long ms) {
-        if (first != accuser) {
-            second = first;
-            first = accuser;
+    /** Its host refused a probe of one accuser, which becomes the first. */
+    void probeRefusedTo(int accuser, long provenMs) {
+        if (firstAccuser != accuser) {
+            secondAccuser = firstAccuser;
+            firstAccuser = accuser;
         }
-        provedMs = ms;
+        unreachableProvenMs = provenMs;
     }
 
-    /** Nothing is held against it any longer. */
-    void clear() {
-        first = MemberUpdate.NOBODY;
-        second = MemberUpdate.NOBODY;
-        suspectAt = 0;
-        condemned = false;
-        condemnedMs = 0;
-        provedMs = 0;
-        refusals = 0;
+    /** Forgets all accusations and proofs. */
+    void clearSuspicion() {
+        firstAccuser = MemberUpdate.NO_MEMBER;
+        secondAccuser = MemberUpdate.NO_MEMBER;
+        suspectedAt = 0;
+        declaredDead = false;
+        declaredUnreachableMs = 0;
+        unreachableProvenMs = 0;
+        refusedProbesInRow = 0;
     }
 
-    MemberUpdate word(long now) {
+    MemberUpdate toUpdate(long now) {
         boolean suspect = status == MemberStatus.SUSPECT;
         return new MemberUpdate(
-                front,
+                id,
                 status,
                 incarnation,
                 zone,
                 address,
-                suspect ? first : MemberUpdate.NOBODY,
-                suspect ? second : MemberUpdate.NOBODY,
-                suspect ? Math.max(0, now - suspectAt) : 0,
-                suspect || status == MemberStatus.DEAD || status == MemberStatus.LEFT ? provedMs : 0);
+                suspect ? firstAccuser : MemberUpdate.NO_MEMBER,
+                suspect ? secondAccuser : MemberUpdate.NO_MEMBER,
+                suspect ? Math.max(0, now - suspectedAt) : 0,
+                suspect || status == MemberStatus.DEAD || status == MemberStatus.LEFT ? unreachableProvenMs : 0);
     }
 
-    /** What it adds to a digest of the view: suspects count as alive, and who was never heard as nothing. */
-    int print() {
+    /** What it adds to a digest of the table: suspects count as alive, and unknown members as nothing. */
+    int digest() {
         if (incarnation == 0) {
             return 0;
         }
         int kind = status == MemberStatus.SUSPECT ? MemberStatus.ALIVE.ordinal() : status.ordinal();
-        return (int) ObserverRings.mix(incarnation * MemberStatus.values().length + kind, front);
+        return (int) ObserverRings.mix(incarnation * MemberStatus.values().length + kind, id);
     }
 }
--- a/src/main/java/magpiewheel/membership/MemberStatus.java
+++ b/src/main/java/magpiewheel/membership/MemberStatus.java
@@ -1,17 +1,17 @@
 package magpiewheel.membership;
 
-/** What is said of a front; a later one beats an earlier one of the same incarnation. */
+/** The status of a member; a later one supersedes an earlier one of the same incarnation. The order is the wire's. */
 public enum MemberStatus {
-    /** The settings name it, nobody heard it. */
-    UNSEEN,
+    /** The settings name it, nobody heard of it. */
+    UNKNOWN,
     /** It runs and does not serve yet. */
     JOINING,
     /** It serves. */
     ALIVE,
-    /** Observers hear nothing of it; it may refute that. */
+    /** Its observers hear nothing of it; it may refute that. */
     SUSPECT,
-    /** Nobody hears it. */
+    /** It failed. */
     DEAD,
-    /** It said goodbye. */
+    /** It left, or drains. */
     LEFT
 }
--- a/src/main/java/magpiewheel/membership/MemberUpdate.java
+++ b/src/main/java/magpiewheel/membership/MemberUpdate.java
@@ -1,28 +1,36 @@
 package magpiewheel.membership;
 
 /**
- * What one front says of another: its state at an incarnation, the branch and the address that the other told of
- * itself. {@code first} and {@code second} are the accusers of a suspect ({@link #NOBODY} where there are fewer),
- * {@code ageUs} how long it is suspect; {@code provedMs} is the Unix millisecond at which its machine said that nobody
- * listens there, or 0.
+ * What one member says of another.
+ *
+ * @param zone the zone that the other told of itself; {@link #UNKNOWN_ZONE} where it did not
+ * @param firstAccuser the first accuser of a suspect; {@link #NO_MEMBER} for none
+ * @param secondAccuser the second accuser of a suspect; {@link #NO_MEMBER} for none
+ * @param suspectedForUs for how long it is suspected
+ * @param unreachableProvenMs the Unix millisecond at which its host proved that nobody listens there; 0 for none
  */
 record MemberUpdate(
-        int front,
+        int memberId,
         MemberStatus status,
         long incarnation,
         int zone,
         int address,
-        int first,
-        int second,
-        long ageUs,
-        long provedMs) {
-    /** In the place of an accuser that there is not. */
-    static final int NOBODY = 0xffff;
-    /** In the place of a branch that nobody told. */
-    static final int NOWHERE = 0xff;
+        int firstAccuser,
+        int secondAccuser,
+        long suspectedForUs,
+        long unreachableProvenMs) {
+    /** In the place of an accuser: none. */
+    static final int NO_MEMBER = 0xffff;
+    /** In the place of a zone that is unknown. */
+    static final int UNKNOWN_ZONE = 0xff;
 
-    /** Of a front by itself. */
-    static MemberUpdate own(int front, MemberStatus status, long incarnation, int zone, int address) {
-        return new MemberUpdate(front, status, incarnation, zone, address, NOBODY, NOBODY, 0, 0);
+    /** Whether it says that the member failed, or is suspected of that. */
+    boolean declaresFailure() {
+        return status == MemberStatus.SUSPECT || status == MemberStatus.DEAD;
+    }
+
+    /** What a member says of itself. */
+    static MemberUpdate ofSelf(int memberId, MemberStatus status, long incarnation, int zone, int address) {
+        return new MemberUpdate(memberId, status, incarnation, zone, address, NO_MEMBER, NO_MEMBER, 0, 0);
     }
 }
--- a/src/main/java/magpiewheel/membership/MembershipConfig.java
+++ b/src/main/java/magpiewheel/membership/MembershipConfig.java
@@ -1,14 +1,28 @@
 package magpiewheel.membership;
 
 /**
- * What a membership is told at its start. {@code fronts} is how many the settings name, {@code frontsByZone} how many
- * of them by branch; {@code beatUs} is the time from one beat to the next; {@code startedMs} the Unix millisecond of
- * this process's start, its first incarnation; {@code refusals} whether the transport tells of refused datagrams.
+ * The configuration of a membership.
+ *
+ * @param memberId this member's number
+ * @param memberCount how many members the settings name
+ * @param zone this member's zone; negative for none
+ * @param address the IPv4 address that clients are given
+ * @param membersByZone how many members the settings name in each zone
+ * @param heartbeatUs from one heartbeat to the next
+ * @param startedMs the Unix millisecond at which this process started: its first incarnation
+ * @param reachabilityProbes whether silent members are probed, and the transport reports refusals
  */
 public record MembershipConfig(
-        int me, int fronts, int zone, int address, int[] frontsByZone, long beatUs, long startedMs, boolean refusals) {
-    /** us; from one beat to the next where lookups are answered, and where only the module hears of who is there. */
-    public static final long QUICK_BEAT_US = 50_000;
-
-    public static final long SLOW_BEAT_US = 800_000;
+        int memberId,
+        int memberCount,
+        int zone,
+        int address,
+        int[] membersByZone,
+        long heartbeatUs,
+        long startedMs,
+        boolean reachabilityProbes) {
+    /** us; from one heartbeat to the next where lookups are answered. */
+    public static final long FAST_HEARTBEAT_US = 50_000;
+    /** us; from one heartbeat to the next where only the routing decisions use the membership. */
+    public static final long SLOW_HEARTBEAT_US = 800_000;
 }
--- a/src/main/java/magpiewheel/membership/MembershipMessage.java
+++ b/src/main/java/magpiewheel/membership/MembershipMessage.java
@@ -5,206 +5,223 @@
 import java.util.List;
 
 /**
- * A datagram of the membership: a head in which the sender speaks of itself, then words on others or the digests of the
- * view's buckets. {@code hearsYou} says whether the sender hears the one it writes to; {@code answer} asks to be
- * written to.
+ * A datagram of the membership: a header in which the sender speaks of itself, then updates or digests.
+ *
+ * @param hearsReceiver whether the sender hears the member that it writes to
+ * @param wantsReply whether the sender wants an answer
+ * @param verdict what the sender thinks of its own view
+ * @param sentAtUs when it was sent, by the sender's clock
+ * @param heartbeatMs from one heartbeat of the sender to the next
+ * @param digest the digest of the sender's table
+ * @param bucketDigests the digests of its buckets; empty in messages of updates
  */
 record MembershipMessage(
         Kind kind,
         MemberUpdate sender,
-        boolean hearsYou,
-        boolean answer,
+        boolean hearsReceiver,
+        boolean wantsReply,
         PartitionVerdict verdict,
-        long clock,
-        int beatMs,
+        long sentAtUs,
+        int heartbeatMs,
         int digest,
-        List<MemberUpdate> words,
-        int[] buckets) {
-    /** What follows the head. */
+        List<MemberUpdate> updates,
+        int[] bucketDigests) {
+    /** What follows the header. */
     enum Kind {
-        WORDS,
-        BUCKETS
+        UPDATES,
+        BUCKET_DIGESTS
     }
 
-    /** Most bytes of a datagram between fronts. */
-    static final int MOST_BYTES = 256;
-    /** Parts in which views are compared. */
+    /** The largest datagram. */
+    static final int MAX_MESSAGE_BYTES = 256;
+    /** Parts of a table that are compared by digest. */
     static final int BUCKETS = 32;
 
-    static final int HEAD_BYTES = 32;
-    static final int WORD_BYTES = 14;
+    static final int HEADER_BYTES = 32;
+    static final int UPDATE_BYTES = 14;
     static final int SUSPECT_BYTES = 6;
     static final int PROOF_BYTES = 6;
     private static final byte MARK = 0x4d;
     private static final byte VERSION = 1;
-    private static final int HEARS_YOU = 1;
-    private static final int ANSWER = 2;
-    private static final int OF_BUCKETS = 4;
+    private static final int HEARS_RECEIVER = 1;
+    private static final int WANTS_REPLY = 2;
+    private static final int HAS_BUCKETS = 4;
     private static final int STATUS_BITS = 3;
-    private static final int PROVED = 0x80;
+    private static final int PROVEN = 0x80;
     private static final long AGE_STEP_US = 10_000;
-    private static final int MOST_SHORT = 0xffff;
-    private static final long MOST_SIX = 0xffff_ffff_ffffL;
+    private static final int MAX_SHORT = 0xffff;
+    private static final long MAX_SIX_BYTES = 0xffff_ffff_ffffL;
 
     /** Whether bytes are a message of the membership, of whatever version. */
-    static boolean is(byte[] bytes) {
+    static boolean isMembershipMessage(byte[] bytes) {
         return bytes.length >= 2 && bytes[0] == MARK;
     }
 
-    /** What a word takes. */
-    static int bytes(MemberUpdate word) {
-        return WORD_BYTES
-                + (word.status() == MemberStatus.SUSPECT ? SUSPECT_BYTES : 0)
-                + (word.provedMs() > 0 ? PROOF_BYTES : 0);
+    /** The encoded size of an update. */
+    static int bytes(MemberUpdate update) {
+        return UPDATE_BYTES
+                + (update.status() == MemberStatus.SUSPECT ? SUSPECT_BYTES : 0)
+                + (update.unreachableProvenMs() > 0 ? PROOF_BYTES : 0);
     }
 
     byte[] encode() {
-        int size = HEAD_BYTES + (kind == Kind.BUCKETS ? BUCKETS * Integer.BYTES : 0);
-        for (MemberUpdate word : words) {
-            size += bytes(word);
+        int size = HEADER_BYTES + (kind == Kind.BUCKET_DIGESTS ? BUCKETS * Integer.BYTES : 0);
+        for (MemberUpdate update : updates) {
+            size += bytes(update);
         }
-        ByteBuffer at = ByteBuffer.allocate(size);
-        int flags = (hearsYou ? HEARS_YOU : 0) | (answer ? ANSWER : 0) | (kind == Kind.BUCKETS ? OF_BUCKETS : 0);
-        at.put(MARK)
+        ByteBuffer buffer = ByteBuffer.allocate(size);
+        int flags = (hearsReceiver ? HEARS_RECEIVER : 0)
+                | (wantsReply ? WANTS_REPLY : 0)
+                | (kind == Kind.BUCKET_DIGESTS ? HAS_BUCKETS : 0);
+        buffer.put(MARK)
                 .put(VERSION)
                 .put((byte) flags)
                 .put((byte) (sender.status().ordinal() | verdict.ordinal() << STATUS_BITS))
-                .putShort((short) sender.front());
-        six(at, sender.incarnation());
-        at.put((byte) sender.zone())
+                .putShort((short) sender.memberId());
+        sixBytes(buffer, sender.incarnation());
+        buffer.put((byte) sender.zone())
                 .putInt(sender.address())
-                .putLong(clock)
-                .putShort((short) Math.min(MOST_SHORT, beatMs))
+                .putLong(sentAtUs)
+                .putShort((short) Math.min(MAX_SHORT, heartbeatMs))
                 .putInt(digest)
-                .put((byte) words.size());
-        if (kind == Kind.BUCKETS) {
-            for (int bucket : buckets) {
-                at.putInt(bucket);
+                .put((byte) updates.size());
+        if (kind == Kind.BUCKET_DIGESTS) {
+            for (int bucket : bucketDigests) {
+                buffer.putInt(bucket);
             }
         }
-        for (MemberUpdate word : words) {
-            put(at, word);
+        for (MemberUpdate update : updates) {
+            putUpdate(buffer, update);
         }
-        return at.array();
+        return buffer.array();
     }
 
-    private static void put(ByteBuffer at, MemberUpdate word) {
-        at.putShort((short) word.front()).put((byte) (word.status().ordinal() | (word.provedMs() > 0 ? PROVED : 0)));
-        six(at, word.incarnation());
-        at.put((byte) word.zone()).putInt(word.address());
-        if (word.status() == MemberStatus.SUSPECT) {
-            at.putShort((short) word.first()).putShort((short) word.second()).putShort((short)
-                    Math.min(MOST_SHORT, word.ageUs() / AGE_STEP_US));
+    private static void putUpdate(ByteBuffer buffer, MemberUpdate update) {
+        buffer.putShort((short) update.memberId())
+                .put((byte) (update.status().ordinal() | (update.unreachableProvenMs() > 0 ? PROVEN : 0)));
+        sixBytes(buffer, update.incarnation());
+        buffer.put((byte) update.zone()).putInt(update.address());
+        if (update.status() == MemberStatus.SUSPECT) {
+            buffer.putShort((short) update.firstAccuser())
+                    .putShort((short) update.secondAccuser())
+                    .putShort((short) Math.min(MAX_SHORT, update.suspectedForUs() / AGE_STEP_US));
         }
-        if (word.provedMs() > 0) {
-            six(at, word.provedMs());
+        if (update.unreachableProvenMs() > 0) {
+            sixBytes(buffer, update.unreachableProvenMs());
         }
     }
 
-    private static void six(ByteBuffer at, long value) {
-        long kept = Math.max(0, Math.min(MOST_SIX, value));
-        at.putShort((short) (kept >>> Integer.SIZE)).putInt((int) kept);
+    private static void sixBytes(ByteBuffer buffer, long value) {
+        long clamped = Math.max(0, Math.min(MAX_SIX_BYTES, value));
+        buffer.putShort((short) (clamped >>> Integer.SIZE)).putInt((int) clamped);
     }
 
-    private static long six(ByteBuffer at) {
-        long high = Short.toUnsignedLong(at.getShort());
-        return high << Integer.SIZE | Integer.toUnsignedLong(at.getInt());
+    private static long sixBytes(ByteBuffer buffer) {
+        long high = Short.toUnsignedLong(buffer.getShort());
+        return high << Integer.SIZE | Integer.toUnsignedLong(buffer.getInt());
     }
 
-    /** The message of a front with this number, or null where the bytes are none of ours, in whatever way. */
+    /** The message of a member of this number; null where the bytes are none, or another version's. */
     static MembershipMessage decode(int from, byte[] bytes) {
-        if (!is(bytes) || bytes[1] != VERSION || bytes.length < HEAD_BYTES || bytes.length > MOST_BYTES) {
+        if (!isMembershipMessage(bytes)
+                || bytes[1] != VERSION
+                || bytes.length < HEADER_BYTES
+                || bytes.length > MAX_MESSAGE_BYTES) {
             return null;
         }
-        ByteBuffer at = ByteBuffer.wrap(bytes, 2, bytes.length - 2);
-        int flags = at.get();
-        int state = at.get();
-        int status = state & (1 << STATUS_BITS) - 1;
-        int verdict = state >>> STATUS_BITS;
-        if (flags < 0
-                || flags > (HEARS_YOU | ANSWER | OF_BUCKETS)
-                || state < 0
-                || verdict >= PartitionVerdict.values().length) {
-            return null;
-        }
-        // Of itself a front says that it joins, serves or leaves.
-        if (status != MemberStatus.JOINING.ordinal()
-                && status != MemberStatus.ALIVE.ordinal()
-                && status != MemberStatus.LEFT.ordinal()) {
-            return null;
-        }
-        if (Short.toUnsignedInt(at.getShort()) != from) {
-            // The lists of two fronts differ: what this one says of itself must not be taken for another's.
+        ByteBuffer buffer = ByteBuffer.wrap(bytes, 2, bytes.length - 2);
+        int flags = buffer.get();
+        int state = buffer.get();
+        if (!areFlags(flags) || !isState(state) || Short.toUnsignedInt(buffer.getShort()) != from) {
+            // A number other than the sender's: the settings of the two differ, and it must not speak for another.
             return null;
         }
-        long incarnation = six(at);
-        int zone = Byte.toUnsignedInt(at.get());
-        MemberUpdate sender = MemberUpdate.own(from, MemberStatus.values()[status], incarnation, zone, at.getInt());
-        long clock = at.getLong();
-        int beatMs = Short.toUnsignedInt(at.getShort());
-        int digest = at.getInt();
-        int count = Byte.toUnsignedInt(at.get());
-        if (incarnation == 0 || beatMs == 0 || clock < 0) {
+        MemberStatus status = MemberStatus.values()[state & (1 << STATUS_BITS) - 1];
+        long incarnation = sixBytes(buffer);
+        int zone = Byte.toUnsignedInt(buffer.get());
+        MemberUpdate sender = MemberUpdate.ofSelf(from, status, incarnation, zone, buffer.getInt());
+        long sentAtUs = buffer.getLong();
+        int heartbeatMs = Short.toUnsignedInt(buffer.getShort());
+        int digest = buffer.getInt();
+        int count = Byte.toUnsignedInt(buffer.get());
+        boolean hasBuckets = (flags & HAS_BUCKETS) != 0;
+        int[] bucketDigests = new int[hasBuckets ? BUCKETS : 0];
+        if (incarnation == 0
+                || heartbeatMs == 0
+                || sentAtUs < 0
+                || buffer.remaining() < bucketDigests.length * Integer.BYTES) {
             return null;
         }
-        boolean ofBuckets = (flags & OF_BUCKETS) != 0;
-        int[] buckets = new int[ofBuckets ? BUCKETS : 0];
-        if (at.remaining() < buckets.length * Integer.BYTES) {
-            return null;
-        }
-        for (int i = 0; i < buckets.length; i++) {
-            buckets[i] = at.getInt();
+        for (int i = 0; i < bucketDigests.length; i++) {
+            bucketDigests[i] = buffer.getInt();
         }
-        List<MemberUpdate> words = words(at);
-        return words == null || words.size() != count
+        List<MemberUpdate> updates = updates(buffer);
+        return updates == null || updates.size() != count
                 ? null
                 : new MembershipMessage(
-                        ofBuckets ? Kind.BUCKETS : Kind.WORDS,
+                        hasBuckets ? Kind.BUCKET_DIGESTS : Kind.UPDATES,
                         sender,
-                        (flags & HEARS_YOU) != 0,
-                        (flags & ANSWER) != 0,
-                        PartitionVerdict.values()[verdict],
-                        clock,
-                        beatMs,
+                        (flags & HEARS_RECEIVER) != 0,
+                        (flags & WANTS_REPLY) != 0,
+                        PartitionVerdict.values()[state >>> STATUS_BITS],
+                        sentAtUs,
+                        heartbeatMs,
                         digest,
-                        words,
-                        buckets);
+                        updates,
+                        bucketDigests);
     }
 
-    private static List<MemberUpdate> words(ByteBuffer at) {
-        List<MemberUpdate> words = new ArrayList<>();
-        while (at.hasRemaining()) {
-            if (at.remaining() < WORD_BYTES) {
-                return null;
-            }
-            int front = Short.toUnsignedInt(at.getShort());
-            int state = Byte.toUnsignedInt(at.get());
-            boolean proved = (state & PROVED) != 0;
-            int status = state & ~PROVED;
-            long incarnation = six(at);
-            int zone = Byte.toUnsignedInt(at.get());
-            int address = at.getInt();
-            if (status == 0 || status >= MemberStatus.values().length) {
-                return null;
-            }
-            boolean suspect = status == MemberStatus.SUSPECT.ordinal();
-            if (at.remaining() < (suspect ? SUSPECT_BYTES : 0) + (proved ? PROOF_BYTES : 0)) {
+    private static boolean areFlags(int flags) {
+        return flags >= 0 && flags <= (HEARS_RECEIVER | WANTS_REPLY | HAS_BUCKETS);
+    }
+
+    /** Whether a verdict is known, and the status one that a member says of itself: it joins, serves or leaves. */
+    private static boolean isState(int state) {
+        int status = state & (1 << STATUS_BITS) - 1;
+        boolean ofItself = status == MemberStatus.JOINING.ordinal()
+                || status == MemberStatus.ALIVE.ordinal()
+                || status == MemberStatus.LEFT.ordinal();
+        return state >= 0 && state >>> STATUS_BITS < PartitionVerdict.values().length && ofItself;
+    }
+
+    /** The updates to the end of a message; null where they are malformed. */
+    private static List<MemberUpdate> updates(ByteBuffer buffer) {
+        List<MemberUpdate> updates = new ArrayList<>();
+        while (buffer.hasRemaining()) {
+            MemberUpdate update = buffer.remaining() < UPDATE_BYTES ? null : update(buffer);
+            if (update == null) {
                 return null;
             }
-            int first = suspect ? Short.toUnsignedInt(at.getShort()) : MemberUpdate.NOBODY;
-            int second = suspect ? Short.toUnsignedInt(at.getShort()) : MemberUpdate.NOBODY;
-            long age = suspect ? Short.toUnsignedLong(at.getShort()) * AGE_STEP_US : 0;
-            words.add(new MemberUpdate(
-                    front,
-                    MemberStatus.values()[status],
-                    incarnation,
-                    zone,
-                    address,
-                    first,
-                    second,
-                    age,
-                    proved ? six(at) : 0));
+            updates.add(update);
+        }
+        return updates;
+    }
+
+    private static MemberUpdate update(ByteBuffer buffer) {
+        int memberId = Short.toUnsignedInt(buffer.getShort());
+        int state = Byte.toUnsignedInt(buffer.get());
+        boolean proven = (state & PROVEN) != 0;
+        int status = state & ~PROVEN;
+        long incarnation = sixBytes(buffer);
+        int zone = Byte.toUnsignedInt(buffer.get());
+        int address = buffer.getInt();
+        boolean suspect = status == MemberStatus.SUSPECT.ordinal();
+        int moreBytes = (suspect ? SUSPECT_BYTES : 0) + (proven ? PROOF_BYTES : 0);
+        if (status == 0 || status >= MemberStatus.values().length || buffer.remaining() < moreBytes) {
+            return null;
         }
-        return words;
+        int firstAccuser = suspect ? Short.toUnsignedInt(buffer.getShort()) : MemberUpdate.NO_MEMBER;
+        int secondAccuser = suspect ? Short.toUnsignedInt(buffer.getShort()) : MemberUpdate.NO_MEMBER;
+        long suspectedForUs = suspect ? Short.toUnsignedLong(buffer.getShort()) * AGE_STEP_US : 0;
+        return new MemberUpdate(
+                memberId,
+                MemberStatus.values()[status],
+                incarnation,
+                zone,
+                address,
+                firstAccuser,
+                secondAccuser,
+                suspectedForUs,
+                proven ? sixBytes(buffer) : 0);
     }
 }
--- a/src/main/java/magpiewheel/membership/MembershipView.java
+++ b/src/main/java/magpiewheel/membership/MembershipView.java
@@ -2,32 +2,32 @@
 
 import java.util.List;
 
-/** What the rest of the program may ask of the membership. Fronts go by their numbers in the settings. */
+/** What the rest of the program may ask of the membership. Members go by their numbers in the settings. */
 public interface MembershipView {
-    /** What is said of a front. */
-    MemberStatus status(int front);
+    /** The status of a member. */
+    MemberStatus status(int memberId);
 
-    /** What this front thinks of its view. */
+    /** How complete this member's view is. */
     PartitionVerdict verdict();
 
-    /** The branch of a front; -1 where nobody told it. */
-    int zone(int front);
+    /** The zone of a member; -1 where it is unknown. */
+    int zone(int memberId);
 
-    /** Other fronts that run as far as is known, by number: those that join, serve or are suspected. */
-    List<Integer> heard();
+    /** The other members that run as far as is known: those that join, are alive or are suspected. */
+    List<Integer> runningMembers();
 
-    /** Those of a branch. */
-    List<Integer> heardIn(int zone);
+    /** Those of a zone. */
+    List<Integer> runningMembersIn(int zone);
 
-    /** The IPv4 addresses of a branch's fronts that clients may be named, this one's included. */
-    List<Integer> addresses(int zone);
+    /** The IPv4 addresses of the members of a zone that clients may be given, this one's included. */
+    List<Integer> servingAddresses(int zone);
 
-    /** A hard limit of all fronts is divided by this: what this front may use of it is one part. */
-    double sharers(long now);
+    /** A limit of all members is divided by this: the result is what this member may use of it. */
+    double quotaDivisor(long now);
 
-    /** Likewise for a limit that the fronts of a branch share. */
-    double sharersIn(long now, int zone);
+    /** Likewise for a limit that the members of a zone share. */
+    double quotaDivisorIn(long now, int zone);
 
-    /** Equal for equal views. */
+    /** A digest of the view: equal for equal views. */
     int digest();
 }
--- /dev/null
+++ b/src/main/java/magpiewheel/membership/Neighbours.java
@@ -0,0 +1,78 @@
+package magpiewheel.membership;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+
+/** The members that this one exchanges heartbeats with and observes: its neighbours in the rings. */
+final class Neighbours {
+    private final MembershipConfig config;
+    private final MemberTable members;
+    private final ObserverRings rings;
+    private final HeartbeatMonitor monitor;
+    private final RoundSchedule schedule;
+    private List<Member> neighbours = List.of();
+
+    Neighbours(MembershipContext context) {
+        config = context.config;
+        members = context.members;
+        rings = context.rings;
+        monitor = context.monitor;
+        schedule = context.schedule;
+    }
+
+    /** The neighbours as of the last update. */
+    List<Member> list() {
+        return neighbours;
+    }
+
+    /** Whether a member is a neighbour. */
+    boolean contains(Member member) {
+        return neighbours.contains(member);
+    }
+
+    /** Determines the neighbours anew where the table changed or one fell silent; returns whether it did. */
+    boolean update(long now) {
+        for (Member member : neighbours) {
+            if (member.isInRing() && member.status != MemberStatus.SUSPECT && monitor.isSilent(now, member)) {
+                members.markChanged();
+            }
+        }
+        if (!members.takeChanged()) {
+            return false;
+        }
+        Set<Integer> around = rings.observersOf(
+                config.memberId(),
+                id -> members.get(id) != members.self() && members.get(id).isInRing(),
+                id -> isDoubtful(now, members.get(id)));
+        for (Member member : neighbours) {
+            if (!around.contains(member.id)) {
+                member.stopObserving();
+            }
+        }
+        List<Member> next = new ArrayList<>(around.size());
+        for (int id : around) {
+            observe(now, members.get(id));
+            next.add(members.get(id));
+        }
+        neighbours = next;
+        return true;
+    }
+
+    private boolean isDoubtful(long now, Member member) {
+        return member.status == MemberStatus.SUSPECT || member.probesRefused > 0 || monitor.isSilent(now, member);
+    }
+
+    private void observe(long now, Member member) {
+        if (!member.isObserved() && member.status == MemberStatus.SUSPECT) {
+            // It is to answer at once.
+            schedule.flushSoon(now);
+        }
+        long recentUs = HeartbeatMonitor.SILENT_HEARTBEATS * config.heartbeatUs();
+        if (!member.isObserved() && now - members.lastLossAt() <= recentUs) {
+            // Others that observed it may have failed together with it.
+            member.possiblyUnobserved = true;
+        }
+        member.observe(now);
+    }
+}
--- a/src/main/java/magpiewheel/membership/ObserverRings.java
+++ b/src/main/java/magpiewheel/membership/ObserverRings.java
@@ -6,28 +6,33 @@
 import java.util.function.IntPredicate;
 import java.util.stream.IntStream;
 
-/** The orders in which fronts stand in rings: the same at every front, so that equal views give equal neighbours. */
+/**
+ * The rings in which members observe their neighbours: the same at every member, so that equal views give equal
+ * neighbours.
+ */
 final class ObserverRings {
-    /** With two rings a front has four neighbours, and word of anything is everywhere in about seven steps at 1,000. */
+    /**
+     * With two rings a member has four neighbours, and an update is everywhere in about seven steps at 1,000 members.
+     */
     static final int RINGS = 2;
-    /** Fronts beyond silent ones that are looked at in one direction. */
-    private static final int MOST_AHEAD = 8;
+    /** Silent members that are skipped in one direction at most. */
+    private static final int MAX_LOOKAHEAD = 8;
 
-    private final int[][] order = new int[RINGS][];
-    private final int[][] place = new int[RINGS][];
+    private final int[][] rings = new int[RINGS][];
+    private final int[][] positions = new int[RINGS][];
 
-    ObserverRings(int fronts) {
+    ObserverRings(int memberCount) {
         for (int ring = 0; ring < RINGS; ring++) {
             int salt = ring;
-            order[ring] = IntStream.range(0, fronts)
+            rings[ring] = IntStream.range(0, memberCount)
                     .boxed()
-                    .sorted(Comparator.comparingLong((Integer front) -> mix(front, salt))
-                            .thenComparing(front -> front))
+                    .sorted(Comparator.comparingLong((Integer member) -> mix(member, salt))
+                            .thenComparing(member -> member))
                     .mapToInt(Integer::intValue)
                     .toArray();
-            place[ring] = new int[fronts];
-            for (int i = 0; i < fronts; i++) {
-                place[ring][order[ring][i]] = i;
+            positions[ring] = new int[memberCount];
+            for (int i = 0; i < memberCount; i++) {
+                positions[ring][rings[ring][i]] = i;
             }
         }
     }
@@ -44,27 +49,32 @@
      * The neighbours of a front among those in the rings: in each direction the next one; where that is silent, those
      * behind it as well, as many as were silent on the way, so that a row of dead is crossed in few steps.
      */
-    Set<Integer> around(int front, IntPredicate inRing, IntPredicate silent) {
+    Set<Integer> observersOf(int member, IntPredicate isInRing, IntPredicate isSilent) {
         Set<Integer> found = new LinkedHashSet<>();
         for (int ring = 0; ring < RINGS; ring++) {
-            walk(ring, front, 1, inRing, silent, found);
-            walk(ring, front, -1, inRing, silent, found);
+            walk(ring, member, 1, isInRing, isSilent, found);
+            walk(ring, member, -1, isInRing, isSilent, found);
         }
         return found;
     }
 
-    private void walk(int ring, int front, int step, IntPredicate inRing, IntPredicate silent, Set<Integer> found) {
-        int fronts = order[ring].length;
-        int quiet = 0;
-        int sound = 0;
-        for (int i = 1; i < fronts && quiet <= MOST_AHEAD && sound < Math.max(1, Math.min(MOST_AHEAD, quiet)); i++) {
-            int next = order[ring][Math.floorMod(place[ring][front] + step * i, fronts)];
-            if (inRing.test(next)) {
+    private void walk(
+            int ring, int member, int step, IntPredicate isInRing, IntPredicate isSilent, Set<Integer> found) {
+        int memberCount = rings[ring].length;
+        int silentMembers = 0;
+        int soundMembers = 0;
+        for (int i = 1;
+                i < memberCount
+                        && silentMembers <= MAX_LOOKAHEAD
+                        && soundMembers < Math.max(1, Math.min(MAX_LOOKAHEAD, silentMembers));
+                i++) {
+            int next = rings[ring][Math.floorMod(positions[ring][member] + step * i, memberCount)];
+            if (isInRing.test(next)) {
                 found.add(next);
-                if (silent.test(next)) {
-                    quiet++;
+                if (isSilent.test(next)) {
+                    silentMembers++;
                 } else {
-                    sound++;
+                    soundMembers++;
                 }
             }
         }
--- /dev/null
+++ b/src/main/java/magpiewheel/membership/PartitionDetector.java
@@ -0,0 +1,95 @@
+package magpiewheel.membership;
+
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+
+/** Whether this member's view is complete, partial, or that of an isolated member. */
+final class PartitionDetector {
+    /** Heartbeats without anyone after the start until that means something. */
+    private static final int ISOLATED_AFTER_HEARTBEATS = 20;
+    /** us; how long a better verdict has to hold until it counts. */
+    private static final long RECOVERY_US = 2_000_000;
+
+    private final MembershipConfig config;
+    private final MemberTable members;
+    private final HeartbeatMonitor monitor;
+    private final VerdictHysteresis verdict;
+    private final long refutationUs;
+    /** Members whose last datagram said that they hear this one. */
+    private final Set<Member> hearers = new LinkedHashSet<>();
+
+    private boolean zoneLost;
+
+    PartitionDetector(MembershipContext context) {
+        config = context.config;
+        members = context.members;
+        monitor = context.monitor;
+        refutationUs = FailureDetector.refutationUs(config);
+        verdict = new VerdictHysteresis(HeartbeatMonitor.SILENT_HEARTBEATS * config.heartbeatUs(), RECOVERY_US);
+    }
+
+    /** The verdict on this member's own view. */
+    PartitionVerdict verdict() {
+        return verdict.current();
+    }
+
+    /** Whether this member is isolated: what it thinks of others says nothing. */
+    boolean isIsolated() {
+        return verdict.current() == PartitionVerdict.ISOLATED;
+    }
+
+    /** A datagram said whether its sender hears this member; returns whether that is new. */
+    boolean heardBy(Member sender, boolean hears) {
+        if (!hears) {
+            hearers.remove(sender);
+            return false;
+        }
+        return hearers.add(sender);
+    }
+
+    /** Whether some member both hears this one and is heard by it. */
+    boolean isReached(long now) {
+        hearers.removeIf(member -> !monitor.isHeard(now, member));
+        return !hearers.isEmpty();
+    }
+
+    /** Judges the view anew. */
+    void judge(long now, boolean reached, List<Member> neighbours) {
+        boolean meaningful =
+                monitor.heardAnyone() || monitor.uptimeUs(now) > ISOLATED_AFTER_HEARTBEATS * config.heartbeatUs();
+        boolean isolated = !reached && meaningful && members.self().status != MemberStatus.LEFT;
+        verdict.update(now, isolated ? PartitionVerdict.ISOLATED : completeness(now, neighbours));
+    }
+
+    private PartitionVerdict completeness(long now, List<Member> neighbours) {
+        boolean partial = zoneLost || neighbours.stream().anyMatch(member -> isHeardByOthersOnly(now, member));
+        return partial ? PartitionVerdict.PARTIAL : PartitionVerdict.COMPLETE;
+    }
+
+    /** Whether a neighbour is silent for longer than it takes to be declared dead: others must hear it. */
+    private boolean isHeardByOthersOnly(long now, Member member) {
+        long declaredAfterUs =
+                monitor.silenceUs(member) + refutationUs + HeartbeatMonitor.SILENT_HEARTBEATS * config.heartbeatUs();
+        return member.incarnation > 0
+                && member.isInRing()
+                && member.isObserved()
+                && now - monitor.silentSince(member) > declaredAfterUs;
+    }
+
+    /** Determines whether a zone with members that were heard is dead as a whole, and nobody proved it. */
+    void updateLostZones() {
+        int[] dead = new int[MemberUpdate.UNKNOWN_ZONE + 1];
+        boolean[] runs = new boolean[MemberUpdate.UNKNOWN_ZONE + 1];
+        for (Member member : members.all()) {
+            if (member.incarnation > 0 && member.zone != MemberUpdate.UNKNOWN_ZONE) {
+                runs[member.zone] |= member.isInRing();
+                dead[member.zone] += member.status == MemberStatus.DEAD && member.unreachableProvenMs == 0 ? 1 : 0;
+            }
+        }
+        zoneLost = false;
+        for (int zone = 0; zone < dead.length; zone++) {
+            zoneLost |= dead[zone] > 0 && !runs[zone];
+        }
+    }
+}
--- a/src/main/java/magpiewheel/membership/PartitionVerdict.java
+++ b/src/main/java/magpiewheel/membership/PartitionVerdict.java
@@ -1,11 +1,11 @@
 package magpiewheel.membership;
 
-/** What a front thinks of its own view. */
+/** How complete a member takes its own view to be. The order is the wire's, and that of the figures. */
 public enum PartitionVerdict {
-    /** It hears all that others hear. */
-    WHOLE,
-    /** Some fronts are unreachable from here while others hear them, or a branch is gone as a whole. */
+    /** It hears all members that others hear. */
+    COMPLETE,
+    /** Some members can not be reached from here while others hear them, or a zone is lost as a whole. */
     PARTIAL,
-    /** No front both hears this one and is heard by it. */
-    ALONE
+    /** No member both hears this one and is heard by it. */
+    ISOLATED
 }
--- a/src/main/java/magpiewheel/membership/QuotaDivision.java
+++ b/src/main/java/magpiewheel/membership/QuotaDivision.java
@@ -1,58 +1,57 @@
 package magpiewheel.membership;
 
 /**
- * How a hard limit is divided. All fronts that the settings name have a part, since a silent one may run on the other
- * side of a split; only where a front's own machine said that nobody listens there its part goes to the others, but for
- * what a front that comes back uses at first. Proof is a lease: it ends before one that comes back has its whole part
- * again.
+ * How a limit is divided. All members that the settings name have a share, since a silent one may run on the other side
+ * of a partition; only where its host proved that nobody listens there the share goes to the others, but for what a
+ * member that returns uses at first. A proof is a lease: it ends before a member that returns has its full share again.
  */
 final class QuotaDivision {
-    /** us; proof holds for so long, and is renewed as often as not to run out when some words of it are lost. */
-    static final long LEASE_US = 4_000_000;
+    /** us; a proof holds for so long, and is renewed often enough to survive some lost updates. */
+    static final long PROOF_LEASE_US = 4_000_000;
 
-    static final long RENEW_US = 1_000_000;
-    /** us; a front that starts holds the first part for so long: the lease, and clocks 0.4 s off both ways. */
-    static final long FIRST_US = 5_000_000;
-    /** Part of its share that a front uses that has just started, and that is kept for each one proved dead. */
-    static final double FIRST_PART = 0.25;
+    static final long PROOF_RENEWAL_US = 1_000_000;
+    /** us; a member that starts uses a reduced share for so long: the lease, and clocks 0.4 s off both ways. */
+    static final long REDUCED_AFTER_START_US = 5_000_000;
+    /** The part of its share that a member uses that just started, and that is reserved for each one proven dead. */
+    static final double REDUCED_SHARE = 0.25;
 
-    private final MembershipConfig set;
-    private final Member[] members;
-    private final long refuteUs;
+    private final MembershipConfig config;
+    private final MemberTable members;
+    private final long refutationUs;
 
-    QuotaDivision(MembershipConfig set, Member[] members, long refuteUs) {
-        this.set = set;
+    QuotaDivision(MembershipConfig config, MemberTable members, long refutationUs) {
+        this.config = config;
         this.members = members;
-        this.refuteUs = refuteUs;
+        this.refutationUs = refutationUs;
     }
 
-    /** One part in so many is this front's, of a limit of all fronts or (with a zone) of a branch's. */
-    double of(long now, long runsUs, int zone) {
-        return runsUs < FIRST_US ? parts(now, zone) / FIRST_PART : parts(now, zone);
+    /** A limit of all members or, with a zone, of that zone's is divided by this. */
+    double divisor(long now, long uptimeUs, int zone) {
+        return uptimeUs < REDUCED_AFTER_START_US ? shares(now, zone) / REDUCED_SHARE : shares(now, zone);
     }
 
-    private double parts(long now, int zone) {
-        double all = zone < 0
-                ? members.length
-                : zone < set.frontsByZone().length ? set.frontsByZone()[zone] : members.length;
-        if (!set.refusals()) {
-            return Math.max(1, all);
+    private double shares(long now, int zone) {
+        double named = zone < 0
+                ? members.size()
+                : zone < config.membersByZone().length ? config.membersByZone()[zone] : members.size();
+        if (!config.reachabilityProbes()) {
+            return Math.max(1, named);
         }
-        int gone = 0;
-        for (Member member : members) {
-            gone += (zone < 0 || member.zone == zone) && proved(now, member) ? 1 : 0;
+        int unreachable = 0;
+        for (Member member : members.all()) {
+            unreachable += (zone < 0 || member.zone == zone) && isProvenUnreachable(now, member) ? 1 : 0;
         }
-        return Math.max(1, all - gone * (1 - FIRST_PART));
+        return Math.max(1, named - unreachable * (1 - REDUCED_SHARE));
     }
 
     /**
-     * Whether its machine said a short while ago that nobody listens there, and nobody heard of it since; nor for the
-     * time in which it would have refuted that, since a filter may have answered for its machine.
+     * Whether its host proved a short while ago that nobody listens there, and nobody heard of it since; not within the
+     * time in which it could refute that, as a filter may have answered for its host.
      */
-    private boolean proved(long now, Member member) {
-        return !member.inRing()
-                && member.provedMs > 0
-                && now - member.provedMs * 1_000 < LEASE_US
-                && now - member.goneAt >= refuteUs;
+    private boolean isProvenUnreachable(long now, Member member) {
+        return !member.isInRing()
+                && member.unreachableProvenMs > 0
+                && now - member.unreachableProvenMs * 1_000 < PROOF_LEASE_US
+                && now - member.leftRingAt >= refutationUs;
     }
 }
--- a/src/main/java/magpiewheel/membership/ReachabilityProber.java
+++ b/src/main/java/magpiewheel/membership/ReachabilityProber.java
@@ -3,83 +3,87 @@
 import java.util.List;
 
 /**
- * Knocks at neighbours that fell silent, long before silence alone means a death: the machine of a process that is no
- * more says at once that nobody listens, the one of a process that pauses keeps its door.
+ * Probes neighbours that fell silent, long before silence alone means a failure: the host of a process that ended
+ * refuses at once, that of a process that pauses does not.
  */
 final class ReachabilityProber {
-    /** Refusals in a row until one front takes another's door for shut. */
-    static final int ENOUGH = 2;
+    /** Refusals in a row until a member takes another one for ended. */
+    static final int REFUSALS_NEEDED = 2;
     /**
-     * Beats of silence until the first knock: one lost message is nothing, and with short beats neither is a late one.
+     * Heartbeats of silence until the first probe: one lost message is nothing, and with short heartbeats neither is a
+     * late one.
      */
-    private static final int QUIET_BEATS = 2;
-    /** Knocks without an answer in one silence: a machine that says nothing tells nothing. */
-    private static final int MOST = 4;
-    /** us; from a knock without an answer to the next: longer than the transport waits for one. */
-    private static final long AGAIN_LEAST_US = 50_000;
+    private static final int SILENT_HEARTBEATS = 2;
+    /** Probes without an answer in one silence: a host that does not answer proves nothing. */
+    private static final int MAX_UNANSWERED = 4;
+    /** us; from a probe without an answer to the next: longer than the transport waits for one. */
+    private static final long MIN_RETRY_US = 50_000;
 
-    private static final long AGAIN_MOST_US = 200_000;
-    private final MembershipConfig set;
-    private final DatagramSender out;
-    private final long againUs;
+    private static final long MAX_RETRY_US = 200_000;
+    private final MembershipConfig config;
+    private final DatagramSender sender;
+    private final long retryUs;
 
-    ReachabilityProber(MembershipConfig set, DatagramSender out) {
-        this.set = set;
-        this.out = out;
-        againUs = Math.max(AGAIN_LEAST_US, Math.min(AGAIN_MOST_US, set.beatUs()));
+    ReachabilityProber(MembershipConfig config, DatagramSender sender) {
+        this.config = config;
+        this.sender = sender;
+        retryUs = Math.max(MIN_RETRY_US, Math.min(MAX_RETRY_US, config.heartbeatUs()));
     }
 
-    /** us; silence after which a front is asked for by its door. */
-    long quietUs(Member member) {
-        long beat = Math.max(set.beatUs(), member.beatUs);
-        return Math.max(QUIET_BEATS * beat, beat + 2 * MembershipProtocol.LATEST_US);
+    /** us; silence after which a member is probed. */
+    long probeAfterUs(Member member) {
+        long heartbeatUs = Math.max(config.heartbeatUs(), member.heartbeatUs);
+        return Math.max(SILENT_HEARTBEATS * heartbeatUs, heartbeatUs + 2 * HeartbeatMonitor.MAX_DELAY_US);
     }
 
-    /** Knocks at those of the neighbours where that is due; none was heard here while this front was not awake. */
-    void ask(long now, List<Member> neighbours, long awakeAt) {
+    /** Probes the neighbours for which that is due; silence from before this process resumed does not count. */
+    void probeSilent(long now, List<Member> neighbours, long awakeAt) {
         for (Member member : neighbours) {
-            if (due(now, member, awakeAt)) {
-                member.knocks++;
-                member.knockedAt = now;
-                member.unsure = false;
-                out.knock(member.front, now);
+            if (isProbeDue(now, member, awakeAt)) {
+                member.unansweredProbes++;
+                member.probedAt = now;
+                member.possiblyUnobserved = false;
+                sender.probe(member.id, now);
             }
         }
     }
 
-    private boolean due(long now, Member member, long awakeAt) {
-        if (!member.watched()
-                || !member.inRing()
+    private boolean isProbeDue(long now, Member member, long awakeAt) {
+        if (!member.isObserved()
+                || !member.isInRing()
                 || member.incarnation == 0
-                || member.shut >= ENOUGH
-                || now < member.accuseFrom
-                || member.knocks >= MOST
-                || now - member.knockedAt < wait(member)) {
+                || member.probesRefused >= REFUSALS_NEEDED
+                || now < member.nextAccusationAt
+                || member.unansweredProbes >= MAX_UNANSWERED
+                || now - member.probedAt < retryAfterUs(member)) {
             return false;
         }
-        long since = Math.max(awakeAt, Math.max(member.watchedAt, member.lifeAt));
-        // Where others died with it or were refused there is more reason to ask than its silence here.
-        boolean doubted =
-                member.unsure || member.shut > 0 || member.status == MemberStatus.SUSPECT && member.provedMs > 0;
-        return now - since > quietUs(member) || doubted && !member.fresh(now, quietUs(member));
+        long since = Math.max(awakeAt, Math.max(member.observedSince, member.lastAliveAt));
+        // Where others failed with it or were refused, there is more reason to probe than its silence here.
+        boolean isDoubtful = member.possiblyUnobserved
+                || member.probesRefused > 0
+                || member.status == MemberStatus.SUSPECT && member.unreachableProvenMs > 0;
+        return now - since > probeAfterUs(member) || isDoubtful && !member.isFresh(now, probeAfterUs(member));
     }
 
-    /** A refusal is asked for a second time at once. */
-    private long wait(Member member) {
-        return member.shut > 0 && member.shutAt >= member.knockedAt ? 0 : againUs;
+    /** A refusal is confirmed by a second probe at once. */
+    private long retryAfterUs(Member member) {
+        return member.probesRefused > 0 && member.probeRefusedAt >= member.probedAt ? 0 : retryUs;
     }
 
     /**
-     * A question of a time was refused; says whether that tells anything: not if the front was heard since, or has
-     * another incarnation since, or the same question was refused before.
+     * A probe was refused; returns whether that proves anything: not if the member was heard since, or has another
+     * incarnation since, or the same probe was refused before.
      */
-    boolean refused(long now, Member member, long askedAt) {
-        if (!member.watched() || askedAt <= Math.max(member.shutAt, Math.max(member.lifeAt, member.knownFrom))) {
+    boolean isRefusalProof(long now, Member member, long probedAt) {
+        if (!member.isObserved()
+                || probedAt
+                        <= Math.max(member.probeRefusedAt, Math.max(member.lastAliveAt, member.incarnationKnownAt))) {
             return false;
         }
-        member.shut++;
-        member.shutAt = askedAt;
-        member.knocks = 0;
+        member.probesRefused++;
+        member.probeRefusedAt = probedAt;
+        member.unansweredProbes = 0;
         return true;
     }
 }
--- /dev/null
+++ b/src/main/java/magpiewheel/membership/UpdateDissemination.java
@@ -0,0 +1,92 @@
+package magpiewheel.membership;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+
+/** The updates that are still to be sent, each with several rounds of messages (infection-style dissemination). */
+final class UpdateDissemination {
+    /** Rounds in which an update is sent; one for a member that joins, since it is soon announced as alive. */
+    private static final int ROUNDS = 3;
+    /** us; with heartbeats no longer than this updates of others are sent at once, too: lookups depend on them. */
+    private static final long FAST_HEARTBEAT_US = 100_000;
+
+    private final MembershipConfig config;
+    private final MemberTable members;
+    private final RoundSchedule schedule;
+    private final ArrayDeque<Member> queue = new ArrayDeque<>();
+    private boolean overflowed;
+
+    UpdateDissemination(MembershipConfig config, MemberTable members, RoundSchedule schedule) {
+        this.config = config;
+        this.members = members;
+        this.schedule = schedule;
+    }
+
+    /** The state of a member changed: it is sent soon, and again with the next rounds. */
+    void announce(long now, Member member) {
+        if (!member.queued) {
+            member.queued = true;
+            queue.addLast(member);
+        }
+        member.sendsLeft = member.status == MemberStatus.JOINING ? 1 : ROUNDS;
+        if (member == members.self() || config.heartbeatUs() <= FAST_HEARTBEAT_US) {
+            schedule.flushSoon(now);
+        }
+    }
+
+    /**
+     * The updates that one message holds, those sent least often first.
+     *
+     * @param isolated whether this member is isolated, and keeps to itself what it thinks of failures
+     */
+    List<MemberUpdate> takeUpdates(long now, boolean isolated) {
+        List<MemberUpdate> updates = new ArrayList<>();
+        // Space is left for what the receiver must hear about itself.
+        int space = MembershipMessage.MAX_MESSAGE_BYTES
+                - MembershipMessage.HEADER_BYTES
+                - MembershipMessage.UPDATE_BYTES
+                - MembershipMessage.SUSPECT_BYTES
+                - MembershipMessage.PROOF_BYTES;
+        overflowed = false;
+        int queued = queue.size();
+        for (int i = 0; i < queued; i++) {
+            Member member = queue.pollFirst();
+            MemberUpdate update = member.toUpdate(now);
+            if (isSendable(member, update, isolated)) {
+                int bytes = MembershipMessage.bytes(update);
+                if (bytes > space) {
+                    queue.addFirst(member);
+                    overflowed = true;
+                    break;
+                }
+                space -= bytes;
+                updates.add(update);
+                member.sendsLeft--;
+            } else {
+                member.sendsLeft = 0;
+            }
+            member.queued = member.sendsLeft > 0;
+            if (member.queued) {
+                queue.addLast(member);
+            }
+        }
+        return updates;
+    }
+
+    private static boolean isSendable(Member member, MemberUpdate update, boolean isolated) {
+        return member.sendsLeft > 0
+                && update.status() != MemberStatus.UNKNOWN
+                && !(isolated && update.declaresFailure());
+    }
+
+    /** Whether the last message could not hold all updates. */
+    boolean overflowed() {
+        return overflowed;
+    }
+
+    /** Whether no update is to be sent. */
+    boolean isIdle() {
+        return queue.isEmpty();
+    }
+}
--- a/src/main/java/magpiewheel/membership/VerdictHysteresis.java
+++ b/src/main/java/magpiewheel/membership/VerdictHysteresis.java
@@ -1,41 +1,41 @@
 package magpiewheel.membership;
 
-/** A verdict that follows what is seen slowly: a worse one has to hold for a while, a better one for longer. */
+/** A verdict with hysteresis: a worse observation has to hold for a while, a better one for longer. */
 final class VerdictHysteresis {
-    private final long enterUs;
-    private final long leaveUs;
-    private PartitionVerdict said = PartitionVerdict.WHOLE;
-    private PartitionVerdict seen = PartitionVerdict.WHOLE;
+    private final long worseAfterUs;
+    private final long betterAfterUs;
+    private PartitionVerdict current = PartitionVerdict.COMPLETE;
+    private PartitionVerdict observed = PartitionVerdict.COMPLETE;
     private long worseSince;
     private long betterSince;
 
-    VerdictHysteresis(long enterUs, long leaveUs) {
-        this.enterUs = enterUs;
-        this.leaveUs = leaveUs;
+    VerdictHysteresis(long worseAfterUs, long betterAfterUs) {
+        this.worseAfterUs = worseAfterUs;
+        this.betterAfterUs = betterAfterUs;
     }
 
-    /** What is seen now; returns what is to be said. */
-    PartitionVerdict see(long now, PartitionVerdict verdict) {
-        if (verdict.compareTo(said) > 0) {
-            if (seen.compareTo(said) <= 0) {
+    /** Takes an observation; returns the verdict. */
+    PartitionVerdict update(long now, PartitionVerdict verdict) {
+        if (verdict.compareTo(current) > 0) {
+            if (observed.compareTo(current) <= 0) {
                 worseSince = now;
             }
-            if (now - worseSince >= enterUs) {
-                said = verdict;
+            if (now - worseSince >= worseAfterUs) {
+                current = verdict;
             }
-        } else if (verdict.compareTo(said) < 0) {
-            if (seen.compareTo(said) >= 0) {
+        } else if (verdict.compareTo(current) < 0) {
+            if (observed.compareTo(current) >= 0) {
                 betterSince = now;
             }
-            if (now - betterSince >= leaveUs) {
-                said = verdict;
+            if (now - betterSince >= betterAfterUs) {
+                current = verdict;
             }
         }
-        seen = verdict;
-        return said;
+        observed = verdict;
+        return current;
     }
 
-    PartitionVerdict said() {
-        return said;
+    PartitionVerdict current() {
+        return current;
     }
 }
--- a/src/main/java/magpiewheel/membership/package-info.java
+++ b/src/main/java/magpiewheel/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which fronts of the fleet are there: a failure detector with gossip, free of I/O and driven by the time it is given,
- * the verdict on the front's own view, and how limits of the whole fleet are divided.
+ * Membership of the fleet in the manner of SWIM: failure detection by observers in rings, dissemination of updates with
+ * the heartbeats, anti-entropy by digests, a verdict on partitions, and the division of limits. Free of I/O and clocks.
  */
 package magpiewheel.membership;
--- a/src/main/java/magpiewheel/region/RegionCoordinator.java
+++ b/src/main/java/magpiewheel/region/RegionCoordinator.java
@@ -86,7 +86,7 @@
     }
 
     private boolean firstInBranch() {
-        return view.heardIn(setup.zone()).stream().allMatch(front -> front > setup.me());
+        return view.runningMembersIn(setup.zone()).stream().allMatch(front -> front > setup.me());
     }
 
     /** A fill goes to a parent, by whatever way: its work, and what it takes of the link. */
@@ -143,7 +143,7 @@
         if (!Handover.moved(now - lease.ledSinceUs(), lease.leader(), object)) {
             return RouteReason.NOT_MOVED;
         }
-        if (!handover.room(now, parent, view.sharers(now), work)) {
+        if (!handover.room(now, parent, view.quotaDivisor(now), work)) {
             return RouteReason.COLD;
         }
         return second ? RouteReason.SPILLED : RouteReason.LED;
@@ -153,7 +153,7 @@
         if (region == null || !region.branches().contains(zone)) {
             return RouteReason.NO_REGION;
         }
-        if (view.verdict() == PartitionVerdict.ALONE) {
+        if (view.verdict() == PartitionVerdict.ISOLATED) {
             return RouteReason.CUT_OFF;
         }
         if (lease == null) {
@@ -171,7 +171,7 @@
     /** Whether a parent that may be cold has room for more of this front's work, for fills by the old way as well. */
     public boolean room(long now, long parent, double work) {
         Parent found = parents.get(parent);
-        return found != null && handover.room(now, found, view.sharers(now), work);
+        return found != null && handover.room(now, found, view.quotaDivisor(now), work);
     }
 
     /**
@@ -190,7 +190,7 @@
         if (parentsBear > 0) {
             perS = Math.min(perS, parentsBear * 1e6 / setup.cold().tipAfterUs());
         }
-        return pace.lets(now, object, work, perS / Math.max(1, view.sharers(now)));
+        return pace.lets(now, object, work, perS / Math.max(1, view.quotaDivisor(now)));
     }
 
     /** A miss that was let up is over without a parent's answer; {@code filled} if the object came all the same. */
@@ -451,7 +451,7 @@
 
     private void act(long now) {
         if (election != null) {
-            election.tick(now, fronts(), view.verdict() == PartitionVerdict.ALONE);
+            election.tick(now, fronts(), view.verdict() == PartitionVerdict.ISOLATED);
         }
     }
 
@@ -464,7 +464,7 @@
         if (lease != null && firstInBranch() && known.placed(setup.zone(), regions.place(setup.zone()))) {
             reshape(now);
         }
-        List<Integer> all = view.heard();
+        List<Integer> all = view.runningMembers();
         RegionMessage.Words words = known.words(now, head(0));
         if (words.loads().isEmpty() && words.claims().isEmpty()) {
             return;
@@ -482,7 +482,7 @@
     /** The other fronts of the region that are heard, by number. */
     private List<Integer> fronts() {
         return region.branches().stream()
-                .flatMap(branch -> view.heardIn(branch).stream())
+                .flatMap(branch -> view.runningMembersIn(branch).stream())
                 .filter(front -> front != setup.me())
                 .distinct()
                 .sorted()
--- a/src/main/java/magpiewheel/routing/FleetProtocols.java
+++ b/src/main/java/magpiewheel/routing/FleetProtocols.java
@@ -65,7 +65,7 @@
             }
 
             @Override
-            public void knock(int router, long at) {
+            public void probe(int router, long at) {
                 actions.probeReachability(router, at);
             }
         });
@@ -99,8 +99,8 @@
 
     /** Dispatches a message to its protocol; false where it belongs to none. */
     boolean dispatch(long now, long sender, byte[] message) {
-        if (MembershipProtocol.isOurs(message)) {
-            membership.heard(now, (int) sender, message);
+        if (MembershipProtocol.isMembershipMessage(message)) {
+            membership.messageReceived(now, (int) sender, message);
             scheduleTimer(now);
             return true;
         }
@@ -153,15 +153,15 @@
     /** Whether this router serves from now on, or drains. */
     void serving(long now, boolean serves) {
         if (serves) {
-            membership.ready(now);
+            membership.startServing(now);
         }
-        membership.leave(now, !serves);
+        membership.setDraining(now, !serves);
         scheduleTimer(now);
     }
 
     /** The host of another router refused a reachability probe that was sent at a time. */
     void reachabilityRefused(long now, int router, long probedAt) {
-        membership.refused(now, router, probedAt);
+        membership.probeRefused(now, router, probedAt);
         scheduleTimer(now);
     }
 }
--- a/src/main/java/magpiewheel/routing/OriginHealth.java
+++ b/src/main/java/magpiewheel/routing/OriginHealth.java
@@ -27,7 +27,7 @@
 
     /** Whether a fill is kept from a degraded origin; a share of all routers' fills still tries it. */
     boolean sparesFill(long now) {
-        return isDegraded(now) && random.nextDouble() >= TRIAL_SHARE / membership.sharers(now);
+        return isDegraded(now) && random.nextDouble() >= TRIAL_SHARE / membership.quotaDivisor(now);
     }
 
     /** A response that was no hit came from the origin, or from what a parent held. */
--- a/src/main/java/magpiewheel/routing/PeerExchange.java
+++ b/src/main/java/magpiewheel/routing/PeerExchange.java
@@ -46,7 +46,7 @@
     void tick(long now) {
         if (mayMessagePeers && topology.routers() > 1) {
             long silentUs = SILENT_MESSAGES * ticksPerMessage() * RequestRouter.TICK_US;
-            peers.updatePeers(now, fleet.membershipView().heardIn(topology.zone()), silentUs);
+            peers.updatePeers(now, fleet.membershipView().runningMembersIn(topology.zone()), silentUs);
             if (ticks % ticksPerMessage() == 0) {
                 sendReports(now);
                 unreportedHolders.clear();
--- a/src/main/java/magpiewheel/routing/RegionBridge.java
+++ b/src/main/java/magpiewheel/routing/RegionBridge.java
@@ -226,14 +226,17 @@
                 now,
                 filledTransfers.at(now)
                         / seconds
-                        * (1 + fleet.membershipView().heardIn(topology.zone()).size()));
+                        * (1
+                                + fleet.membershipView()
+                                        .runningMembersIn(topology.zone())
+                                        .size()));
         Leader leader = region.leader(now);
-        int otherRouters = fleet.membershipView().heard().size();
+        int otherRouters = fleet.membershipView().runningMembers().size();
         int routersOfRegion = region.region() == null
                 ? otherRouters
                 : region.region().branches().stream()
-                        .mapToInt(
-                                branch -> fleet.membershipView().heardIn(branch).size())
+                        .mapToInt(branch ->
+                                fleet.membershipView().runningMembersIn(branch).size())
                         .sum();
         for (Parent parent : parents) {
             SlidingWindowSum transfersOfParent = sentTransfers.get(parent.id());
--- a/src/main/java/magpiewheel/routing/SlowStart.java
+++ b/src/main/java/magpiewheel/routing/SlowStart.java
@@ -46,7 +46,9 @@
     }
 
     private double sharers(long now, Endpoint endpoint) {
-        return endpoint.isParent() ? membership.sharers(now) : membership.sharersIn(now, endpoint.info.zone());
+        return endpoint.isParent()
+                ? membership.quotaDivisor(now)
+                : membership.quotaDivisorIn(now, endpoint.info.zone());
     }
 
     /** From 0 to 1, anew in each window: a share below one request becomes one request in some of the windows. */
--- a/src/main/java/magpiewheel/staleness/ReplicaGossip.java
+++ b/src/main/java/magpiewheel/staleness/ReplicaGossip.java
@@ -122,7 +122,7 @@
 
     void tick(long now) {
         due = now + TICK_US;
-        List<Integer> peers = view.heardIn(zone);
+        List<Integer> peers = view.runningMembersIn(zone);
         if (peers.isEmpty()) {
             newCopies.news.clear();
             newPins.news.clear();
--- a/src/test/java/magpiewheel/membership/Beats.java
+++ b/src/test/java/magpiewheel/membership/Beats.java
@@ -20,9 +20,9 @@
                     }
 
                     @Override
-                    public void knock(int to, long at) {}
+                    public void probe(int to, long at) {}
                 });
-        one.ready(now);
+        one.startServing(now);
         one.tick(now);
         return sent.get(0);
     }
--- a/src/test/java/magpiewheel/membership/FleetFigures.java
+++ b/src/test/java/magpiewheel/membership/FleetFigures.java
@@ -69,7 +69,7 @@
             case "kill8" -> kills(8, seeds, 1);
             case "half8" -> halves(8, seeds, SimFleet.BEAT);
             case "half100" -> halves(100, Math.max(1, seeds / 10), SimFleet.BEAT);
-            case "slow100" -> halves(100, Math.max(1, seeds / 10), MembershipConfig.SLOW_BEAT_US);
+            case "slow100" -> halves(100, Math.max(1, seeds / 10), MembershipConfig.SLOW_HEARTBEAT_US);
             case "kill100" -> kills(100, Math.max(1, seeds / 10), 10);
             case "kill1000" -> kills(1_000, Math.max(1, seeds / 50), 50);
             case "loss", "loss1" -> losses(name.equals("loss") ? List.of(0.05, 0.1) : List.of(0.05));
--- a/src/test/java/magpiewheel/membership/FleetProperties.java
+++ b/src/test/java/magpiewheel/membership/FleetProperties.java
@@ -162,15 +162,15 @@
         fleet.run(SECOND);
         Process observer = fleet.of(0);
         int neighbour = new ObserverRings(8)
-                .around(0, front -> true, front -> false)
+                .observersOf(0, front -> true, front -> false)
                 .iterator()
                 .next();
         for (long agoUs : List.of(99 * MS, 98 * MS, 200 * MS, 150 * MS)) {
-            observer.membership.refused(observer.clock(), neighbour, observer.clock() - agoUs);
+            observer.membership.probeRefused(observer.clock(), neighbour, observer.clock() - agoUs);
             assertEquals(MemberStatus.ALIVE, observer.of(neighbour));
         }
-        observer.membership.refused(observer.clock(), neighbour, observer.clock() - MS / 2);
-        observer.membership.refused(observer.clock(), neighbour, observer.clock());
+        observer.membership.probeRefused(observer.clock(), neighbour, observer.clock() - MS / 2);
+        observer.membership.probeRefused(observer.clock(), neighbour, observer.clock());
         assertEquals(MemberStatus.SUSPECT, observer.of(neighbour), "one front's refusals accuse, no more");
     }
 
@@ -320,24 +320,25 @@
         String before = FleetScenarios.all(process);
         for (byte[] message : real.subList(0, 60)) {
             for (byte[] off : FleetScenarios.spoilt(message, fleet.random())) {
-                process.membership.heard(process.clock(), fleet.random().nextInt(10), off);
+                process.membership.messageReceived(
+                        process.clock(), fleet.random().nextInt(10), off);
                 assertEquals(before, FleetScenarios.all(process), () -> Arrays.toString(off));
             }
             for (int stranger : List.of(-1, 10, 1_000_000, Integer.MAX_VALUE, Integer.MIN_VALUE, 3)) {
-                process.membership.heard(process.clock(), stranger, message);
-                process.membership.refused(process.clock(), stranger, process.clock());
+                process.membership.messageReceived(process.clock(), stranger, message);
+                process.membership.probeRefused(process.clock(), stranger, process.clock());
                 assertEquals(before, FleetScenarios.all(process), "from " + stranger);
             }
         }
         // What was said before would change nothing in any case: this is news.
-        MemberUpdate leaves = MemberUpdate.own(
+        MemberUpdate leaves = MemberUpdate.ofSelf(
                 5, MemberStatus.LEFT, process.clock() / 1_000 + 60_000, fleet.zone(5), SimFleet.address(5));
         byte[] news = new MembershipMessage(
-                        MembershipMessage.Kind.WORDS,
+                        MembershipMessage.Kind.UPDATES,
                         leaves,
                         true,
                         false,
-                        PartitionVerdict.WHOLE,
+                        PartitionVerdict.COMPLETE,
                         process.clock() + 1,
                         50,
                         0,
@@ -345,10 +346,10 @@
                         new int[0])
                 .encode();
         for (byte[] off : FleetScenarios.spoilt(news, fleet.random())) {
-            process.membership.heard(process.clock(), 5, off);
+            process.membership.messageReceived(process.clock(), 5, off);
             assertEquals(before, FleetScenarios.all(process), () -> Arrays.toString(off));
         }
-        process.membership.heard(process.clock(), 5, news);
+        process.membership.messageReceived(process.clock(), 5, news);
         assertEquals(MemberStatus.LEFT, process.of(5));
     }
 
@@ -361,7 +362,7 @@
             turned[fleet.random().nextInt(turned.length)] ^=
                     (byte) (1 << fleet.random().nextInt(8));
             Process process = fleet.of(fleet.random().nextInt(10));
-            process.membership.heard(process.clock(), fleet.random().nextInt(10), turned);
+            process.membership.messageReceived(process.clock(), fleet.random().nextInt(10), turned);
             process.membership.tick(process.clock());
         }
         fleet.run(3 * SECOND);
--- a/src/test/java/magpiewheel/membership/FleetScenarios.java
+++ b/src/test/java/magpiewheel/membership/FleetScenarios.java
@@ -70,7 +70,7 @@
     }
 
     private static void leave(Process process) {
-        process.membership.leave(process.clock(), true);
+        process.membership.setDraining(process.clock(), true);
     }
 
     static SimFleet settled(Plan plan) {
@@ -161,7 +161,8 @@
         SimFleet fleet = settled(Plan.of(seed, fronts));
         fleet.run(8 * SECOND);
         int front = fleet.random().nextInt(fronts);
-        List<Integer> neighbours = List.copyOf(new ObserverRings(fronts).around(front, other -> true, other -> false));
+        List<Integer> neighbours =
+                List.copyOf(new ObserverRings(fronts).observersOf(front, other -> true, other -> false));
         Limits limits = new Limits(fleet);
         int[] deaths = {0};
         boolean[][] said = new boolean[fronts][fronts];
@@ -239,7 +240,7 @@
         MemberStatus status = viewer.of(front);
         return status != MemberStatus.DEAD
                 && status != MemberStatus.LEFT
-                && viewer.membership.heard().contains(front);
+                && viewer.membership.runningMembers().contains(front);
     }
 
     /** Deaths said of fronts that all run and are all connected. */
@@ -307,7 +308,7 @@
                 for (int front = 0; front < fronts; front++) {
                     deaths[0] += front != cut && said[process.front][front] && !before[front] ? 1 : 0;
                 }
-                alone[0] |= process.membership.verdict() == PartitionVerdict.ALONE;
+                alone[0] |= process.membership.verdict() == PartitionVerdict.ISOLATED;
             }
         };
         if (deaf) {
@@ -315,11 +316,11 @@
         } else {
             fleet.mute(cut, true);
         }
-        long took = fleet.until(5 * SECOND, () -> fleet.of(cut).membership.verdict() == PartitionVerdict.ALONE);
+        long took = fleet.until(5 * SECOND, () -> fleet.of(cut).membership.verdict() == PartitionVerdict.ISOLATED);
         fleet.run(5 * SECOND);
         boolean whole = fleet.running().stream()
-                .allMatch(process -> process.front == cut || process.membership.verdict() == PartitionVerdict.WHOLE);
-        boolean stays = fleet.of(cut).membership.verdict() == PartitionVerdict.ALONE;
+                .allMatch(process -> process.front == cut || process.membership.verdict() == PartitionVerdict.COMPLETE);
+        boolean stays = fleet.of(cut).membership.verdict() == PartitionVerdict.ISOLATED;
         return new OneWay(took < 0 || !stays ? NEVER : took, deaths[0], alone[0], whole);
     }
 
@@ -396,7 +397,7 @@
         fleet.run(6 * SECOND + fleet.random().nextLong(SECOND));
         int gone = fleet.random().nextInt(fronts);
         Process process = fleet.of(gone);
-        process.membership.leave(process.clock(), true);
+        process.membership.setDraining(process.clock(), true);
         fleet.until(
                 SECOND,
                 () -> fleet.running().stream()
@@ -602,7 +603,7 @@
             }
             case LEAVE -> {
                 if (process != null && !process.paused) {
-                    process.membership.leave(process.clock(), blow.forMs % 2 == 0);
+                    process.membership.setDraining(process.clock(), blow.forMs % 2 == 0);
                 }
             }
             default -> throw new IllegalStateException();
@@ -679,7 +680,7 @@
             if (process == back && got[0] < 0) {
                 for (Process other : fleet.running()) {
                     if (other != back
-                            && (back.of(other.front) == MemberStatus.UNSEEN
+                            && (back.of(other.front) == MemberStatus.UNKNOWN
                                     || back.membership.zone(other.front) != fleet.zone(other.front))) {
                         return;
                     }
@@ -730,13 +731,13 @@
             all.append(view.status(front)).append(view.zone(front)).append(' ');
         }
         return all.append(view.verdict())
-                .append(view.heard())
-                .append(view.addresses(0))
+                .append(view.runningMembers())
+                .append(view.servingAddresses(0))
                 .append(view.digest())
                 .append(' ')
-                .append(view.sharers(process.clock()))
+                .append(view.quotaDivisor(process.clock()))
                 .append(' ')
-                .append(view.sharersIn(process.clock(), 0))
+                .append(view.quotaDivisorIn(process.clock(), 0))
                 .toString();
     }
 
--- a/src/test/java/magpiewheel/membership/MembershipFingerprintTest.java
+++ b/src/test/java/magpiewheel/membership/MembershipFingerprintTest.java
@@ -29,7 +29,7 @@
         fleet.run(SECOND);
         fleet.kill(1);
         fleet.run(SECOND);
-        fleet.of(2).membership.leave(fleet.of(2).clock(), true);
+        fleet.of(2).membership.setDraining(fleet.of(2).clock(), true);
         fleet.run(SECOND);
         fleet.start(1, 300 * SimFleet.MS);
         fleet.kill(4);
@@ -46,12 +46,12 @@
         fleet.running().forEach(process -> {
             MembershipProtocol view = process.membership;
             all.add((long) view.verdict().ordinal()).add((long) view.digest());
-            all.add(view.sharers(process.clock()));
-            all.add(view.sharersIn(process.clock(), fleet.zone(process.front)));
-            view.heard()
+            all.add(view.quotaDivisor(process.clock()));
+            all.add(view.quotaDivisorIn(process.clock(), fleet.zone(process.front)));
+            view.runningMembers()
                     .forEach(front ->
                             all.add((long) front).add((long) view.status(front).ordinal()));
-            view.addresses(fleet.zone(process.front)).forEach(address -> all.add((long) address));
+            view.servingAddresses(fleet.zone(process.front)).forEach(address -> all.add((long) address));
         });
     }
 }
--- a/src/test/java/magpiewheel/membership/MembershipMessageGoldenTest.java
+++ b/src/test/java/magpiewheel/membership/MembershipMessageGoldenTest.java
@@ -13,13 +13,13 @@
     private static final long INCARNATION = 1_764_576_000_123L;
 
     private static MemberUpdate sender() {
-        return MemberUpdate.own(17, MemberStatus.ALIVE, INCARNATION, 3, ADDRESS);
+        return MemberUpdate.ofSelf(17, MemberStatus.ALIVE, INCARNATION, 3, ADDRESS);
     }
 
     @Test
     void updates() {
         MembershipMessage message = new MembershipMessage(
-                MembershipMessage.Kind.WORDS,
+                MembershipMessage.Kind.UPDATES,
                 sender(),
                 true,
                 false,
@@ -28,7 +28,7 @@
                 50,
                 0x01020304,
                 List.of(
-                        MemberUpdate.own(4, MemberStatus.LEFT, INCARNATION - 5, 1, ADDRESS + 1),
+                        MemberUpdate.ofSelf(4, MemberStatus.LEFT, INCARNATION - 5, 1, ADDRESS + 1),
                         new MemberUpdate(
                                 5,
                                 MemberStatus.SUSPECT,
@@ -36,17 +36,17 @@
                                 2,
                                 ADDRESS + 2,
                                 17,
-                                MemberUpdate.NOBODY,
+                                MemberUpdate.NO_MEMBER,
                                 130_000,
                                 0),
                         new MemberUpdate(
                                 6,
                                 MemberStatus.DEAD,
                                 INCARNATION,
-                                MemberUpdate.NOWHERE,
+                                MemberUpdate.UNKNOWN_ZONE,
                                 0,
-                                MemberUpdate.NOBODY,
-                                MemberUpdate.NOBODY,
+                                MemberUpdate.NO_MEMBER,
+                                MemberUpdate.NO_MEMBER,
                                 0,
                                 INCARNATION)),
                 new int[0]);
@@ -60,11 +60,11 @@
     @Test
     void digestsOfBuckets() {
         MembershipMessage message = new MembershipMessage(
-                MembershipMessage.Kind.BUCKETS,
+                MembershipMessage.Kind.BUCKET_DIGESTS,
                 sender(),
                 false,
                 true,
-                PartitionVerdict.WHOLE,
+                PartitionVerdict.COMPLETE,
                 5,
                 70_000,
                 -1,
--- a/src/test/java/magpiewheel/membership/SimFleet.java
+++ b/src/test/java/magpiewheel/membership/SimFleet.java
@@ -139,7 +139,7 @@
         }
 
         @Override
-        public void knock(int to, long asked) {
+        public void probe(int to, long asked) {
             if (!plan.refusals || to == front || to < 0 || to >= plan.fronts) {
                 throw new AssertionError("knock from " + front + " to " + to);
             }
@@ -159,11 +159,11 @@
         }
 
         double share() {
-            return 1 / membership.sharers(clock());
+            return 1 / membership.quotaDivisor(clock());
         }
 
         double shareIn() {
-            return 1 / membership.sharersIn(clock(), zone(front));
+            return 1 / membership.quotaDivisorIn(clock(), zone(front));
         }
 
         @Override
@@ -264,7 +264,7 @@
             in(10 * MS, () -> serve(process));
         } else if (process.running) {
             process.serves = true;
-            process.membership.ready(process.clock());
+            process.membership.startServing(process.clock());
             handled(process);
         }
     }
@@ -529,10 +529,10 @@
             return;
         }
         if (event.what == What.REFUSED) {
-            process.membership.refused(process.clock(), event.from, event.asked);
+            process.membership.probeRefused(process.clock(), event.from, event.asked);
         } else {
             process.received++;
-            process.membership.heard(process.clock(), event.from, event.message);
+            process.membership.messageReceived(process.clock(), event.from, event.message);
         }
         handled(process);
     }
--- a/src/test/java/magpiewheel/region/RegionWorld.java
+++ b/src/test/java/magpiewheel/region/RegionWorld.java
@@ -102,10 +102,10 @@
                             me, me / 2, new int[] {2, 2, 2, 2}, new int[BRANCHES], loads, COLD, 1_000, START_MS),
                     this,
                     (to, bytes) -> net.send(
-                            me, to, bytes, (at, from, message) -> fronts.get(at).heard(from, message)));
+                            me, to, bytes, (at, from, message) -> fronts.get(at).messageReceived(from, message)));
         }
 
-        void heard(int from, byte[] message) {
+        void messageReceived(int from, byte[] message) {
             if (dead == 0) {
                 region.heard(local(me), from, message);
             }
@@ -113,12 +113,12 @@
 
         @Override
         public MemberStatus status(int front) {
-            return heard().contains(front) ? MemberStatus.ALIVE : MemberStatus.DEAD;
+            return runningMembers().contains(front) ? MemberStatus.ALIVE : MemberStatus.DEAD;
         }
 
         @Override
         public PartitionVerdict verdict() {
-            return heard().isEmpty() ? PartitionVerdict.ALONE : PartitionVerdict.WHOLE;
+            return runningMembers().isEmpty() ? PartitionVerdict.ISOLATED : PartitionVerdict.COMPLETE;
         }
 
         @Override
@@ -127,7 +127,7 @@
         }
 
         @Override
-        public List<Integer> heard() {
+        public List<Integer> runningMembers() {
             return IntStream.range(0, FRONTS)
                     .filter(i -> i != me && net.reaches(i, me) && fronts.get(i).dead == 0)
                     .boxed()
@@ -135,22 +135,22 @@
         }
 
         @Override
-        public List<Integer> heardIn(int zone) {
-            return heard().stream().filter(i -> i / 2 == zone).toList();
+        public List<Integer> runningMembersIn(int zone) {
+            return runningMembers().stream().filter(i -> i / 2 == zone).toList();
         }
 
         @Override
-        public List<Integer> addresses(int zone) {
+        public List<Integer> servingAddresses(int zone) {
             return List.of();
         }
 
         @Override
-        public double sharers(long now) {
+        public double quotaDivisor(long now) {
             return FRONTS;
         }
 
         @Override
-        public double sharersIn(long now, int zone) {
+        public double quotaDivisorIn(long now, int zone) {
             return 2;
         }
 
--- a/src/test/java/magpiewheel/routing/WarmingFleetTest.java
+++ b/src/test/java/magpiewheel/routing/WarmingFleetTest.java
@@ -111,9 +111,9 @@
                 settings.topology().membershipConfig(0, 400_000, now / WarmingFleet.MS, false),
                 null,
                 false);
-        assertEquals(8, rules.membership().sharers(now));
-        assertEquals(8, rules.membership().sharersIn(now, 0));
-        assertEquals(2, rules.membership().sharers(now + 6 * WarmingFleet.SECOND));
+        assertEquals(8, rules.membership().quotaDivisor(now));
+        assertEquals(8, rules.membership().quotaDivisorIn(now, 0));
+        assertEquals(2, rules.membership().quotaDivisor(now + 6 * WarmingFleet.SECOND));
     }
 
     /** Those that end first are the short ones: a limit kept with their mean would be passed many times over. */
--- a/src/test/java/magpiewheel/staleness/FixedView.java
+++ b/src/test/java/magpiewheel/staleness/FixedView.java
@@ -18,7 +18,7 @@
 
     @Override
     public PartitionVerdict verdict() {
-        return PartitionVerdict.WHOLE;
+        return PartitionVerdict.COMPLETE;
     }
 
     @Override
@@ -27,27 +27,27 @@
     }
 
     @Override
-    public List<Integer> heard() {
+    public List<Integer> runningMembers() {
         return peers;
     }
 
     @Override
-    public List<Integer> heardIn(int zone) {
+    public List<Integer> runningMembersIn(int zone) {
         return peers;
     }
 
     @Override
-    public List<Integer> addresses(int zone) {
+    public List<Integer> servingAddresses(int zone) {
         return List.of();
     }
 
     @Override
-    public double sharers(long now) {
+    public double quotaDivisor(long now) {
         return 1 + peers.size();
     }
 
     @Override
-    public double sharersIn(long now, int zone) {
+    public double quotaDivisorIn(long now, int zone) {
         return 1 + peers.size();
     }
 
--- a/src/test/java/magpiewheel/staleness/StalenessWorld.java
+++ b/src/test/java/magpiewheel/staleness/StalenessWorld.java
@@ -651,7 +651,7 @@
 
         @Override
         public PartitionVerdict verdict() {
-            return PartitionVerdict.WHOLE;
+            return PartitionVerdict.COMPLETE;
         }
 
         @Override
@@ -660,7 +660,7 @@
         }
 
         @Override
-        public List<Integer> heard() {
+        public List<Integer> runningMembers() {
             List<Integer> heard = new ArrayList<>();
             for (int i = 0; i < FRONTS; i++) {
                 if (i != me && fronts[i] != null && fronts[i].alive && !cut[i][me]) {
@@ -671,22 +671,22 @@
         }
 
         @Override
-        public List<Integer> heardIn(int zone) {
-            return heard();
+        public List<Integer> runningMembersIn(int zone) {
+            return runningMembers();
         }
 
         @Override
-        public List<Integer> addresses(int zone) {
+        public List<Integer> servingAddresses(int zone) {
             return List.of();
         }
 
         @Override
-        public double sharers(long time) {
+        public double quotaDivisor(long time) {
             return FRONTS;
         }
 
         @Override
-        public double sharersIn(long time, int zone) {
+        public double quotaDivisorIn(long time, int zone) {
             return FRONTS;
         }
 
