--- a/src/main/java/magpiewheel/config/Settings.java
+++ b/src/main/java/magpiewheel/config/Settings.java
@@ -143,7 +143,7 @@
                 extra.number("parent_starts_at", 0),
                 extra.micros("parent_cold_us"),
                 extra.number("upper_fall_multiple", 0),
-                cache.tipAfterUs());
+                cache.overloadWindowUs());
         checkUnused(at, extra);
         return new SafetyLimits(drainNoticeUs, purgeNoticeUs, purgeCompletionUs, cache, parent);
     }
--- a/src/main/java/magpiewheel/region/Election.java
+++ b/src/main/java/magpiewheel/region/Election.java
@@ -1,6 +1,5 @@
 package magpiewheel.region;
 
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -17,85 +16,91 @@
  * front that it let use the old leader has voted for the new one, or can't use it any more.
  */
 final class Election {
-    private static final int FRONT_BITS = 16;
-    private static final long FRONT_MASK = (1L << FRONT_BITS) - 1;
+    private static final int ROUTER_BITS = 16;
+    private static final long ROUTER_MASK = (1L << ROUTER_BITS) - 1;
     /** A voter whose proposer asked within this votes for no other proposer. */
-    private static final long LOYAL_US = 2 * Lease.RENEW_US;
+    private static final long LOYALTY_US = 2 * Lease.RENEWAL_US;
     /** Silence of the proposer after which the first in line proposes; each one behind it waits a renewal more. */
-    private static final long TAKE_OVER_US = 2 * Lease.RENEW_US + 10_000;
+    private static final long TAKEOVER_US = 2 * Lease.RENEWAL_US + 10_000;
     /** Asks in a row without a majority after which a proposer lets others try. */
-    private static final int TRIES = 9;
+    private static final int MAX_ATTEMPTS = 9;
     /** A leader that is elected again after less than this goes on where it was. */
-    private static final long BREAK_US = 5_000_000;
+    private static final long INTERRUPTION_US = 5_000_000;
     /** Clocks that are farther ahead than a day say nothing of a term. */
-    private static final long ABSURD_MS = 86_400_000;
+    private static final long MAX_CLOCK_LEAD_MS = 86_400_000;
 
     /** What the front wants of its region when it proposes, and tells when it votes. */
-    interface Mind {
+    interface Delegate {
         /** The parent that should lead, given who does or was promised to (0: nobody); 0 for none. */
-        long choose(long now, long current);
+        long chooseLeader(long now, long current);
 
         /** Where the objects go under that leader. */
-        RegionMessage.Placing placing(long now, long leader);
+        RegionMessage.Placement placement(long now, long leader);
 
         /** Fills in what this front measured. */
-        RegionMessage.Vote vote(RegionMessage.Head head, boolean yes, long clock, long echo, long holdsTo);
+        RegionMessage.Vote createVote(RegionMessage.Header head, boolean yes, long clock, long echo, long holdsTo);
     }
 
-    private record Promise(long leader, int proposer, long until) {}
-
-    private record Grant(long leader, long until) {}
-
-    private final int me;
+    /**
+     * Who takes part in an election.
+     *
+     * @param routerId this router
+     * @param startedMs the Unix millisecond at which its process started
+     * @param region the key of the region
+     * @param routers how many routers the settings name in it
+     */
+    record Voters(int routerId, long startedMs, int region, int routers) {}
+
+    private final int routerId;
     private final long startedMs;
     private final long startedAt;
-    private final long quietUntil;
+    private final long silentUntil;
     private final int region;
-    private final int most;
+    private final int routers;
     private final int quorum;
-    private final Mind mind;
-    private final RegionMessageSender out;
+    private final Delegate delegate;
+    private final RegionMessageSender messageSender;
     private final Map<Integer, Long> incarnations = new HashMap<>();
-    private long seenTerm;
+    private long highestTerm;
     // As a voter.
     private long votedTerm;
     private long votedLeader;
     private long votedSince;
-    private final List<Promise> promises = new ArrayList<>();
-    private long heardAt;
-    private long ledAt = Long.MIN_VALUE / 2;
-    private int ledBy = -1;
+    private final PromiseLedger promises = new PromiseLedger();
+    private long proposerHeardAt;
+    private long leaseHeardAt = Long.MIN_VALUE / 2;
+    private int currentProposer = -1;
     private Lease lease;
     // As a proposer.
-    private boolean proposes;
+    private boolean isProposer;
     private long term;
     private long leader;
     private long termSince;
-    private boolean holds;
-    private long ledSince;
-    private int tries;
-    private long askAt;
-    private long lookAt;
+    private boolean holdsLease;
+    private long leadingSince;
+    private int attempts;
+    private long nextRequestAt;
+    private long nextAttemptAt;
     private final Map<Integer, Long> votes = new HashMap<>();
-    private final Set<Integer> refused = new HashSet<>();
-    private final Map<Integer, Long> clocks = new HashMap<>();
-    private final Map<Integer, Grant> grants = new HashMap<>();
+    private final Set<Integer> rejections = new HashSet<>();
+    private final Map<Integer, Long> voterClocks = new HashMap<>();
+    private final LeaseGrants grants = new LeaseGrants();
     private Collection<Integer> others = List.of();
 
-    /** {@code fronts} is how many the settings name in the region; {@code floor} a term above which to begin. */
-    Election(long now, int me, long startedMs, int region, int fronts, long floor, Mind mind, RegionMessageSender out) {
-        this.me = me;
-        this.startedMs = startedMs;
+    /** An election in which only this router is known; {@code highestTerm} is the highest term of the one before. */
+    Election(long now, Voters voters, long highestTerm, Delegate delegate, RegionMessageSender messageSender) {
+        this.routerId = voters.routerId();
+        this.startedMs = voters.startedMs();
         this.startedAt = now;
-        this.quietUntil = now + Lease.QUIET_US;
-        this.region = region;
-        this.most = fronts;
-        this.quorum = fronts / 2 + 1;
-        this.seenTerm = Math.max(floor, startedMs << FRONT_BITS);
-        // The first in line asks when it may, the others after it.
-        this.heardAt = quietUntil - TAKE_OVER_US;
-        this.mind = mind;
-        this.out = out;
+        this.silentUntil = now + Lease.STARTUP_SILENCE_US;
+        this.region = voters.region();
+        this.routers = voters.routers();
+        this.quorum = routers / 2 + 1;
+        this.highestTerm = Math.max(highestTerm, startedMs << ROUTER_BITS);
+        // The first in line proposes as soon as it may, the others after it.
+        this.proposerHeardAt = silentUntil - TAKEOVER_US;
+        this.delegate = delegate;
+        this.messageSender = messageSender;
     }
 
     // ---------------------------------------------------------------- what others ask
@@ -106,47 +111,44 @@
     }
 
     /** Whether this front holds the lease for the region. */
-    boolean holds(long now) {
-        return proposes && holds && lease(now) != null;
+    boolean holdsLease(long now) {
+        return isProposer && holdsLease && lease(now) != null;
     }
 
     /** The highest term heard of. */
-    long seenTerm() {
-        return seenTerm;
+    long highestTerm() {
+        return highestTerm;
     }
 
     /** Whether a front proposes that lets this one know whom: else the highest word is its own. */
     int proposer() {
-        return proposes ? me : ledBy;
+        return isProposer ? routerId : currentProposer;
     }
 
     /** Whether a message comes from the process that a front runs now: else it was sent before a restart. */
-    private boolean current(int sender, RegionMessage.Head head) {
+    private boolean isCurrentProcess(int sender, RegionMessage.Header head) {
         return incarnations.merge(sender, head.startedMs(), Math::max) == head.startedMs();
     }
 
     // ---------------------------------------------------------------- voting
 
     /** Whether this front votes for a leader; if it does it is bound. */
-    private boolean votes(long now, int proposer, long asked, long wanted) {
-        if (now < quietUntil || asked < votedTerm || asked == votedTerm && wanted != votedLeader) {
+    private boolean grantsVote(long now, int proposer, long asked, long wanted) {
+        if (now < silentUntil || asked < votedTerm || asked == votedTerm && wanted != votedLeader) {
             return false;
         }
         if (asked > votedTerm) {
-            if (ledBy >= 0 && ledBy != proposer && now - ledAt < LOYAL_US) {
+            if (currentProposer >= 0 && currentProposer != proposer && now - leaseHeardAt < LOYALTY_US) {
                 return false;
             }
-            for (Promise promise : promises) {
-                if (now < promise.until() && promise.leader() != wanted && promise.proposer() != proposer) {
-                    return false;
-                }
+            if (promises.forbids(now, wanted, proposer)) {
+                return false;
             }
             votedTerm = asked;
             votedLeader = wanted;
             votedSince = now;
         }
-        promises.removeIf(p -> now >= p.until() || p.proposer() == proposer && p.leader() == wanted);
-        promises.add(new Promise(wanted, proposer, now + Lease.PROMISE_US));
+        promises.promise(now, wanted, proposer);
         if (lease != null && lease.leader() != wanted) {
             lease = null;
         }
@@ -154,48 +156,51 @@
     }
 
     /** A front asks for a vote. */
-    void asked(long now, int sender, RegionMessage.Ask ask) {
-        long asked = ask.head().term();
-        if (ask.head().region() != region
-                || (asked & FRONT_MASK) != sender
-                || !current(sender, ask.head())
-                || (asked >>> FRONT_BITS) > startedMs + ABSURD_MS + (now - startedAt) / 1_000) {
+    void requestReceived(long now, int sender, RegionMessage.LeaseRequest ask) {
+        long asked = ask.header().term();
+        if (ask.header().region() != region
+                || (asked & ROUTER_MASK) != sender
+                || !isCurrentProcess(sender, ask.header())
+                || (asked >>> ROUTER_BITS) > startedMs + MAX_CLOCK_LEAD_MS + (now - startedAt) / 1_000) {
             return;
         }
-        seenTerm = Math.max(seenTerm, asked);
-        if (now < quietUntil) {
-            heardAt = Math.max(heardAt, now);
+        highestTerm = Math.max(highestTerm, asked);
+        if (now < silentUntil) {
+            proposerHeardAt = Math.max(proposerHeardAt, now);
             return;
         }
         boolean fresh = asked > votedTerm;
-        boolean yes = votes(now, sender, asked, ask.leader());
+        boolean yes = grantsVote(now, sender, asked, ask.leader());
         if (yes) {
-            if (proposes) {
+            if (isProposer) {
                 stepDown(now);
             }
-            ledBy = sender;
-            if (fresh || ask.leftUs() > 0) {
-                heardAt = now;
+            currentProposer = sender;
+            if (fresh || ask.remainingUs() > 0) {
+                proposerHeardAt = now;
             }
-            if (ask.leftUs() > 0) {
-                ledAt = now;
-                follow(now, ask);
+            if (ask.remainingUs() > 0) {
+                leaseHeardAt = now;
+                followLeader(now, ask);
             }
         }
-        RegionMessage.Head head = new RegionMessage.Head(region, asked, startedMs);
-        out.send(sender, RegionMessageCodec.encode(mind.vote(head, yes, now, ask.clock(), votedTerm)));
+        RegionMessage.Header head = new RegionMessage.Header(region, asked, startedMs);
+        messageSender.send(
+                sender, RegionMessageCodec.encode(delegate.createVote(head, yes, now, ask.sentAt(), votedTerm)));
     }
 
     /** What is left of the holder's lease counts from this front's vote that it answers: that was before. */
-    private void follow(long now, RegionMessage.Ask ask) {
-        if (ask.echo() < Math.max(startedAt, votedSince) || ask.echo() > now) {
+    private void followLeader(long now, RegionMessage.LeaseRequest ask) {
+        if (ask.echoedVoteAt() < Math.max(startedAt, votedSince) || ask.echoedVoteAt() > now) {
             return;
         }
-        long until = ask.echo() + (long) (Math.min(ask.leftUs(), Lease.HOLD_US) * Lease.RATES) - 1;
+        long until = ask.echoedVoteAt()
+                + (long) (Math.min(ask.remainingUs(), Lease.VALIDITY_US) * Lease.CLOCK_RATE_RATIO)
+                - 1;
         if (lease != null && lease.term() == votedTerm && lease.untilUs() > until) {
             return;
         }
-        lease = new Lease(votedTerm, votedLeader, until, now - Math.max(0, ask.ageUs()), ask.placing());
+        lease = new Lease(votedTerm, votedLeader, until, now - Math.max(0, ask.leadingForUs()), ask.placement());
     }
 
     // ---------------------------------------------------------------- proposing
@@ -203,207 +208,190 @@
     /** Does what is due; {@code heard} are the other fronts of the region that are heard, by number. */
     void tick(long now, Collection<Integer> heard, boolean alone) {
         others = heard;
-        if (now < quietUntil) {
+        if (now < silentUntil) {
             return;
         }
-        long current = lease(now) != null
-                ? lease.leader()
-                : promises.stream()
-                        .filter(p -> now < p.until())
-                        .max(Comparator.comparingLong(Promise::until))
-                        .map(Promise::leader)
-                        .orElse(0L);
-        if (!proposes) {
-            if (now < takeOverAt()) {
+        long current = lease(now) != null ? lease.leader() : promises.promisedLeader(now);
+        if (!isProposer) {
+            if (now < takeoverAt()) {
                 return;
             }
-            lookAt = now + Lease.RENEW_US;
-            long wanted = alone ? 0 : mind.choose(now, current);
+            nextAttemptAt = now + Lease.RENEWAL_US;
+            long wanted = alone ? 0 : delegate.chooseLeader(now, current);
             if (wanted != 0) {
-                begin(now, wanted);
+                propose(now, wanted);
             }
             return;
         }
-        settle(now);
-        long wanted = mind.choose(now, leader);
+        acquireLease(now);
+        long wanted = delegate.chooseLeader(now, leader);
         if (wanted == 0) {
             stepDown(now);
         } else if (wanted != leader) {
-            begin(now, wanted);
-        } else if (now >= askAt) {
-            if (!holds && ++tries > TRIES) {
+            propose(now, wanted);
+        } else if (now >= nextRequestAt) {
+            if (!holdsLease && ++attempts > MAX_ATTEMPTS) {
                 stepDown(now);
             } else {
-                ask(now);
+                requestVotes(now);
             }
         }
     }
 
-    private long takeOverAt() {
-        long before = others.stream().filter(front -> front < me).count();
-        return heardAt + TAKE_OVER_US + before * Lease.RENEW_US;
+    private long takeoverAt() {
+        long before = others.stream().filter(front -> front < routerId).count();
+        return proposerHeardAt + TAKEOVER_US + before * Lease.RENEWAL_US;
     }
 
     /** When {@link #tick} wants to be called. */
     long due(long now) {
-        if (now < quietUntil) {
-            return quietUntil;
+        if (now < silentUntil) {
+            return silentUntil;
         }
-        if (!proposes) {
+        if (!isProposer) {
             // Who can propose nobody, alone or without a fit parent, looks again after a while and not at once.
-            return Math.max(takeOverAt(), lookAt);
+            return Math.max(takeoverAt(), nextAttemptAt);
         }
-        long blocked = blockedUntil(now);
-        return blocked > now ? Math.min(askAt, blocked) : askAt;
+        long blocked = grants.othersUsedUntil(now, leader);
+        return blocked > now ? Math.min(nextRequestAt, blocked) : nextRequestAt;
     }
 
-    private void begin(long now, long wanted) {
-        long next = ((Math.max(seenTerm, votedTerm) >>> FRONT_BITS) + 1) << FRONT_BITS | me;
-        if (ledBy == me || now - ledAt >= LOYAL_US) {
-            ledBy = me;
+    private void propose(long now, long wanted) {
+        long next = ((Math.max(highestTerm, votedTerm) >>> ROUTER_BITS) + 1) << ROUTER_BITS | routerId;
+        if (currentProposer == routerId || now - leaseHeardAt >= LOYALTY_US) {
+            currentProposer = routerId;
         }
-        if (!votes(now, me, next, wanted)) {
+        if (!grantsVote(now, routerId, next, wanted)) {
             // What this front promised to another proposer still stands.
             stepDown(now);
             return;
         }
-        seenTerm = next;
-        proposes = true;
-        holds = false;
+        highestTerm = next;
+        isProposer = true;
+        holdsLease = false;
         term = next;
         leader = wanted;
-        ledSince = ledSince(now);
+        leadingSince = leadingSince(now);
         termSince = now;
-        tries = 0;
+        attempts = 0;
         votes.clear();
-        refused.clear();
-        clocks.clear();
-        ask(now);
+        rejections.clear();
+        voterClocks.clear();
+        requestVotes(now);
     }
 
     /** Since when the parent leads that this front proposes: a short while without agreement is no break. */
-    private long ledSince(long now) {
-        return lease != null && lease.leader() == leader && now - lease.untilUs() < BREAK_US ? lease.ledSinceUs() : now;
+    private long leadingSince(long now) {
+        return lease != null && lease.leader() == leader && now - lease.untilUs() < INTERRUPTION_US
+                ? lease.leadingSinceUs()
+                : now;
     }
 
     private void stepDown(long now) {
-        proposes = false;
-        holds = false;
-        heardAt = now;
+        isProposer = false;
+        holdsLease = false;
+        proposerHeardAt = now;
     }
 
-    private void ask(long now) {
-        askAt = now + Lease.RENEW_US;
-        if (votes(now, me, term, leader)) {
-            votes.put(me, now);
+    private void requestVotes(long now) {
+        nextRequestAt = now + Lease.RENEWAL_US;
+        if (grantsVote(now, routerId, term, leader)) {
+            votes.put(routerId, now);
         }
-        settle(now);
-        boolean valid = holds(now);
+        acquireLease(now);
+        boolean valid = holdsLease(now);
         for (int front : others) {
-            askOne(now, front, valid);
+            requestVote(now, front, valid);
         }
     }
 
-    private void askOne(long now, int front, boolean valid) {
-        long echo = valid ? clocks.getOrDefault(front, 0L) : 0;
+    private void requestVote(long now, int front, boolean valid) {
+        long echo = valid ? voterClocks.getOrDefault(front, 0L) : 0;
         long left = valid ? lease.untilUs() - now : 0;
         if (echo != 0) {
-            grants.put(front, new Grant(leader, lease.untilUs()));
+            grants.grant(front, leader, lease.untilUs());
         }
-        out.send(
+        messageSender.send(
                 front,
-                RegionMessageCodec.encode(new RegionMessage.Ask(
-                        new RegionMessage.Head(region, term, startedMs),
+                RegionMessageCodec.encode(new RegionMessage.LeaseRequest(
+                        new RegionMessage.Header(region, term, startedMs),
                         leader,
                         now,
                         echo,
                         left,
-                        Math.max(0, now - ledSince),
-                        mind.placing(now, leader))));
+                        Math.max(0, now - leadingSince),
+                        delegate.placement(now, leader))));
     }
 
     /** A front's word on an ask; false if it is refused: another term, before a restart, of no front of the region. */
-    boolean voted(long now, int sender, RegionMessage.Vote vote, Set<Integer> branches) {
-        if (vote.head().region() != region || !branches.contains(vote.branch()) || !current(sender, vote.head())) {
+    boolean voteReceived(long now, int sender, RegionMessage.Vote vote, Set<Integer> branches) {
+        if (vote.header().region() != region
+                || !branches.contains(vote.zone())
+                || !isCurrentProcess(sender, vote.header())) {
             return false;
         }
-        if (!vote.yes() && vote.holdsTo() <= (startedMs + ABSURD_MS + (now - startedAt) / 1_000) << FRONT_BITS) {
-            seenTerm = Math.max(seenTerm, vote.holdsTo());
+        if (!vote.granted()
+                && vote.votedTerm() <= (startedMs + MAX_CLOCK_LEAD_MS + (now - startedAt) / 1_000) << ROUTER_BITS) {
+            highestTerm = Math.max(highestTerm, vote.votedTerm());
         }
-        if (!proposes || vote.head().term() != term) {
+        if (!isProposer || vote.header().term() != term) {
             return false;
         }
-        if (!vote.yes()) {
-            refused.add(sender);
-            boolean hopeless = !holds && refused.size() > most - quorum;
-            if (hopeless || vote.holdsTo() > term) {
+        if (!vote.granted()) {
+            rejections.add(sender);
+            boolean hopeless = !holdsLease && rejections.size() > routers - quorum;
+            if (hopeless || vote.votedTerm() > term) {
                 stepDown(now);
             }
             if (hopeless) {
                 // Two that each promised to themselves would refuse each other for good: let the promises run out.
-                heardAt = now + Lease.PROMISE_US;
+                proposerHeardAt = now + Lease.PROMISE_US;
             }
             return true;
         }
-        if (vote.echo() < termSince || vote.echo() > now) {
+        if (vote.requestSentAt() < termSince || vote.requestSentAt() > now) {
             return false;
         }
-        votes.merge(sender, vote.echo(), Math::max);
-        boolean first = clocks.merge(sender, vote.clock(), Math::max) == vote.clock() && grants.get(sender) == null;
+        votes.merge(sender, vote.requestSentAt(), Math::max);
+        boolean first =
+                voterClocks.merge(sender, vote.votedAt(), Math::max) == vote.votedAt() && !grants.contains(sender);
         // Its vote for this leader says that it uses no other.
-        grants.computeIfPresent(sender, (front, grant) -> grant.leader() == leader ? grant : null);
-        boolean held = holds(now);
-        settle(now);
-        if (!held && holds(now)) {
-            ask(now);
+        grants.votedFor(sender, leader);
+        boolean held = holdsLease(now);
+        acquireLease(now);
+        if (!held && holdsLease(now)) {
+            requestVotes(now);
         } else if (held && first) {
-            askOne(now, sender, true);
+            requestVote(now, sender, true);
         }
         return true;
     }
 
-    /** Until when somebody may still use another leader that this front let it use. */
-    private long blockedUntil(long now) {
-        long until = 0;
-        for (Grant grant : grants.values()) {
-            if (grant.leader() != leader && now < grant.until()) {
-                until = Math.max(until, grant.until());
-            }
-        }
-        return until;
-    }
-
     /** Takes up the lease if a majority's votes carry it. */
-    private void settle(long now) {
-        if (votes.size() < quorum || blockedUntil(now) > now) {
-            holds &= lease(now) != null;
+    private void acquireLease(long now) {
+        if (votes.size() < quorum || grants.othersUsedUntil(now, leader) > now) {
+            holdsLease &= lease(now) != null;
             return;
         }
         List<Long> asks =
                 votes.values().stream().sorted(Comparator.reverseOrder()).toList();
-        long until = asks.get(quorum - 1) + Lease.HOLD_US;
+        long until = asks.get(quorum - 1) + Lease.VALIDITY_US;
         // An own vote stands in the majority only while it is this term's.
         if (now >= until || votedTerm != term) {
-            holds &= lease(now) != null;
+            holdsLease &= lease(now) != null;
             return;
         }
-        if (!holds) {
-            holds = true;
-            ledSince = ledSince(now);
+        if (!holdsLease) {
+            holdsLease = true;
+            leadingSince = leadingSince(now);
         }
-        tries = 0;
-        ledAt = now;
-        lease = new Lease(term, leader, until, ledSince, mind.placing(now, leader));
+        attempts = 0;
+        leaseHeardAt = now;
+        lease = new Lease(term, leader, until, leadingSince, delegate.placement(now, leader));
     }
 
-    /** Fronts that this one lets use the leader now, for figures. */
-    Set<Integer> granted(long now) {
-        Set<Integer> all = new HashSet<>();
-        grants.forEach((front, grant) -> {
-            if (now < grant.until()) {
-                all.add(front);
-            }
-        });
-        return all;
+    /** The routers that this one lets use a leader now. */
+    Set<Integer> grantedRouters(long now) {
+        return grants.routers(now);
     }
 }
--- a/src/main/java/magpiewheel/region/FillAdmission.java
+++ b/src/main/java/magpiewheel/region/FillAdmission.java
@@ -12,66 +12,66 @@
 final class FillAdmission {
     static final long WINDOW_US = 200_000;
     /** Wishes of objects are remembered for at most so many of them. */
-    private static final int MOST_OBJECTS = 8_192;
+    private static final int MAX_OBJECTS = 8_192;
     /** Wishes fade by half in so many windows. */
     private static final int FADE_WINDOWS = 20;
     /** Work saved up for at most so long. */
     private static final double BURST_WINDOWS = 1;
 
-    private static final int MOST_WANTED = 64;
+    private static final int MAX_DEMAND = 64;
 
-    private final Map<Long, int[]> wanted = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<Long, int[]> demand = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, int[]> eldest) {
-            return size() > MOST_OBJECTS;
+            return size() > MAX_OBJECTS;
         }
     };
-    private final Map<Long, Long> onTheWay = new HashMap<>();
+    private final Map<Long, Long> inFlight = new HashMap<>();
     /** Work that came in this window, by how often its object was wanted. */
-    private double[] came = new double[MOST_WANTED + 1];
+    private double[] arrivedWork = new double[MAX_DEMAND + 1];
 
     private double tokens;
     private long refilledAt = Long.MIN_VALUE;
     private long windowAt;
     private int windows;
-    private int bar;
-    private long held;
+    private int demandThreshold;
+    private long rejected;
 
     /**
      * Whether a miss may go up; {@code perS} is the work a second that this front may let up. It is not asked to wait.
      */
-    boolean lets(long now, long object, double work, double perS) {
-        turn(now, perS);
-        int[] count = wanted.computeIfAbsent(object, o -> new int[1]);
-        count[0] = Math.min(MOST_WANTED, count[0] + 1);
-        if (onTheWay.containsKey(object)) {
+    boolean admits(long now, long object, double work, double perS) {
+        rotateWindow(now, perS);
+        int[] count = demand.computeIfAbsent(object, o -> new int[1]);
+        count[0] = Math.min(MAX_DEMAND, count[0] + 1);
+        if (inFlight.containsKey(object)) {
             return true;
         }
         // What is asked for again moves up: only its best place counts as work.
-        came[count[0]] += work;
+        arrivedWork[count[0]] += work;
         if (count[0] > 1) {
-            came[count[0] - 1] = Math.max(0, came[count[0] - 1] - work);
+            arrivedWork[count[0] - 1] = Math.max(0, arrivedWork[count[0] - 1] - work);
         }
-        if (count[0] < bar || tokens < work) {
-            held++;
+        if (count[0] < demandThreshold || tokens < work) {
+            rejected++;
             return false;
         }
         tokens -= work;
-        onTheWay.put(object, now);
+        inFlight.put(object, now);
         return true;
     }
 
     /** A fill has come, or failed: the object is no more on its way. */
-    void ended(long object, boolean filled) {
-        onTheWay.remove(object);
+    void fillEnded(long object, boolean filled) {
+        inFlight.remove(object);
         if (filled) {
-            wanted.remove(object);
+            demand.remove(object);
         }
     }
 
-    private void turn(long now, double perS) {
+    private void rotateWindow(long now, double perS) {
         if (refilledAt == Long.MIN_VALUE) {
             refilledAt = now;
             windowAt = now;
@@ -86,33 +86,33 @@
         double fits = perS * (now - windowAt) / 1e6;
         windowAt = now;
         // The lowest number of wishes down to which all that came would have fitted.
-        int lowest = MOST_WANTED;
-        double sum = came[MOST_WANTED];
-        while (lowest > 0 && sum + came[lowest - 1] <= fits) {
+        int lowest = MAX_DEMAND;
+        double sum = arrivedWork[MAX_DEMAND];
+        while (lowest > 0 && sum + arrivedWork[lowest - 1] <= fits) {
             lowest--;
-            sum += came[lowest];
+            sum += arrivedWork[lowest];
         }
-        bar = lowest;
-        came = new double[MOST_WANTED + 1];
-        onTheWay.values().removeIf(since -> now - since > 10_000_000);
+        demandThreshold = lowest;
+        arrivedWork = new double[MAX_DEMAND + 1];
+        inFlight.values().removeIf(since -> now - since > 10_000_000);
         if (++windows % FADE_WINDOWS == 0) {
-            wanted.values().removeIf(FillAdmission::fadesAway);
+            demand.values().removeIf(FillAdmission::halve);
         }
     }
 
     /** Halves a count; whether nothing is left of it. */
-    private static boolean fadesAway(int[] count) {
+    private static boolean halve(int[] count) {
         count[0] /= 2;
         return count[0] == 0;
     }
 
     /** How often an object must have been wanted now. */
-    int bar() {
-        return bar;
+    int demandThreshold() {
+        return demandThreshold;
     }
 
     /** Misses held back so far. */
-    long held() {
-        return held;
+    long rejected() {
+        return rejected;
     }
 }
--- /dev/null
+++ b/src/main/java/magpiewheel/region/FillRouter.java
@@ -0,0 +1,118 @@
+package magpiewheel.region;
+
+import magpiewheel.membership.PartitionVerdict;
+
+/** Whether a fill goes to the region's leader, and whether it may go at all now. */
+final class FillRouter {
+    /** The least part of misses that the origin is taken to see. */
+    private static final double MIN_MISS_RATIO = 0.1;
+
+    private static final double SECOND_US = 1e6;
+
+    private final RegionState state;
+    private final Handover handover;
+    private final FillAdmission admission = new FillAdmission();
+    private final long[] counts = new long[RouteReason.values().length];
+
+    FillRouter(RegionState state, Handover handover) {
+        this.state = state;
+        this.handover = handover;
+    }
+
+    /** The parent to fill an object from; null where the router is to choose for itself. */
+    Leader leaderFor(long now, int zone, long object, double work) {
+        Lease lease = state.lease(now);
+        boolean second = lease != null && LoadSpill.goesToSecond(lease.placement(), object);
+        Parent parent = lease == null
+                ? null
+                : state.parents.get(second ? lease.placement().second() : lease.leader());
+        RouteReason reason = standing(now, zone, lease, parent);
+        if (reason == RouteReason.LED) {
+            reason = reasonOf(now, object, work, lease, parent, second);
+        }
+        counts[reason.ordinal()]++;
+        return reason == RouteReason.LED || reason == RouteReason.SPILLED
+                ? new Leader(parent.id(), lease.term(), second)
+                : null;
+    }
+
+    private RouteReason reasonOf(long now, long object, double work, Lease lease, Parent parent, boolean second) {
+        if (!Handover.moved(now - lease.leadingSinceUs(), lease.leader(), object)) {
+            return RouteReason.NOT_MIGRATED;
+        }
+        if (!handover.hasBudget(now, parent, state.membership.quotaDivisor(now), work)) {
+            return RouteReason.NO_BUDGET;
+        }
+        return second ? RouteReason.SPILLED : RouteReason.LED;
+    }
+
+    /** How the region stands, whatever the object: {@link RouteReason#LED} or what prevents that. */
+    RouteReason standing(long now) {
+        Lease lease = state.lease(now);
+        return standing(now, state.config.zone(), lease, lease == null ? null : state.parents.get(lease.leader()));
+    }
+
+    private RouteReason standing(long now, int zone, Lease lease, Parent parent) {
+        if (state.region == null || !state.region.zones().contains(zone)) {
+            return RouteReason.NO_REGION;
+        }
+        if (state.membership.verdict() == PartitionVerdict.ISOLATED) {
+            return RouteReason.ISOLATED;
+        }
+        if (lease == null) {
+            return RouteReason.NO_LEASE;
+        }
+        if (parent == null || parent.draining()) {
+            return RouteReason.LEADER_REMOVED;
+        }
+        if (state.observationsOf(parent.id()).suspicions(now) > 0) {
+            return RouteReason.LEADER_SUSPECTED;
+        }
+        return RouteReason.LED;
+    }
+
+    /** Whether a parent that may be warming up has budget for more of this router's work. */
+    boolean hasBudget(long now, long parentId, double work) {
+        Parent parent = state.parents.get(parentId);
+        return parent != null && handover.hasBudget(now, parent, state.membership.quotaDivisor(now), work);
+    }
+
+    /**
+     * Whether a miss may be filled now, at the rate that the hub's parents and the origin carry. The origin sees what
+     * the leader lacked lately. A leader that warms up does not limit the rate alone: what it can't take is routed as
+     * without a region, while another parent is warm.
+     */
+    boolean admitsFill(long now, long object, double work) {
+        ParentObservations leader = state.observationsOfLeader(state.lease(now));
+        double missRatio = Math.max(MIN_MISS_RATIO, leader == null ? 1 : leader.missRatio(now));
+        double workPerS = state.config.originWorkPerS() / missRatio;
+        double budget = parentsBudget(now);
+        if (budget > 0) {
+            long windowUs = state.config.slowStart().overloadWindowUs();
+            workPerS = Math.min(workPerS, budget * SECOND_US / windowUs);
+        }
+        return admission.admits(now, object, work, workPerS / Math.max(1, state.membership.quotaDivisor(now)));
+    }
+
+    private double parentsBudget(long now) {
+        return state.parents.values().stream()
+                .filter(parent -> state.region != null && parent.hub() == state.region.hub() && !parent.draining())
+                .mapToDouble(parent -> handover.budget(now, parent))
+                .sum();
+    }
+
+    /** A fill ended; {@code filled} if the object came. */
+    void fillEnded(long object, boolean filled) {
+        admission.fillEnded(object, filled);
+    }
+
+    /** How many fills were rejected. */
+    long rejectedFills() {
+        return admission.rejected();
+    }
+
+    /** How often a reason decided where a fill goes. */
+    long count(RouteReason reason) {
+        return counts[reason.ordinal()];
+    }
+}
--- a/src/main/java/magpiewheel/region/Handover.java
+++ b/src/main/java/magpiewheel/region/Handover.java
@@ -12,29 +12,29 @@
  */
 final class Handover {
     /** The first step, as a part of all objects; each further one doubles it. */
-    static final double FIRST_STEP = 1 / 16.0;
+    static final double FIRST_SHARE = 1 / 16.0;
     /** How long a step lasts. */
     static final long STEP_US = 1_000_000;
     /** Of what a cold parent bears at most, this part is used. */
     static final double SAFETY = 0.7;
     /** A window is looked at in this many pieces. */
-    private static final int PIECES = 8;
+    private static final int BUCKETS = 8;
 
     private static final class Ledger {
         final Deque<double[]> pieces = new ArrayDeque<>();
         double sum;
     }
 
-    private final SlowStartProfile cold;
-    private final Map<Long, Ledger> sent = new HashMap<>();
+    private final SlowStartProfile slowStart;
+    private final Map<Long, Ledger> ledgers = new HashMap<>();
 
     Handover(SlowStartProfile cold) {
-        this.cold = cold;
+        this.slowStart = cold;
     }
 
     /** The part of all objects that has moved to a parent that has led for so long. */
     static double moved(long ledUs) {
-        return Math.min(1, FIRST_STEP * Math.pow(2, Math.floorDiv(Math.max(0, ledUs), STEP_US)));
+        return Math.min(1, FIRST_SHARE * Math.pow(2, Math.floorDiv(Math.max(0, ledUs), STEP_US)));
     }
 
     /** Whether an object has moved to the leader of a term. */
@@ -43,9 +43,9 @@
     }
 
     /** Work was sent to a parent. */
-    void sent(long now, long parent, double work) {
+    void workSent(long now, long parent, double work) {
         Ledger ledger = ledger(now, parent);
-        long piece = Math.max(1, cold.tipAfterUs() / PIECES);
+        long piece = Math.max(1, slowStart.overloadWindowUs() / BUCKETS);
         double[] last = ledger.pieces.peekLast();
         if (last == null || last[0] != Math.floorDiv(now, piece)) {
             last = new double[] {Math.floorDiv(now, piece), 0};
@@ -56,9 +56,9 @@
     }
 
     private Ledger ledger(long now, long parent) {
-        Ledger ledger = sent.computeIfAbsent(parent, id -> new Ledger());
-        long piece = Math.max(1, cold.tipAfterUs() / PIECES);
-        while (!ledger.pieces.isEmpty() && ledger.pieces.peekFirst()[0] < Math.floorDiv(now, piece) - PIECES) {
+        Ledger ledger = ledgers.computeIfAbsent(parent, id -> new Ledger());
+        long piece = Math.max(1, slowStart.overloadWindowUs() / BUCKETS);
+        while (!ledger.pieces.isEmpty() && ledger.pieces.peekFirst()[0] < Math.floorDiv(now, piece) - BUCKETS) {
             ledger.sum -= ledger.pieces.pollFirst()[1];
         }
         return ledger;
@@ -68,22 +68,22 @@
      * What all fronts together may send to a parent within the time in which it would fall; infinite once it is warm.
      */
     double budget(long now, Parent parent) {
-        long since = now - parent.startedUs() - cold.tipAfterUs();
-        if (parent.startedUs() <= 0 || since >= cold.warmUpUs()) {
+        long since = now - parent.startedUs() - slowStart.overloadWindowUs();
+        if (parent.startedUs() <= 0 || since >= slowStart.warmUpUs()) {
             return Double.POSITIVE_INFINITY;
         }
-        double present = cold.present(since);
-        return SAFETY * cold.multiple() * present * parent.capacity();
+        double present = slowStart.capacityShare(since);
+        return SAFETY * slowStart.overloadMultiple() * present * parent.transferCapacity();
     }
 
     /** Whether this front's part of a parent's budget has room for more work; {@code sharers} divide it. */
-    boolean room(long now, Parent parent, double sharers, double work) {
+    boolean hasBudget(long now, Parent parent, double sharers, double work) {
         double budget = budget(now, parent);
         return Double.isInfinite(budget) || ledger(now, parent.id()).sum + work <= budget / Math.max(1, sharers);
     }
 
     /** Parents that went are forgotten. */
-    void keepOnly(java.util.Set<Long> parents) {
-        sent.keySet().retainAll(parents);
+    void retain(java.util.Set<Long> parents) {
+        ledgers.keySet().retainAll(parents);
     }
 }
--- a/src/main/java/magpiewheel/region/ParentRanking.java
+++ b/src/main/java/magpiewheel/region/ParentRanking.java
@@ -12,27 +12,27 @@
  */
 final class ParentRanking {
     /** A front's word counts for so long. */
-    static final long OPINION_US = 3_000_000;
+    static final long REPORT_VALID_US = 3_000_000;
     /** A challenger's cost is at most this part of the leader's ... */
-    static final double BETTER = 0.7;
+    static final double MAX_COST_RATIO = 0.7;
     /** ... and less by so much ... */
-    static final double BETTER_BY_US = 15_000;
+    static final double MIN_GAIN_US = 15_000;
     /** ... for so long. */
-    static final long BETTER_FOR_US = 4_000_000;
+    static final long CHALLENGE_US = 4_000_000;
     /** A failed fill costs as much as this. */
-    private static final double FAILURE_US = 1_000_000;
+    private static final double FAILURE_COST_US = 1_000_000;
     /** A miss at the parent, against a hit. */
-    private static final double MISS_US = 60_000;
-    /** Less room on the link than this costs as {@link #FULL_US} in part. */
-    private static final double LITTLE_ROOM = 0.15;
+    private static final double MISS_COST_US = 60_000;
+    /** Less room on the link than this costs as {@link #FULL_LINK_COST_US} in part. */
+    private static final double LOW_FREE_CAPACITY = 0.15;
 
-    private static final double FULL_US = 400_000;
-    private static final double UNHEARD_US = 100_000;
+    private static final double FULL_LINK_COST_US = 400_000;
+    private static final double UNMEASURED_COST_US = 100_000;
 
-    private record Said(RegionMessage.Opinion opinion, long at) {}
+    private record Said(RegionMessage.ParentReport opinion, long at) {}
 
     private final int region;
-    private final Map<Long, Map<Integer, Said>> said = new HashMap<>();
+    private final Map<Long, Map<Integer, Said>> reports = new HashMap<>();
     private long challenger;
     private long challengedSince;
 
@@ -41,17 +41,17 @@
     }
 
     /** A front told what it measured. */
-    void told(long now, int front, RegionMessage.Opinion opinion) {
+    void reported(long now, int front, RegionMessage.ParentReport opinion) {
         if (opinion.samples() > 0 || opinion.silentUs() > 0) {
-            said.computeIfAbsent(opinion.parent(), id -> new HashMap<>()).put(front, new Said(opinion, now));
+            reports.computeIfAbsent(opinion.parent(), id -> new HashMap<>()).put(front, new Said(opinion, now));
         }
     }
 
     /** What a fill from a parent costs, as the middle one of the fronts has it; NaN where nobody says. */
     double cost(long now, long parent) {
         List<Double> costs = new ArrayList<>();
-        for (Said word : said.getOrDefault(parent, Map.of()).values()) {
-            if (now - word.at() < OPINION_US && word.opinion().samples() > 0) {
+        for (Said word : reports.getOrDefault(parent, Map.of()).values()) {
+            if (now - word.at() < REPORT_VALID_US && word.opinion().samples() > 0) {
                 costs.add(cost(word.opinion()));
             }
         }
@@ -60,19 +60,20 @@
         return count == 0 ? Double.NaN : (costs.get((count - 1) / 2) + costs.get(count / 2)) / 2;
     }
 
-    private static double cost(RegionMessage.Opinion opinion) {
-        double full = Math.max(0, LITTLE_ROOM - opinion.room()) / LITTLE_ROOM;
+    private static double cost(RegionMessage.ParentReport opinion) {
+        double full = Math.max(0, LOW_FREE_CAPACITY - opinion.freeCapacity()) / LOW_FREE_CAPACITY;
         return opinion.firstByteUs()
-                + FAILURE_US * opinion.failures()
-                + MISS_US * (1 - opinion.warmth())
-                + FULL_US * full;
+                + FAILURE_COST_US * opinion.failureRatio()
+                + MISS_COST_US * (1 - opinion.hitRatio())
+                + FULL_LINK_COST_US * full;
     }
 
     /** The free part of a parent's link, by the least of the fronts' words; all of it where nobody says. */
-    double room(long now, long parent) {
-        return said.getOrDefault(parent, Map.of()).values().stream()
-                .filter(word -> now - word.at() < OPINION_US && word.opinion().samples() > 0)
-                .mapToDouble(word -> word.opinion().room())
+    double freeCapacity(long now, long parent) {
+        return reports.getOrDefault(parent, Map.of()).values().stream()
+                .filter(word ->
+                        now - word.at() < REPORT_VALID_US && word.opinion().samples() > 0)
+                .mapToDouble(word -> word.opinion().freeCapacity())
                 .min()
                 .orElse(1);
     }
@@ -88,7 +89,7 @@
                 .filter(c -> !c.isNaN())
                 .mapToDouble(c -> c)
                 .average()
-                .orElse(UNHEARD_US);
+                .orElse(UNMEASURED_COST_US);
         costs.replaceAll((parent, cost) -> cost.isNaN() ? average : cost);
         List<Long> ranked = new ArrayList<>(fit);
         ranked.sort((one, two) -> {
@@ -119,7 +120,7 @@
             challenger = best;
             challengedSince = now;
         }
-        if (challenger != 0 && now - challengedSince >= BETTER_FOR_US) {
+        if (challenger != 0 && now - challengedSince >= CHALLENGE_US) {
             long elected = challenger;
             challenger = 0;
             return elected;
@@ -128,11 +129,11 @@
     }
 
     private static boolean better(double cost, double own) {
-        return cost < BETTER * own && cost < own - BETTER_BY_US;
+        return cost < MAX_COST_RATIO * own && cost < own - MIN_GAIN_US;
     }
 
     /** What was said of a parent before is no more true: it hangs, or it is another process. */
     void forget(long parent) {
-        said.remove(parent);
+        reports.remove(parent);
     }
 }
--- a/src/main/java/magpiewheel/region/RegionAssignment.java
+++ b/src/main/java/magpiewheel/region/RegionAssignment.java
@@ -14,22 +14,22 @@
  */
 public final class RegionAssignment {
     /** Share of a parent's link that a region may take by measure: the rest is for what the measure missed. */
-    public static final double FILL = 0.8;
+    public static final double MAX_UTILIZATION = 0.8;
     /** A place is given up when what is left would be filled to this part of their room at most. */
-    private static final double SHRINK = 0.7;
+    private static final double SHRINK_UTILIZATION = 0.7;
 
     private final List<Region> all;
     private final int[] regionOf;
-    private final int[] places;
+    private final int[] slots;
 
     private RegionAssignment(List<Region> all, int[] places) {
         int branches = places.length;
-        this.places = places;
+        this.slots = places;
         this.all = List.copyOf(all);
         this.regionOf = new int[branches];
         Arrays.fill(regionOf, -1);
         for (int i = 0; i < all.size(); i++) {
-            for (int branch : all.get(i).branches()) {
+            for (int branch : all.get(i).zones()) {
                 regionOf[branch] = i;
             }
         }
@@ -38,13 +38,13 @@
     /** The regions of a shape. */
     public static RegionAssignment of(RegionTopology shape) {
         List<Region> all = new ArrayList<>();
-        int[] hubs = shape.hubByBranch();
+        int[] hubs = shape.hubByZone();
         int[] places = new int[hubs.length];
         Arrays.fill(places, -1);
         for (int hub : IntStream.of(hubs).distinct().sorted().toArray()) {
             double[] carries = shape.parents().stream()
                     .filter(p -> p.hub() == hub)
-                    .mapToDouble(Parent::carries)
+                    .mapToDouble(Parent::linkCapacity)
                     .map(c -> -c)
                     .sorted()
                     .map(c -> -c)
@@ -67,12 +67,12 @@
         double total = branches.stream().mapToDouble(b -> loads[b]).sum();
         int had = Math.min(
                 carries.length,
-                1 + branches.stream().mapToInt(b -> shape.homes()[b]).max().orElse(-1));
-        boolean fewer = had > 1 && total <= SHRINK * FILL * carries[had - 2] * (had - 1);
+                1 + branches.stream().mapToInt(b -> shape.homeSlots()[b]).max().orElse(-1));
+        boolean fewer = had > 1 && total <= SHRINK_UTILIZATION * MAX_UTILIZATION * carries[had - 2] * (had - 1);
         int[] best = new int[0];
         long placed = -1;
         for (int count = fewer ? 1 : Math.max(1, had); count <= carries.length && placed < branches.size(); count++) {
-            int[] slots = assign(branches, shape, count, FILL * carries[count - 1]);
+            int[] slots = assign(branches, shape, count, MAX_UTILIZATION * carries[count - 1]);
             long fit = IntStream.of(slots).filter(s -> s >= 0).count();
             if (fit > placed) {
                 placed = fit;
@@ -131,7 +131,7 @@
             List<Integer> branches, RegionTopology shape, int slot, double room, double[] taken, int[] found) {
         double[] loads = shape.loads();
         List<Integer> home = IntStream.range(0, found.length)
-                .filter(i -> shape.homes()[branches.get(i)] == slot)
+                .filter(i -> shape.homeSlots()[branches.get(i)] == slot)
                 .boxed()
                 .sorted(Comparator.comparingDouble((Integer i) -> loads[branches.get(i)]))
                 .collect(Collectors.toList());
@@ -150,8 +150,8 @@
     }
 
     /** The place of a branch on its hub, its home from now on; -1 for none. */
-    int place(int branch) {
-        return places[branch];
+    int slot(int branch) {
+        return slots[branch];
     }
 
     /** All regions, by hub. */
@@ -168,14 +168,14 @@
      * How many branches changed company: each new region is matched with the old one that it shares most branches with,
      * one with one; branches that were in none, or are in none now, don't count.
      */
-    public static int moves(RegionAssignment before, RegionAssignment after) {
+    public static int migratedZones(RegionAssignment before, RegionAssignment after) {
         int stayed = 0;
         int both = 0;
         List<int[]> pairs = new ArrayList<>();
         for (int i = 0; i < before.all.size(); i++) {
             for (int j = 0; j < after.all.size(); j++) {
-                List<Integer> shared = new ArrayList<>(before.all.get(i).branches());
-                shared.retainAll(after.all.get(j).branches());
+                List<Integer> shared = new ArrayList<>(before.all.get(i).zones());
+                shared.retainAll(after.all.get(j).zones());
                 both += shared.size();
                 pairs.add(new int[] {shared.size(), i, j});
             }
--- a/src/main/java/magpiewheel/region/RegionConfig.java
+++ b/src/main/java/magpiewheel/region/RegionConfig.java
@@ -6,11 +6,11 @@
  * fetches' work a second from all fronts, and the Unix millisecond of this process's start.
  */
 public record RegionConfig(
-        int me,
+        int routerId,
         int zone,
-        int[] frontsByBranch,
-        int[] hubByBranch,
-        double[] loads,
-        SlowStartProfile cold,
-        double originPerS,
+        int[] routersByZone,
+        int[] hubByZone,
+        double[] assumedLoads,
+        SlowStartProfile slowStart,
+        double originWorkPerS,
         long startedMs) {}
--- a/src/main/java/magpiewheel/region/RegionDirectory.java
+++ b/src/main/java/magpiewheel/region/RegionDirectory.java
@@ -10,18 +10,18 @@
  * later version counts, so that fronts that heard the same know the same.
  */
 final class RegionDirectory {
-    /** A branch's load is told anew when it differs by this part for {@link #HELD_US}. */
-    static final double DIFFERS = 0.25;
+    /** A branch's load is told anew when it differs by this part for {@link #CHANGE_HOLDS_US}. */
+    static final double SIGNIFICANT_CHANGE = 0.25;
 
-    static final long HELD_US = 3_000_000;
+    static final long CHANGE_HOLDS_US = 3_000_000;
     /** A claim counts for so long after it was made. */
-    static final long CLAIM_US = 6_000_000;
+    static final long CLAIM_VALID_US = 6_000_000;
 
-    private record Claimed(RegionMessage.Claim claim, long at) {}
+    private record Claimed(RegionMessage.LeadershipClaim claim, long at) {}
 
     private final double[] loads;
     private final long[] versions;
-    private final int[] homes;
+    private final int[] homeSlots;
     private final Map<Integer, Claimed> claims = new HashMap<>();
     private long differsSince = Long.MAX_VALUE;
     private int nextLoad;
@@ -31,33 +31,33 @@
     RegionDirectory(double[] settings) {
         this.loads = settings.clone();
         this.versions = new long[settings.length];
-        this.homes = new int[settings.length];
-        java.util.Arrays.fill(homes, -1);
+        this.homeSlots = new int[settings.length];
+        java.util.Arrays.fill(homeSlots, -1);
     }
 
     double[] loads() {
         return loads.clone();
     }
 
-    int[] homes() {
-        return homes.clone();
+    int[] homeSlots() {
+        return homeSlots.clone();
     }
 
     /** A branch's place is told by its first front; true if that is news. */
-    boolean placed(int branch, int place) {
-        if (homes[branch] == place) {
+    boolean setHomeSlot(int branch, int place) {
+        if (homeSlots[branch] == place) {
             return false;
         }
-        homes[branch] = place;
+        homeSlots[branch] = place;
         versions[branch]++;
         return true;
     }
 
     /** The load of a branch was measured by the front that tells it; true if that is news. */
-    boolean measured(long now, int branch, double load) {
-        boolean differs = Math.abs(load - loads[branch]) > DIFFERS * Math.max(loads[branch], 1e-9);
+    boolean loadMeasured(long now, int branch, double load) {
+        boolean differs = Math.abs(load - loads[branch]) > SIGNIFICANT_CHANGE * Math.max(loads[branch], 1e-9);
         differsSince = differs ? Math.min(differsSince, now) : Long.MAX_VALUE;
-        if (!differs || now - differsSince < HELD_US) {
+        if (!differs || now - differsSince < CHANGE_HOLDS_US) {
             return false;
         }
         differsSince = Long.MAX_VALUE;
@@ -67,29 +67,29 @@
     }
 
     /** This front's region is led by a parent. */
-    void claim(long now, RegionMessage.Claim claim) {
+    void claim(long now, RegionMessage.LeadershipClaim claim) {
         claims.put(claim.region(), new Claimed(claim, now));
     }
 
     /** Takes in what another front says; true if a load is news. */
-    boolean heard(long now, RegionMessage.Words words) {
+    boolean merge(long now, RegionMessage.DirectoryUpdate words) {
         boolean news = false;
-        for (RegionMessage.Load load : words.loads()) {
-            int branch = load.branch();
+        for (RegionMessage.ZoneLoad load : words.loads()) {
+            int branch = load.zone();
             // Equal versions of two tellers: the greater load, then place, so that all come to the same.
             if (branch < loads.length
                     && (load.version() > versions[branch]
                             || load.version() == versions[branch]
                                     && load.version() > 0
                                     && (load.load() > loads[branch]
-                                            || load.load() == loads[branch] && load.home() > homes[branch]))) {
+                                            || load.load() == loads[branch] && load.homeSlot() > homeSlots[branch]))) {
                 versions[branch] = load.version();
-                news |= loads[branch] != load.load() || homes[branch] != load.home();
-                homes[branch] = load.home();
+                news |= loads[branch] != load.load() || homeSlots[branch] != load.homeSlot();
+                homeSlots[branch] = load.homeSlot();
                 loads[branch] = load.load();
             }
         }
-        for (RegionMessage.Claim claim : words.claims()) {
+        for (RegionMessage.LeadershipClaim claim : words.claims()) {
             Claimed old = claims.get(claim.region());
             long at = now - claim.agoUs();
             if (old == null
@@ -98,7 +98,7 @@
                 claims.put(claim.region(), new Claimed(claim, at));
             }
         }
-        claims.values().removeIf(claimed -> now - claimed.at() > CLAIM_US);
+        claims.values().removeIf(claimed -> now - claimed.at() > CLAIM_VALID_US);
         return news;
     }
 
@@ -106,33 +106,34 @@
      * What other regions have a parent lead, as far as is known; {@code before} counts only those that go before a
      * region.
      */
-    double claimed(long now, long parent, int region, boolean before) {
+    double claimedLoad(long now, long parent, int region, boolean before) {
         return claims.values().stream()
                 .filter(c -> c.claim().leader() == parent
-                        && now - c.at() <= CLAIM_US
+                        && now - c.at() <= CLAIM_VALID_US
                         && (before ? c.claim().region() < region : c.claim().region() != region))
                 .mapToDouble(c -> c.claim().load())
                 .sum();
     }
 
     /** The next words to tell, in turn. */
-    RegionMessage.Words words(long now, RegionMessage.Head head) {
-        List<RegionMessage.Load> told = new ArrayList<>();
-        for (int i = 0; i < loads.length && told.size() < RegionMessageCodec.MOST_LOADS; i++) {
+    RegionMessage.DirectoryUpdate nextUpdate(long now, RegionMessage.Header head) {
+        List<RegionMessage.ZoneLoad> told = new ArrayList<>();
+        for (int i = 0; i < loads.length && told.size() < RegionMessageCodec.MAX_LOADS; i++) {
             int branch = nextLoad++ % loads.length;
             if (versions[branch] > 0) {
-                told.add(new RegionMessage.Load(branch, versions[branch], loads[branch], homes[branch]));
+                told.add(new RegionMessage.ZoneLoad(branch, versions[branch], loads[branch], homeSlots[branch]));
             }
         }
-        List<Claimed> live =
-                claims.values().stream().filter(c -> now - c.at() <= CLAIM_US).toList();
-        List<RegionMessage.Claim> claimed = new ArrayList<>();
-        for (int i = 0; i < Math.min(live.size(), RegionMessageCodec.MOST_CLAIMS); i++) {
+        List<Claimed> live = claims.values().stream()
+                .filter(c -> now - c.at() <= CLAIM_VALID_US)
+                .toList();
+        List<RegionMessage.LeadershipClaim> claimed = new ArrayList<>();
+        for (int i = 0; i < Math.min(live.size(), RegionMessageCodec.MAX_CLAIMS); i++) {
             Claimed one = live.get(nextClaim++ % live.size());
-            RegionMessage.Claim claim = one.claim();
-            claimed.add(new RegionMessage.Claim(
+            RegionMessage.LeadershipClaim claim = one.claim();
+            claimed.add(new RegionMessage.LeadershipClaim(
                     claim.region(), claim.term(), claim.leader(), claim.load(), now - one.at()));
         }
-        return new RegionMessage.Words(head, told, claimed);
+        return new RegionMessage.DirectoryUpdate(head, told, claimed);
     }
 }
--- a/src/main/java/magpiewheel/region/RegionMessage.java
+++ b/src/main/java/magpiewheel/region/RegionMessage.java
@@ -5,21 +5,28 @@
 /** What fronts say to each other about regions. */
 sealed interface RegionMessage {
     /** What stands in each: whose region, in which term, and the start of the process that says it (Unix ms). */
-    record Head(int region, long term, long startedMs) {}
+    record Header(int region, long term, long startedMs) {}
 
-    Head head();
+    Header header();
 
     /**
      * A proposer asks for a leader's lease, first or again. {@code clock} is the asker's when it asked. If it holds the
      * lease, {@code leftUs} is what is left of it and {@code echo} the clock of the voter's last vote in this term: the
      * voter may use the leader for so long, counted from there. {@code ageUs} is how long the leader has led.
      */
-    record Ask(Head head, long leader, long clock, long echo, long leftUs, long ageUs, Placing placing)
+    record LeaseRequest(
+            Header header,
+            long leader,
+            long sentAt,
+            long echoedVoteAt,
+            long remainingUs,
+            long leadingForUs,
+            Placement placement)
             implements RegionMessage {}
 
     /** Which objects go to the second in rank: the hot ones named, and a slice of all others in 255ths. */
-    record Placing(long second, int slice, List<Long> hot) {
-        static final Placing NONE = new Placing(0, 0, List.of());
+    record Placement(long second, int slice, List<Long> hotObjects) {
+        static final Placement NONE = new Placement(0, 0, List.of());
     }
 
     /**
@@ -28,16 +35,16 @@
      * it was for, {@code hotSent} that object's part; then what it measured of the parents.
      */
     record Vote(
-            Head head,
-            boolean yes,
-            int branch,
-            long clock,
-            long echo,
-            long holdsTo,
-            double sent,
-            long hot,
-            double hotSent,
-            List<Opinion> opinions)
+            Header header,
+            boolean granted,
+            int zone,
+            long votedAt,
+            long requestSentAt,
+            long votedTerm,
+            double sentPerS,
+            long hotObject,
+            double hotSentPerS,
+            List<ParentReport> reports)
             implements RegionMessage {}
 
     /**
@@ -45,25 +52,26 @@
      * free, and of fills that it held already; {@code samples} behind it (at most 255); for how long it has been silent
      * while answers were overdue (0: none is); and how long ago it last answered, in steps of 20 ms up to 5 s.
      */
-    record Opinion(
+    record ParentReport(
             long parent,
             long firstByteUs,
-            double failures,
-            double room,
-            double warmth,
+            double failureRatio,
+            double freeCapacity,
+            double hitRatio,
             int samples,
             long silentUs,
-            long answeredUs) {}
+            long answeredAgoUs) {}
 
     /** The leader's answer is overdue here: so many of them, the first for so long. */
-    record Doubt(Head head, long leader, long silentUs, int overdue) implements RegionMessage {}
+    record Suspicion(Header header, long leader, long silentUs, int overdue) implements RegionMessage {}
 
     /** What is known of loads and of who leads elsewhere; the later version counts. */
-    record Words(Head head, List<Load> loads, List<Claim> claims) implements RegionMessage {}
+    record DirectoryUpdate(Header header, List<ZoneLoad> loads, List<LeadershipClaim> claims)
+            implements RegionMessage {}
 
     /** The measured load of a branch, and its place on its hub (-1: none). */
-    record Load(int branch, long version, double load, int home) {}
+    record ZoneLoad(int zone, long version, double load, int homeSlot) {}
 
     /** A parent leads a region with such a load; said so long ago at its source. */
-    record Claim(int region, long term, long leader, double load, long agoUs) {}
+    record LeadershipClaim(int region, long term, long leader, double load, long agoUs) {}
 }
--- a/src/main/java/magpiewheel/region/RegionMessageCodec.java
+++ b/src/main/java/magpiewheel/region/RegionMessageCodec.java
@@ -8,68 +8,73 @@
 
 /** Codes the messages: 256 bytes at most, anything else is none of ours. */
 final class RegionMessageCodec {
-    static final int MOST_BYTES = 256;
+    static final int MAX_MESSAGE_BYTES = 256;
     /** First byte: no kind of the membership's or the module's messages. */
     static final byte MARK = (byte) 0xe1;
     /** Parents that a vote tells of at most. */
-    static final int MOST_OPINIONS = 9;
+    static final int MAX_REPORTS = 9;
 
-    static final int MOST_HOT = 4;
-    static final int MOST_LOADS = 7;
-    static final int MOST_CLAIMS = 3;
+    static final int MAX_HOT_OBJECTS = 4;
+    static final int MAX_LOADS = 7;
+    static final int MAX_CLAIMS = 3;
     private static final int ASK = 1;
     private static final int VOTE = 2;
     private static final int DOUBT = 3;
     private static final int WORDS = 4;
-    private static final int MOST_BYTE = 255;
+    private static final int MAX_BYTE = 255;
     private static final long ANSWERED_STEP_US = 20_000;
 
     private RegionMessageCodec() {}
 
     static byte[] encode(RegionMessage message) {
-        ByteBuffer at = ByteBuffer.allocate(MOST_BYTES);
-        int kind = message instanceof RegionMessage.Ask
+        ByteBuffer at = ByteBuffer.allocate(MAX_MESSAGE_BYTES);
+        int kind = message instanceof RegionMessage.LeaseRequest
                 ? ASK
-                : message instanceof RegionMessage.Vote ? VOTE : message instanceof RegionMessage.Doubt ? DOUBT : WORDS;
+                : message instanceof RegionMessage.Vote
+                        ? VOTE
+                        : message instanceof RegionMessage.Suspicion ? DOUBT : WORDS;
         at.put(MARK).put((byte) kind);
-        at.putInt(message.head().region())
-                .putLong(message.head().term())
-                .putLong(message.head().startedMs());
-        if (message instanceof RegionMessage.Ask ask) {
-            at.putLong(ask.leader()).putLong(ask.clock()).putLong(ask.echo()).putInt(whole(ask.leftUs()));
-            at.putLong(ask.ageUs()).putLong(ask.placing().second()).put((byte)
-                    ask.placing().slice());
-            List<Long> hot = first(ask.placing().hot(), MOST_HOT);
+        at.putInt(message.header().region())
+                .putLong(message.header().term())
+                .putLong(message.header().startedMs());
+        if (message instanceof RegionMessage.LeaseRequest ask) {
+            at.putLong(ask.leader())
+                    .putLong(ask.sentAt())
+                    .putLong(ask.echoedVoteAt())
+                    .putInt(whole(ask.remainingUs()));
+            at.putLong(ask.leadingForUs()).putLong(ask.placement().second()).put((byte)
+                    ask.placement().slice());
+            List<Long> hot = first(ask.placement().hotObjects(), MAX_HOT_OBJECTS);
             at.put((byte) hot.size());
             hot.forEach(at::putLong);
         } else if (message instanceof RegionMessage.Vote vote) {
-            at.put((byte) (vote.yes() ? 1 : 0))
-                    .putShort((short) vote.branch())
-                    .putLong(vote.clock())
-                    .putLong(vote.echo());
-            at.putLong(vote.holdsTo())
-                    .putFloat((float) vote.sent())
-                    .putLong(vote.hot())
-                    .putFloat((float) vote.hotSent());
-            List<RegionMessage.Opinion> opinions = first(vote.opinions(), MOST_OPINIONS);
+            at.put((byte) (vote.granted() ? 1 : 0))
+                    .putShort((short) vote.zone())
+                    .putLong(vote.votedAt())
+                    .putLong(vote.requestSentAt());
+            at.putLong(vote.votedTerm())
+                    .putFloat((float) vote.sentPerS())
+                    .putLong(vote.hotObject())
+                    .putFloat((float) vote.hotSentPerS());
+            List<RegionMessage.ParentReport> opinions = first(vote.reports(), MAX_REPORTS);
             at.put((byte) opinions.size());
-            for (RegionMessage.Opinion opinion : opinions) {
+            for (RegionMessage.ParentReport opinion : opinions) {
                 at.putLong(opinion.parent())
                         .putInt(whole(opinion.firstByteUs()))
-                        .put(small(opinion.failures()));
-                at.put(small(opinion.room())).put(small(opinion.warmth()));
-                at.put((byte) Math.min(MOST_BYTE, opinion.samples())).putInt(whole(opinion.silentUs()));
-                at.put((byte) Math.min(MOST_BYTE, opinion.answeredUs() / ANSWERED_STEP_US));
+                        .put(small(opinion.failureRatio()));
+                at.put(small(opinion.freeCapacity())).put(small(opinion.hitRatio()));
+                at.put((byte) Math.min(MAX_BYTE, opinion.samples())).putInt(whole(opinion.silentUs()));
+                at.put((byte) Math.min(MAX_BYTE, opinion.answeredAgoUs() / ANSWERED_STEP_US));
             }
-        } else if (message instanceof RegionMessage.Doubt doubt) {
-            at.putLong(doubt.leader()).putInt(whole(doubt.silentUs())).put((byte) Math.min(MOST_BYTE, doubt.overdue()));
-        } else if (message instanceof RegionMessage.Words words) {
+        } else if (message instanceof RegionMessage.Suspicion doubt) {
+            at.putLong(doubt.leader()).putInt(whole(doubt.silentUs())).put((byte) Math.min(MAX_BYTE, doubt.overdue()));
+        } else if (message instanceof RegionMessage.DirectoryUpdate words) {
             at.put((byte) words.loads().size()).put((byte) words.claims().size());
-            for (RegionMessage.Load load : words.loads()) {
-                at.putShort((short) load.branch()).putLong(load.version()).putFloat((float) load.load());
-                at.put((byte) load.home());
+            for (RegionMessage.ZoneLoad load : words.loads()) {
+                at.putShort((short) load.zone()).putLong(load.version()).putFloat((float) load.load());
+                at.put((byte) load.homeSlot());
             }
-            for (RegionMessage.Claim claim : words.claims()) {
+            for (RegionMessage.LeadershipClaim claim : words.claims()) {
                 at.putInt(claim.region()).putLong(claim.term()).putLong(claim.leader());
                 at.putFloat((float) claim.load()).putInt(whole(claim.agoUs()));
             }
@@ -79,17 +84,18 @@
 
     /** The message, or null where the bytes are none of ours. */
     static RegionMessage decode(byte[] bytes) {
-        if (bytes.length > MOST_BYTES || bytes.length < 2 || bytes[0] != MARK) {
+        if (bytes.length > MAX_MESSAGE_BYTES || bytes.length < 2 || bytes[0] != MARK) {
             return null;
         }
         ByteBuffer at = ByteBuffer.wrap(bytes).position(1);
         try {
             int kind = at.get();
-            RegionMessage.Head head = new RegionMessage.Head(at.getInt(), at.getLong(), at.getLong());
+            RegionMessage.Header head = new RegionMessage.Header(at.getInt(), at.getLong(), at.getLong());
             RegionMessage message = switch (kind) {
                 case ASK -> ask(head, at);
                 case VOTE -> vote(head, at);
-                case DOUBT -> new RegionMessage.Doubt(head, at.getLong(), at.getInt(), Byte.toUnsignedInt(at.get()));
+                case DOUBT ->
+                    new RegionMessage.Suspicion(head, at.getLong(), at.getInt(), Byte.toUnsignedInt(at.get()));
                 case WORDS -> words(head, at);
                 default -> null;
             };
@@ -99,7 +105,7 @@
         }
     }
 
-    private static RegionMessage.Ask ask(RegionMessage.Head head, ByteBuffer at) {
+    private static RegionMessage.LeaseRequest ask(RegionMessage.Header head, ByteBuffer at) {
         long leader = at.getLong();
         long clock = at.getLong();
         long echo = at.getLong();
@@ -111,11 +117,11 @@
         for (int i = Byte.toUnsignedInt(at.get()); i > 0; i--) {
             hot.add(at.getLong());
         }
-        return new RegionMessage.Ask(
-                head, leader, clock, echo, left, age, new RegionMessage.Placing(second, slice, hot));
+        return new RegionMessage.LeaseRequest(
+                head, leader, clock, echo, left, age, new RegionMessage.Placement(second, slice, hot));
     }
 
-    private static RegionMessage.Vote vote(RegionMessage.Head head, ByteBuffer at) {
+    private static RegionMessage.Vote vote(RegionMessage.Header head, ByteBuffer at) {
         boolean yes = at.get() == 1;
         int branch = Short.toUnsignedInt(at.getShort());
         long clock = at.getLong();
@@ -124,9 +130,9 @@
         double sent = amount(at);
         long hot = at.getLong();
         double hotSent = amount(at);
-        List<RegionMessage.Opinion> opinions = new ArrayList<>();
+        List<RegionMessage.ParentReport> opinions = new ArrayList<>();
         for (int i = Byte.toUnsignedInt(at.get()); i > 0; i--) {
-            opinions.add(new RegionMessage.Opinion(
+            opinions.add(new RegionMessage.ParentReport(
                     at.getLong(),
                     at.getInt(),
                     part(at),
@@ -139,18 +145,20 @@
         return new RegionMessage.Vote(head, yes, branch, clock, echo, holdsTo, sent, hot, hotSent, opinions);
     }
 
-    private static RegionMessage.Words words(RegionMessage.Head head, ByteBuffer at) {
+    private static RegionMessage.DirectoryUpdate words(RegionMessage.Header head, ByteBuffer at) {
         int loads = Byte.toUnsignedInt(at.get());
         int claims = Byte.toUnsignedInt(at.get());
-        List<RegionMessage.Load> told = new ArrayList<>();
+        List<RegionMessage.ZoneLoad> told = new ArrayList<>();
         for (int i = 0; i < loads; i++) {
-            told.add(new RegionMessage.Load(Short.toUnsignedInt(at.getShort()), at.getLong(), amount(at), at.get()));
+            told.add(
+                    new RegionMessage.ZoneLoad(Short.toUnsignedInt(at.getShort()), at.getLong(), amount(at), at.get()));
         }
-        List<RegionMessage.Claim> claimed = new ArrayList<>();
+        List<RegionMessage.LeadershipClaim> claimed = new ArrayList<>();
         for (int i = 0; i < claims; i++) {
-            claimed.add(new RegionMessage.Claim(at.getInt(), at.getLong(), at.getLong(), amount(at), at.getInt()));
+            claimed.add(new RegionMessage.LeadershipClaim(
+                    at.getInt(), at.getLong(), at.getLong(), amount(at), at.getInt()));
         }
-        return new RegionMessage.Words(head, told, claimed);
+        return new RegionMessage.DirectoryUpdate(head, told, claimed);
     }
 
     private static <T> List<T> first(List<T> list, int most) {
@@ -158,11 +166,11 @@
     }
 
     private static byte small(double part) {
-        return (byte) Math.round(Math.max(0, Math.min(1, part)) * MOST_BYTE);
+        return (byte) Math.round(Math.max(0, Math.min(1, part)) * MAX_BYTE);
     }
 
     private static double part(ByteBuffer at) {
-        return Byte.toUnsignedInt(at.get()) / (double) MOST_BYTE;
+        return Byte.toUnsignedInt(at.get()) / (double) MAX_BYTE;
     }
 
     /** An amount that somebody measured; anything else makes the message none of ours. */
--- /dev/null
+++ b/src/main/java/magpiewheel/region/RegionProposals.java
@@ -0,0 +1,113 @@
+package magpiewheel.region;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** What this router wants of an election, and reports with its votes. */
+final class RegionProposals implements Election.Delegate {
+    private final RegionState state;
+    private final RegionDirectory directory;
+    private int nextReport;
+
+    RegionProposals(RegionState state, RegionDirectory directory) {
+        this.state = state;
+        this.directory = directory;
+    }
+
+    @Override
+    public long chooseLeader(long now, long current) {
+        recordOwnReports(now);
+        return state.ranking.choose(now, current, eligibleParents(now, current));
+    }
+
+    private void recordOwnReports(long now) {
+        int self = state.config.routerId();
+        state.observations.forEach(
+                (parent, observed) -> state.ranking.reported(now, self, observed.report(now, parent)));
+        ParentObservations leader = state.observationsOfLeader(state.lease(now));
+        if (leader != null) {
+            state.spill.reported(now, self, leader.sentPerS(now), leader.hotObject(), leader.hotPerS());
+        }
+    }
+
+    /** Parents that may lead the region. */
+    private List<Long> eligibleParents(long now, long current) {
+        List<Long> eligible = new ArrayList<>();
+        for (Parent parent : state.parents.values()) {
+            if (parent.hub() == state.region.hub()
+                    && !parent.draining()
+                    && carriesRegion(now, parent, parent.id() == current)
+                    && !state.hangDetector.isEjected(now, parent.id())) {
+                eligible.add(parent.id());
+            }
+        }
+        return eligible;
+    }
+
+    /**
+     * Whether a parent's link carries the region; of two regions that have one leader that of the lower key keeps it.
+     */
+    private boolean carriesRegion(long now, Parent parent, boolean leads) {
+        double limit = RegionAssignment.MAX_UTILIZATION * parent.linkCapacity();
+        double elsewhere = directory.claimedLoad(now, parent.id(), state.region.key(), leads);
+        double load = state.region.load();
+        return load <= limit && (elsewhere == 0 || elsewhere + load <= limit);
+    }
+
+    @Override
+    public RegionMessage.Placement placement(long now, long leader) {
+        Parent first = state.parents.get(leader);
+        if (first == null) {
+            return RegionMessage.Placement.NONE;
+        }
+        long secondId = secondInRank(now, leader);
+        Parent second = state.parents.get(secondId);
+        double spare = second == null
+                ? 0
+                : (state.ranking.freeCapacity(now, secondId) - (1 - LoadSpill.TARGET_UTILIZATION))
+                        * second.linkCapacity();
+        return state.spill.decide(now, first, second, spare);
+    }
+
+    /** The parent that takes what the leader can't carry: the one it was, while that is eligible; 0 for none. */
+    private long secondInRank(long now, long leader) {
+        List<Long> others = new ArrayList<>(eligibleParents(now, leader));
+        others.remove(leader);
+        Lease lease = state.lease(now);
+        if (lease != null && others.contains(lease.placement().second())) {
+            return lease.placement().second();
+        }
+        return others.isEmpty() ? 0 : state.ranking.ranked(now, others).get(0);
+    }
+
+    @Override
+    public RegionMessage.Vote createVote(
+            RegionMessage.Header header, boolean granted, long now, long requestSentAt, long votedTerm) {
+        ParentObservations leader = state.observationsOfLeader(state.lease(now));
+        return new RegionMessage.Vote(
+                header,
+                granted,
+                state.config.zone(),
+                now,
+                requestSentAt,
+                votedTerm,
+                leader == null ? 0 : leader.sentPerS(now),
+                leader == null ? 0 : leader.hotObject(),
+                leader == null ? 0 : leader.hotPerS(),
+                parentReports(now));
+    }
+
+    /** As many reports as a vote holds, of the region's parents in turn. */
+    private List<RegionMessage.ParentReport> parentReports(long now) {
+        List<Long> measured = state.parents.values().stream()
+                .filter(parent -> parent.hub() == state.region.hub() && state.observations.containsKey(parent.id()))
+                .map(Parent::id)
+                .toList();
+        List<RegionMessage.ParentReport> reports = new ArrayList<>();
+        for (int i = 0; i < Math.min(measured.size(), RegionMessageCodec.MAX_REPORTS); i++) {
+            long parent = measured.get(nextReport++ % measured.size());
+            reports.add(state.observations.get(parent).report(now, parent));
+        }
+        return reports;
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiewheel/region/RegionState.java
@@ -0,0 +1,59 @@
+package magpiewheel.region;
+
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import magpiewheel.membership.MembershipView;
+
+/** What the parts of a region's coordination share: the parents, what was measured of them, and the election. */
+final class RegionState {
+    final RegionConfig config;
+    final MembershipView membership;
+    final Map<Long, Parent> parents = new LinkedHashMap<>();
+    final Map<Long, ParentObservations> observations = new HashMap<>();
+    /** The region of the router's zone; null while it is in none. */
+    Region region;
+    /** The election of the region's leader; null while there is no region. */
+    Election election;
+    /** The ranking of the region's parents; null before the first region. */
+    ParentRanking ranking;
+
+    HangDetector hangDetector = new HangDetector();
+    LoadSpill spill = new LoadSpill();
+
+    RegionState(RegionConfig config, MembershipView membership) {
+        this.config = config;
+        this.membership = membership;
+    }
+
+    /** The lease that this router may rely on now, or null. */
+    Lease lease(long now) {
+        return election == null ? null : election.lease(now);
+    }
+
+    /** What was measured of a parent. */
+    ParentObservations observationsOf(long parent) {
+        return observations.computeIfAbsent(parent, id -> new ParentObservations());
+    }
+
+    /** What was measured of the leader; null where nobody leads or nothing was measured. */
+    ParentObservations observationsOfLeader(Lease lease) {
+        return lease == null ? null : observations.get(lease.leader());
+    }
+
+    /** The other routers of the region that run, by number. */
+    List<Integer> otherRouters() {
+        return region.zones().stream()
+                .flatMap(zone -> membership.runningMembersIn(zone).stream())
+                .filter(router -> router != config.routerId())
+                .distinct()
+                .sorted()
+                .toList();
+    }
+
+    /** The header of a message about a term. */
+    RegionMessage.Header header(long term) {
+        return new RegionMessage.Header(region == null ? 0 : region.key(), term, config.startedMs());
+    }
+}
--- a/src/main/java/magpiewheel/routing/FleetProtocols.java
+++ b/src/main/java/magpiewheel/routing/FleetProtocols.java
@@ -82,7 +82,8 @@
         if (regions != null) {
             // Its clock starts now: a promise of an earlier process may still support a lease.
             region = new RegionCoordinator(now, regions, membership, actions::sendToPeer);
-            add(new PeerProtocol(RegionCoordinator::isOurs, region::heard, region::due, region::tick));
+            add(new PeerProtocol(
+                    RegionCoordinator::isRegionMessage, region::messageReceived, region::due, region::tick));
         }
         scheduleTimer(now);
     }
--- a/src/main/java/magpiewheel/routing/RegionBridge.java
+++ b/src/main/java/magpiewheel/routing/RegionBridge.java
@@ -7,7 +7,6 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.function.ToDoubleFunction;
@@ -93,7 +92,7 @@
                 })
                 .toList();
         sentTransfers.keySet().retainAll(parents.stream().map(Parent::id).toList());
-        region.parents(now, parents);
+        region.parentsChanged(now, parents);
         fleet.scheduleTimer(now);
     }
 
@@ -111,7 +110,7 @@
 
     /** Whether the region admits a fill now. */
     boolean admitsFill(long now, long objectId, double workUs) {
-        return fleet.region() == null || fleet.region().letsUp(now, objectId, workUs / windowUs);
+        return fleet.region() == null || fleet.region().admitsFill(now, objectId, workUs / windowUs);
     }
 
     /** An attempt starts that may become a fill; {@code transferUs} is its own transfer time. */
@@ -124,7 +123,7 @@
         filledTransfers.add(now, transfers);
         Endpoint parent = parentOf(attempt);
         if (parent != null) {
-            region.began(now, parent.id, objectId, workUs / windowUs, transfers);
+            region.fillStarted(now, parent.id, objectId, workUs / windowUs, transfers);
             sentTransfers
                     .computeIfAbsent(parent.id, id -> new SlidingWindowSum(MEASURED_US))
                     .add(now, transfers);
@@ -163,7 +162,7 @@
         boolean unreachable =
                 bypassed ? outcome.result() == AttemptResult.UNREACHABLE : status == CacheStatus.SOURCE_UNREACHABLE;
         if (parent != null && (ok || rejected)) {
-            region.answered(
+            region.parentResponded(
                     now,
                     parent.id,
                     objectId,
@@ -171,9 +170,9 @@
                     ok,
                     status == (bypassed ? CacheStatus.HIT : CacheStatus.FILLED));
         } else {
-            region.ended(objectId, outcome.result() == AttemptResult.OK);
+            region.fillEnded(objectId, outcome.result() == AttemptResult.OK);
             if (parent != null && unreachable) {
-                region.overdue(now, parent.id, attempt.sentAt);
+                region.responseOverdue(now, parent.id, attempt.sentAt);
             }
         }
         fleet.scheduleTimer(now);
@@ -198,7 +197,7 @@
         for (PendingFill fill : overdueFills) {
             if (!fill.reported && isParentAtFault(fill)) {
                 fill.reported = true;
-                fleet.region().overdue(now, fill.parent.id, fill.attempt.sentAt);
+                fleet.region().responseOverdue(now, fill.parent.id, fill.attempt.sentAt);
             }
         }
         if (now >= nextReportAt) {
@@ -222,7 +221,7 @@
     private void reportLoad(long now) {
         RegionCoordinator region = fleet.region();
         double seconds = MEASURED_US / SECOND_US;
-        region.load(
+        region.zoneLoadMeasured(
                 now,
                 filledTransfers.at(now)
                         / seconds
@@ -234,7 +233,7 @@
         int otherRouters = fleet.membershipView().runningMembers().size();
         int routersOfRegion = region.region() == null
                 ? otherRouters
-                : region.region().branches().stream()
+                : region.region().zones().stream()
                         .mapToInt(branch ->
                                 fleet.membershipView().runningMembersIn(branch).size())
                         .sum();
@@ -242,9 +241,10 @@
             SlidingWindowSum transfersOfParent = sentTransfers.get(parent.id());
             // The leader gets its region's fills, another parent those of all routers that choose for themselves.
             int routers = 1 + (leader != null && leader.parent() == parent.id() ? routersOfRegion : otherRouters);
-            double utilization =
-                    transfersOfParent == null ? 0 : transfersOfParent.at(now) / seconds * routers / parent.carries();
-            region.room(parent.id(), Math.max(0, 1 - utilization));
+            double utilization = transfersOfParent == null
+                    ? 0
+                    : transfersOfParent.at(now) / seconds * routers / parent.linkCapacity();
+            region.setFreeCapacity(parent.id(), Math.max(0, 1 - utilization));
         }
     }
 
@@ -258,16 +258,16 @@
             return statistics;
         }
         Leader leader = region.leader(now);
-        statistics.put("region_verdict", (long) region.verdict(now).ordinal());
+        statistics.put("region_verdict", (long) region.standing(now).ordinal());
         statistics.put("region_leader", leader == null ? 0 : leader.parent());
         statistics.put("region_term", leader == null ? 0 : leader.term());
         statistics.put(
                 "region_branches",
-                region.region() == null ? 0 : (long) region.region().branches().size());
+                region.region() == null ? 0 : (long) region.region().zones().size());
         for (RouteReason reason : RouteReason.values()) {
-            statistics.put("region_" + reason.name().toLowerCase(Locale.ROOT), region.answers(reason));
+            statistics.put("region_" + reason.statistic(), region.routeCount(reason));
         }
-        statistics.put("region_paced", region.held());
+        statistics.put("region_paced", region.rejectedFills());
         return statistics;
     }
 }
--- a/src/main/java/magpiewheel/routing/SafetyLimits.java
+++ b/src/main/java/magpiewheel/routing/SafetyLimits.java
@@ -19,7 +19,7 @@
         SlowStartProfile parentSlowStart) {
     /** The time within which too much work overloads an endpoint, us; 0 where the settings do not say. */
     long overloadWindowUs() {
-        return cacheSlowStart.tipAfterUs();
+        return cacheSlowStart.overloadWindowUs();
     }
 
     /** The load that a parent, or else a cache, tolerates after its start. */
--- a/src/main/java/magpiewheel/routing/SlowStart.java
+++ b/src/main/java/magpiewheel/routing/SlowStart.java
@@ -31,7 +31,7 @@
     boolean hasBudget(long now, Endpoint endpoint, double workUs) {
         SlowStartProfile profile = settings.safetyLimits().slowStart(endpoint.isParent());
         long sinceStart = now - endpoint.info.startedUs();
-        boolean warm = endpoint.info.startedUs() <= 0 || sinceStart >= profile.warmUpUs() + profile.tipAfterUs();
+        boolean warm = endpoint.info.startedUs() <= 0 || sinceStart >= profile.warmUpUs() + profile.overloadWindowUs();
         if (warm || endpoint.isOrigin()) {
             return true;
         }
@@ -39,7 +39,7 @@
         if (endpoint.isCache() && endpoint.info.zone() != topology.zone()) {
             return false;
         }
-        double tolerated = SAFETY * profile.bears(sinceStart) * capacity(endpoint);
+        double tolerated = SAFETY * profile.tolerableWork(sinceStart) * capacity(endpoint);
         double share = tolerated / sharers(now, endpoint);
         double spent = endpoint.recentWork.at(now);
         return spent + workUs <= share || spent == 0 && draw(now, endpoint, profile) * workUs < share;
@@ -53,7 +53,7 @@
 
     /** From 0 to 1, anew in each window: a share below one request becomes one request in some of the windows. */
     private double draw(long now, Endpoint endpoint, SlowStartProfile profile) {
-        long windowUs = Math.max(1, profile.tipAfterUs());
+        long windowUs = Math.max(1, profile.overloadWindowUs());
         long router = RendezvousHash.mix(topology.routerId());
         long window = Math.floorDiv(now + Math.floorMod(router, windowUs), windowUs);
         return RendezvousHash.part(router ^ RendezvousHash.mix(window ^ endpoint.hash));
--- a/src/test/java/magpiewheel/region/ElectionTest.java
+++ b/src/test/java/magpiewheel/region/ElectionTest.java
@@ -68,29 +68,26 @@
         }
 
         void start(int me) {
-            Election.Mind mind = new Election.Mind() {
+            Election.Delegate mind = new Election.Delegate() {
                 @Override
-                public long choose(long now, long current) {
+                public long chooseLeader(long now, long current) {
                     return wish[me] == NOBODY ? 0 : wish[me] != 0 ? wish[me] : current != 0 ? current : 1;
                 }
 
                 @Override
-                public RegionMessage.Placing placing(long now, long leader) {
-                    return RegionMessage.Placing.NONE;
+                public RegionMessage.Placement placement(long now, long leader) {
+                    return RegionMessage.Placement.NONE;
                 }
 
                 @Override
-                public RegionMessage.Vote vote(
-                        RegionMessage.Head head, boolean yes, long clock, long echo, long holdsTo) {
+                public RegionMessage.Vote createVote(
+                        RegionMessage.Header head, boolean yes, long clock, long echo, long holdsTo) {
                     return new RegionMessage.Vote(head, yes, 0, clock, echo, holdsTo, 0, 0, 0, List.of());
                 }
             };
             fronts[me] = new Election(
                     local(me),
-                    me,
-                    START_MS + net.now / 1_000,
-                    REGION,
-                    fronts.length,
+                    new Election.Voters(me, START_MS + net.now / 1_000, REGION, fronts.length),
                     0,
                     mind,
                     (to, bytes) -> net.send(me, to, bytes, this::heard));
@@ -115,10 +112,10 @@
         void heard(int to, int from, byte[] bytes) {
             run(to, () -> {
                 RegionMessage message = RegionMessageCodec.decode(bytes);
-                if (message instanceof RegionMessage.Ask ask) {
-                    fronts[to].asked(local(to), from, ask);
+                if (message instanceof RegionMessage.LeaseRequest ask) {
+                    fronts[to].requestReceived(local(to), from, ask);
                 } else {
-                    fronts[to].voted(local(to), from, (RegionMessage.Vote) message, Set.of(0));
+                    fronts[to].voteReceived(local(to), from, (RegionMessage.Vote) message, Set.of(0));
                 }
             });
         }
@@ -302,25 +299,22 @@
             world.start(me);
             front = new Election(
                     now,
-                    me,
-                    startedMs,
-                    REGION,
-                    5,
+                    new Election.Voters(me, startedMs, REGION, 5),
                     0,
-                    new Election.Mind() {
+                    new Election.Delegate() {
                         @Override
-                        public long choose(long at, long current) {
+                        public long chooseLeader(long at, long current) {
                             return current != 0 ? current : 1;
                         }
 
                         @Override
-                        public RegionMessage.Placing placing(long at, long leader) {
-                            return RegionMessage.Placing.NONE;
+                        public RegionMessage.Placement placement(long at, long leader) {
+                            return RegionMessage.Placement.NONE;
                         }
 
                         @Override
-                        public RegionMessage.Vote vote(
-                                RegionMessage.Head head, boolean yes, long clock, long echo, long holdsTo) {
+                        public RegionMessage.Vote createVote(
+                                RegionMessage.Header head, boolean yes, long clock, long echo, long holdsTo) {
                             return new RegionMessage.Vote(head, yes, 0, clock, echo, holdsTo, 0, 0, 0, List.of());
                         }
                     },
@@ -329,17 +323,17 @@
 
         RegionMessage.Vote ask(long now, int from, long counter, long leader, long startedMs) {
             sent.clear();
-            front.asked(
+            front.requestReceived(
                     now,
                     from,
-                    new RegionMessage.Ask(
-                            new RegionMessage.Head(REGION, counter << 16 | from, startedMs),
+                    new RegionMessage.LeaseRequest(
+                            new RegionMessage.Header(REGION, counter << 16 | from, startedMs),
                             leader,
                             5,
                             0,
                             0,
                             0,
-                            RegionMessage.Placing.NONE));
+                            RegionMessage.Placement.NONE));
             return sent.isEmpty() ? null : (RegionMessage.Vote) sent.get(0);
         }
     }
@@ -349,20 +343,21 @@
         Alone alone = new Alone(2, 0, START_MS);
         assertNull(alone.ask(1_000, 0, START_MS + 5, 9, START_MS));
         assertNull(alone.ask(Lease.PROMISE_US, 0, START_MS + 5, 9, START_MS));
-        assertTrue(alone.ask(Lease.QUIET_US, 0, START_MS + 5, 9, START_MS).yes());
+        assertTrue(alone.ask(Lease.STARTUP_SILENCE_US, 0, START_MS + 5, 9, START_MS)
+                .granted());
     }
 
     @Test
     void aVoteIsGivenOnceATermAndBindsUntilItsPromiseHasRunOut() {
         Alone alone = new Alone(2, 0, START_MS);
         long t = 1_000_000;
-        assertTrue(alone.ask(t, 0, START_MS + 5, 9, START_MS).yes());
-        assertTrue(alone.ask(t + 1, 0, START_MS + 5, 9, START_MS).yes(), "a renewal");
-        assertFalse(alone.ask(t + 2, 0, START_MS + 5, 8, START_MS).yes(), "another leader in the same term");
-        assertFalse(alone.ask(t + 3, 1, START_MS + 4, 9, START_MS).yes(), "an old term");
-        assertFalse(alone.ask(t + 4, 1, START_MS + 6, 8, START_MS).yes(), "it promised");
+        assertTrue(alone.ask(t, 0, START_MS + 5, 9, START_MS).granted());
+        assertTrue(alone.ask(t + 1, 0, START_MS + 5, 9, START_MS).granted(), "a renewal");
+        assertFalse(alone.ask(t + 2, 0, START_MS + 5, 8, START_MS).granted(), "another leader in the same term");
+        assertFalse(alone.ask(t + 3, 1, START_MS + 4, 9, START_MS).granted(), "an old term");
+        assertFalse(alone.ask(t + 4, 1, START_MS + 6, 8, START_MS).granted(), "it promised");
         assertTrue(alone.ask(t + Lease.PROMISE_US + 2, 1, START_MS + 7, 8, START_MS)
-                .yes());
+                .granted());
         assertNull(alone.ask(t + 9, 3, START_MS + 9 << 16, 8, START_MS), "a term of days ahead");
     }
 
@@ -371,23 +366,23 @@
         Alone alone = new Alone(0, 0, START_MS);
         long t = 2_000_000;
         alone.front.tick(t, List.of(1, 2, 3, 4), false);
-        long term = alone.sent.get(0).head().term();
+        long term = alone.sent.get(0).header().term();
         long now = t + 1;
-        assertFalse(alone.front.voted(now, 1, vote(term - 65_536, START_MS, 0, t), Set.of(0)), "an old term");
-        assertFalse(alone.front.voted(now, 1, vote(term, START_MS, 7, t), Set.of(0)), "a branch elsewhere");
-        assertFalse(alone.front.voted(now, 1, vote(term, START_MS, 0, t - 1), Set.of(0)), "before it was asked");
-        assertTrue(alone.front.voted(now, 1, vote(term, START_MS + 100, 0, t), Set.of(0)));
-        assertFalse(alone.front.holds(now), "two of five are a minority");
-        assertFalse(alone.front.voted(now, 1, vote(term, START_MS, 0, t), Set.of(0)), "before its restart");
-        alone.front.voted(now, 1, vote(term, START_MS + 100, 0, t), Set.of(0));
-        assertFalse(alone.front.holds(now), "a doubled vote is one vote");
-        assertTrue(alone.front.voted(now, 2, vote(term, START_MS, 0, t), Set.of(0)));
-        assertTrue(alone.front.holds(now));
-        assertEquals(t + Lease.HOLD_US, alone.front.lease(now).untilUs(), "it counts from when it asked");
+        assertFalse(alone.front.voteReceived(now, 1, vote(term - 65_536, START_MS, 0, t), Set.of(0)), "an old term");
+        assertFalse(alone.front.voteReceived(now, 1, vote(term, START_MS, 7, t), Set.of(0)), "a branch elsewhere");
+        assertFalse(alone.front.voteReceived(now, 1, vote(term, START_MS, 0, t - 1), Set.of(0)), "before it was asked");
+        assertTrue(alone.front.voteReceived(now, 1, vote(term, START_MS + 100, 0, t), Set.of(0)));
+        assertFalse(alone.front.holdsLease(now), "two of five are a minority");
+        assertFalse(alone.front.voteReceived(now, 1, vote(term, START_MS, 0, t), Set.of(0)), "before its restart");
+        alone.front.voteReceived(now, 1, vote(term, START_MS + 100, 0, t), Set.of(0));
+        assertFalse(alone.front.holdsLease(now), "a doubled vote is one vote");
+        assertTrue(alone.front.voteReceived(now, 2, vote(term, START_MS, 0, t), Set.of(0)));
+        assertTrue(alone.front.holdsLease(now));
+        assertEquals(t + Lease.VALIDITY_US, alone.front.lease(now).untilUs(), "it counts from when it asked");
     }
 
     private static RegionMessage.Vote vote(long term, long startedMs, int branch, long echo) {
         return new RegionMessage.Vote(
-                new RegionMessage.Head(REGION, term, startedMs), true, branch, 1, echo, term, 0, 0, 0, List.of());
+                new RegionMessage.Header(REGION, term, startedMs), true, branch, 1, echo, term, 0, 0, 0, List.of());
     }
 }
--- a/src/test/java/magpiewheel/region/Net.java
+++ b/src/test/java/magpiewheel/region/Net.java
@@ -54,7 +54,7 @@
     public void send(int from, int to, byte[] message, Receiver receiver) {
         sent++;
         messages.add(now).add((long) from).add((long) to).add(message);
-        if (message.length > RegionMessageCodec.MOST_BYTES) {
+        if (message.length > RegionMessageCodec.MAX_MESSAGE_BYTES) {
             throw new AssertionError("message of " + message.length);
         }
         for (int copies = random.nextInt(50) == 0 ? 2 : 1; copies > 0; copies--) {
--- a/src/test/java/magpiewheel/region/PartsTest.java
+++ b/src/test/java/magpiewheel/region/PartsTest.java
@@ -19,31 +19,31 @@
 /** The small parts: messages, ranking, evidence, steps, spill and pace. */
 class PartsTest {
     private static final long S = 1_000_000;
-    private static final RegionMessage.Head HEAD = new RegionMessage.Head(7, 9L << 16 | 3, 1_800_000_000_000L);
+    private static final RegionMessage.Header HEAD = new RegionMessage.Header(7, 9L << 16 | 3, 1_800_000_000_000L);
 
-    private static RegionMessage.Opinion opinion(long parent, long first, double failures, double room) {
-        return new RegionMessage.Opinion(parent, first, failures, room, 1, 50, 0, 0);
+    private static RegionMessage.ParentReport opinion(long parent, long first, double failures, double room) {
+        return new RegionMessage.ParentReport(parent, first, failures, room, 1, 50, 0, 0);
     }
 
     @Test
     void messagesComeThroughWholeAtTheirLargest() {
-        List<RegionMessage.Opinion> opinions = IntStream.range(0, RegionMessageCodec.MOST_OPINIONS)
-                .mapToObj(i -> new RegionMessage.Opinion(i, 5_000, 1, 0, 1, 255, 40, 60_000))
+        List<RegionMessage.ParentReport> opinions = IntStream.range(0, RegionMessageCodec.MAX_REPORTS)
+                .mapToObj(i -> new RegionMessage.ParentReport(i, 5_000, 1, 0, 1, 255, 40, 60_000))
                 .toList();
-        List<RegionMessage.Load> loads = IntStream.range(0, RegionMessageCodec.MOST_LOADS)
-                .mapToObj(i -> new RegionMessage.Load(i, i, 0.5, i - 1))
+        List<RegionMessage.ZoneLoad> loads = IntStream.range(0, RegionMessageCodec.MAX_LOADS)
+                .mapToObj(i -> new RegionMessage.ZoneLoad(i, i, 0.5, i - 1))
                 .toList();
-        List<RegionMessage.Claim> claims = IntStream.range(0, RegionMessageCodec.MOST_CLAIMS)
-                .mapToObj(i -> new RegionMessage.Claim(i, i, i, 2, 1_000))
+        List<RegionMessage.LeadershipClaim> claims = IntStream.range(0, RegionMessageCodec.MAX_CLAIMS)
+                .mapToObj(i -> new RegionMessage.LeadershipClaim(i, i, i, 2, 1_000))
                 .toList();
         for (RegionMessage message : List.of(
-                new RegionMessage.Ask(
-                        HEAD, 5, 6, 7, 600_000, 8, new RegionMessage.Placing(4, 200, List.of(1L, 2L, 3L, 4L))),
+                new RegionMessage.LeaseRequest(
+                        HEAD, 5, 6, 7, 600_000, 8, new RegionMessage.Placement(4, 200, List.of(1L, 2L, 3L, 4L))),
                 new RegionMessage.Vote(HEAD, true, 300, 1, 2, 3, 4, 5, 6, opinions),
-                new RegionMessage.Doubt(HEAD, 5, 300_000, 2),
-                new RegionMessage.Words(HEAD, loads, claims))) {
+                new RegionMessage.Suspicion(HEAD, 5, 300_000, 2),
+                new RegionMessage.DirectoryUpdate(HEAD, loads, claims))) {
             byte[] bytes = RegionMessageCodec.encode(message);
-            assertTrue(bytes.length <= RegionMessageCodec.MOST_BYTES, "" + bytes.length);
+            assertTrue(bytes.length <= RegionMessageCodec.MAX_MESSAGE_BYTES, "" + bytes.length);
             assertEquals(message, RegionMessageCodec.decode(bytes));
             for (int cut = 0; cut < bytes.length; cut++) {
                 assertNull(RegionMessageCodec.decode(java.util.Arrays.copyOf(bytes, cut)));
@@ -60,22 +60,23 @@
             ours[1] = (byte) Math.floorMod(ours[1], 6);
         }
         RegionMessage message = RegionMessageCodec.decode(ours);
-        assertTrue(message == null || RegionMessageCodec.encode(message).length <= RegionMessageCodec.MOST_BYTES);
+        assertTrue(
+                message == null || RegionMessageCodec.encode(message).length <= RegionMessageCodec.MAX_MESSAGE_BYTES);
     }
 
     @Test
     void theMiddleWordCountsAndUnheardOnesAreAverage() {
         ParentRanking candidates = new ParentRanking(7);
         for (int front = 0; front < 5; front++) {
-            candidates.told(0, front, opinion(1, 20_000, 0, 1));
-            candidates.told(0, front, opinion(2, front == 0 ? 1_000 : 40_000, 0, 1));
+            candidates.reported(0, front, opinion(1, 20_000, 0, 1));
+            candidates.reported(0, front, opinion(2, front == 0 ? 1_000 : 40_000, 0, 1));
         }
         assertEquals(20_000, candidates.cost(1, 1));
         assertEquals(40_000, candidates.cost(1, 2), "one front's word elects nobody");
         assertEquals(List.of(1L, 3L, 2L), candidates.ranked(1, List.of(2L, 3L, 1L)));
-        assertTrue(Double.isNaN(candidates.cost(ParentRanking.OPINION_US, 1)), "an old word");
+        assertTrue(Double.isNaN(candidates.cost(ParentRanking.REPORT_VALID_US, 1)), "an old word");
         for (int front = 0; front < 5; front++) {
-            candidates.told(0, front, opinion(1, 20_000, 0, 0.03));
+            candidates.reported(0, front, opinion(1, 20_000, 0, 0.03));
         }
         assertEquals(
                 List.of(3L, 2L),
@@ -93,7 +94,7 @@
         for (long now = 0; now < 120 * S; now += 100_000) {
             for (long parent = 1; parent <= 4; parent++) {
                 for (int front = 0; front < 3; front++) {
-                    candidates.told(now, front, opinion(parent, 10_000 + random.nextLong(60_000), 0, 1));
+                    candidates.reported(now, front, opinion(parent, 10_000 + random.nextLong(60_000), 0, 1));
                 }
             }
             assertEquals(2, candidates.choose(now, 2, List.of(1L, 2L, 3L, 4L)), "seed " + seed);
@@ -103,14 +104,14 @@
     @Test
     void aDoubtNeedsOneConfirmationAndAnAnswerRefutesIt() {
         HangDetector evidence = new HangDetector();
-        assertFalse(evidence.doubted(S, 1, 9, 300_000, 1));
-        assertFalse(evidence.doubted(S + 50_000, 1, 9, 350_000, 1), "the same word again");
-        evidence.answered(S, 9);
-        assertFalse(evidence.doubted(S + 100_000, 2, 9, 10_000, 1), "answered since the first was silent");
-        assertTrue(evidence.doubted(S + 150_000, 3, 9, 50_000, 1));
-        assertTrue(evidence.benched(6 * S, 9));
-        assertFalse(evidence.benched(7 * S, 9));
-        assertTrue(evidence.doubted(20 * S, 1, 9, 300_000, 2), "two overdue answers of one front");
+        assertFalse(evidence.suspected(S, 1, 9, 300_000, 1));
+        assertFalse(evidence.suspected(S + 50_000, 1, 9, 350_000, 1), "the same word again");
+        evidence.responded(S, 9);
+        assertFalse(evidence.suspected(S + 100_000, 2, 9, 10_000, 1), "answered since the first was silent");
+        assertTrue(evidence.suspected(S + 150_000, 3, 9, 50_000, 1));
+        assertTrue(evidence.isEjected(6 * S, 9));
+        assertFalse(evidence.isEjected(7 * S, 9));
+        assertTrue(evidence.suspected(20 * S, 1, 9, 300_000, 2), "two overdue answers of one front");
     }
 
     @Test
@@ -135,28 +136,28 @@
         Map<Long, Double> load = new HashMap<>();
         load.put(77L, 30.0);
         IntStream.range(0, 800).forEach(i -> load.put(1_000L + i, 0.1));
-        RegionMessage.Placing placing = RegionMessage.Placing.NONE;
+        RegionMessage.Placement placing = RegionMessage.Placement.NONE;
         double atFirst = 0;
         for (long now = 0; now < 30 * S; now += 200_000) {
-            RegionMessage.Placing known = placing;
+            RegionMessage.Placement known = placing;
             atFirst = load.entrySet().stream()
-                    .filter(e -> !LoadSpill.atSecond(known, e.getKey()))
+                    .filter(e -> !LoadSpill.goesToSecond(known, e.getKey()))
                     .mapToDouble(Map.Entry::getValue)
                     .sum();
-            boolean hot = !LoadSpill.atSecond(known, 77);
-            spill.told(now, 0, atFirst / 2, hot ? 77 : 1_000, hot ? 15 : 0.1);
-            spill.told(now, 1, atFirst / 2, hot ? 77 : 1_000, hot ? 15 : 0.1);
+            boolean hot = !LoadSpill.goesToSecond(known, 77);
+            spill.reported(now, 0, atFirst / 2, hot ? 77 : 1_000, hot ? 15 : 0.1);
+            spill.reported(now, 1, atFirst / 2, hot ? 77 : 1_000, hot ? 15 : 0.1);
             placing = spill.decide(now, first, second, 60);
         }
-        assertTrue(LoadSpill.atSecond(placing, 77), "the hot one goes first");
-        assertTrue(atFirst <= LoadSpill.HIGH * 100, "at the leader " + atFirst);
+        assertTrue(LoadSpill.goesToSecond(placing, 77), "the hot one goes first");
+        assertTrue(atFirst <= LoadSpill.HIGH_UTILIZATION * 100, "at the leader " + atFirst);
         assertTrue(placing.slice() <= 60, "slice " + placing.slice());
         for (long now = 30 * S; now < 60 * S; now += 200_000) {
-            spill.told(now, 0, 10, 0, 0);
-            spill.told(now, 1, 10, 0, 0);
+            spill.reported(now, 0, 10, 0, 0);
+            spill.reported(now, 1, 10, 0, 0);
             placing = spill.decide(now, first, second, 60);
         }
-        assertEquals(RegionMessage.Placing.NONE, placing, "taken back");
+        assertEquals(RegionMessage.Placement.NONE, placing, "taken back");
     }
 
     /** A cold branch asks for far more than may go up: the pace is kept, and what is wanted most goes up first. */
@@ -170,9 +171,9 @@
             // Zipf-like: object n is asked for as 1/n.
             long object = (long) Math.pow(2_000, random.nextDouble());
             asked.merge(object, 1, Integer::sum);
-            if (!wentUp.containsKey(object) && pace.lets(now, object, 1, 50)) {
+            if (!wentUp.containsKey(object) && pace.admits(now, object, 1, 50)) {
                 wentUp.put(object, now);
-                pace.ended(object, true);
+                pace.fillEnded(object, true);
             }
         }
         assertTrue(wentUp.size() <= 4 * 50 + 10, "went up " + wentUp.size());
@@ -183,7 +184,7 @@
         assertTrue(ofTheMost >= 48, "of the 50 most wanted " + ofTheMost);
         FillAdmission idle = new FillAdmission();
         assertTrue(
-                IntStream.range(0, 100).allMatch(i -> idle.lets(i * 100_000L, i, 1, 50)),
+                IntStream.range(0, 100).allMatch(i -> idle.admits(i * 100_000L, i, 1, 50)),
                 "nothing is held while it fits");
     }
 }
--- a/src/test/java/magpiewheel/region/RegionAssignmentTest.java
+++ b/src/test/java/magpiewheel/region/RegionAssignmentTest.java
@@ -36,27 +36,25 @@
             List<Region> all = regions.all().stream().filter(r -> r.hub() == of).toList();
             double[] carries = shape.parents().stream()
                     .filter(p -> p.hub() == of)
-                    .mapToDouble(Parent::carries)
+                    .mapToDouble(Parent::linkCapacity)
                     .sorted()
                     .toArray();
             assertTrue(all.size() <= carries.length);
             for (Region region : all) {
-                double measured = region.branches().stream()
+                double measured = region.zones().stream()
                         .mapToDouble(b -> shape.loads()[b])
                         .sum();
                 assertTrue(
-                        measured <= RegionAssignment.FILL * carries[carries.length - all.size()] + 1e-9,
+                        measured <= RegionAssignment.MAX_UTILIZATION * carries[carries.length - all.size()] + 1e-9,
                         "seed " + seed);
-                assertTrue(region.branches().stream().allMatch(b -> shape.hubByBranch()[b] == of));
+                assertTrue(region.zones().stream().allMatch(b -> shape.hubByZone()[b] == of));
             }
         }
-        for (int branch = 0; branch < shape.hubByBranch().length; branch++) {
+        for (int branch = 0; branch < shape.hubByZone().length; branch++) {
             int of = branch;
             assertEquals(
                     regions.of(branch) == null ? 0 : 1,
-                    regions.all().stream()
-                            .filter(r -> r.branches().contains(of))
-                            .count());
+                    regions.all().stream().filter(r -> r.zones().contains(of)).count());
         }
     }
 
@@ -65,7 +63,7 @@
         RegionTopology shape = shape(seed, 16, 8);
         List<Parent> shuffled = new ArrayList<>(shape.parents());
         Collections.shuffle(shuffled, new Random(seed));
-        RegionTopology other = new RegionTopology(shape.hubByBranch(), shape.loads(), shuffled);
+        RegionTopology other = new RegionTopology(shape.hubByZone(), shape.loads(), shuffled);
         assertEquals(shape.digest(), other.digest());
         assertEquals(
                 RegionAssignment.of(shape).all(), RegionAssignment.of(other).all());
@@ -75,8 +73,8 @@
     static RegionTopology homed(RegionTopology shape) {
         RegionAssignment regions = RegionAssignment.of(shape);
         int[] homes =
-                IntStream.range(0, shape.loads().length).map(regions::place).toArray();
-        return new RegionTopology(shape.hubByBranch(), shape.loads(), homes, shape.parents());
+                IntStream.range(0, shape.loads().length).map(regions::slot).toArray();
+        return new RegionTopology(shape.hubByZone(), shape.loads(), homes, shape.parents());
     }
 
     @Property(tries = 300, seed = "47")
@@ -84,7 +82,7 @@
         RegionTopology any = shape(seed, 16, 12);
         // Equal links: with unequal ones a further place makes all of them smaller.
         RegionTopology shape = new RegionTopology(
-                any.hubByBranch(),
+                any.hubByZone(),
                 any.loads(),
                 any.parents().stream()
                         .map(p -> new Parent(p.id(), p.hub(), 4.5, 20, 0, false))
@@ -97,8 +95,8 @@
         double[] grown = shape.loads().clone();
         grown[(int) (seed % 16)] *= 1.2;
         RegionAssignment after =
-                RegionAssignment.of(new RegionTopology(shape.hubByBranch(), grown, homed.homes(), shape.parents()));
-        int moved = RegionAssignment.moves(RegionAssignment.of(shape), after);
+                RegionAssignment.of(new RegionTopology(shape.hubByZone(), grown, homed.homeSlots(), shape.parents()));
+        int moved = RegionAssignment.migratedZones(RegionAssignment.of(shape), after);
         assertTrue(moved <= 1, "moved " + moved + ", seed " + seed);
     }
 
@@ -135,24 +133,27 @@
             RegionTopology one = homed(new RegionTopology(hubs, all.loads(), parents));
             double[] grown = all.loads().clone();
             grown[seed % 24] *= 1.5;
-            sums[0] += RegionAssignment.moves(
+            sums[0] += RegionAssignment.migratedZones(
                     RegionAssignment.of(one),
-                    RegionAssignment.of(new RegionTopology(hubs, grown, one.homes(), parents)));
-            sums[1] += RegionAssignment.moves(
+                    RegionAssignment.of(new RegionTopology(hubs, grown, one.homeSlots(), parents)));
+            sums[1] += RegionAssignment.migratedZones(
                     RegionAssignment.of(one),
-                    RegionAssignment.of(new RegionTopology(hubs, all.loads(), one.homes(), parents.subList(1, 12))));
+                    RegionAssignment.of(
+                            new RegionTopology(hubs, all.loads(), one.homeSlots(), parents.subList(1, 12))));
             double[] come = all.loads().clone();
             come[seed % 24] = 0;
             RegionTopology less = homed(new RegionTopology(hubs, come, parents));
-            sums[2] += RegionAssignment.moves(
+            sums[2] += RegionAssignment.migratedZones(
                     RegionAssignment.of(less),
-                    RegionAssignment.of(new RegionTopology(hubs, all.loads(), less.homes(), parents)));
-            int[] before = cuts(come, RegionAssignment.FILL * 5);
-            int[] after = cuts(all.loads(), RegionAssignment.FILL * 5);
+                    RegionAssignment.of(new RegionTopology(hubs, all.loads(), less.homeSlots(), parents)));
+            int[] before = cuts(come, RegionAssignment.MAX_UTILIZATION * 5);
+            int[] after = cuts(all.loads(), RegionAssignment.MAX_UTILIZATION * 5);
             sums[3] += moved(before, after);
-            sums[4] += moved(after, cuts(grown, RegionAssignment.FILL * 5));
+            sums[4] += moved(after, cuts(grown, RegionAssignment.MAX_UTILIZATION * 5));
             Region its = RegionAssignment.of(one).of(seed % 24);
-            sums[5] += its.load() - all.loads()[seed % 24] + grown[seed % 24] > RegionAssignment.FILL * 5 ? 1 : 0;
+            sums[5] += its.load() - all.loads()[seed % 24] + grown[seed % 24] > RegionAssignment.MAX_UTILIZATION * 5
+                    ? 1
+                    : 0;
         }
         return Arrays.stream(sums).map(sum -> sum / shapes).toArray();
     }
--- a/src/test/java/magpiewheel/region/RegionCoordinatorTest.java
+++ b/src/test/java/magpiewheel/region/RegionCoordinatorTest.java
@@ -89,7 +89,7 @@
             world.net.at(8_500_000, () -> {
                 if (leader != 0) {
                     Parent old = world.parents.get(leader).listed;
-                    world.parents.get(leader).listed = new Parent(leader, 0, old.carries(), 300, 0, true);
+                    world.parents.get(leader).listed = new Parent(leader, 0, old.linkCapacity(), 300, 0, true);
                 }
                 world.list();
             });
@@ -145,7 +145,7 @@
         world.wanted(S, 40 * S, 1_000_000 / 18, 40_000, 1);
         world.grows(0, 12 * S, 40 * S, 1_000_000 / 18, 36);
         world.net.runUntil(11 * S, () -> {});
-        double regions = world.view(0).regions().all().size();
+        double regions = world.view(0).assignment().all().size();
         world.net.runUntil(41 * S, () -> {});
         double most = world.parents.values().stream()
                 .flatMap(p -> p.carried.values().stream())
@@ -153,7 +153,8 @@
                 .max()
                 .getAsDouble();
         for (int i = 0; i < RegionWorld.FRONTS; i++) {
-            assertEquals(world.view(0).regions().all(), world.view(i).regions().all(), "seed " + seed);
+            assertEquals(
+                    world.view(0).assignment().all(), world.view(i).assignment().all(), "seed " + seed);
         }
         // A front may be without a leader at a moment: what they hold to over the last second counts.
         Set<Long> leading = new HashSet<>();
@@ -169,7 +170,7 @@
                 }));
         assertEquals(RegionWorld.FRONTS, led.size(), "a front without a leader for a second, seed " + seed);
         long leaders = leading.size();
-        return new double[] {regions, world.view(0).regions().all().size(), leaders, most};
+        return new double[] {regions, world.view(0).assignment().all().size(), leaders, most};
     }
 
     @Test
@@ -188,7 +189,7 @@
         RegionWorld world = new RegionWorld(6, RegionWorld.Way.LED, 0.05, 4, 1_000);
         world.net.runUntil(5 * S, () -> {});
         long before = world.leader();
-        assertTrue(world.view(0).holds(world.local(0)));
+        assertTrue(world.view(0).holdsLease(world.local(0)));
         world.kill(0);
         world.net.runUntil(7 * S, () -> {});
         assertTrue(before != 0);
--- a/src/test/java/magpiewheel/region/RegionFingerprintTest.java
+++ b/src/test/java/magpiewheel/region/RegionFingerprintTest.java
@@ -35,7 +35,7 @@
     private static void drain(RegionWorld world, long id) {
         RegionWorld.StandIn parent = world.parents.get(id);
         Parent old = parent.listed;
-        parent.listed = new Parent(id, old.hub(), old.carries(), old.capacity(), old.startedUs(), true);
+        parent.listed = new Parent(id, old.hub(), old.linkCapacity(), old.transferCapacity(), old.startedUs(), true);
         world.list();
     }
 }
--- a/src/test/java/magpiewheel/region/RegionMessageCodecGoldenTest.java
+++ b/src/test/java/magpiewheel/region/RegionMessageCodecGoldenTest.java
@@ -8,7 +8,7 @@
 
 /** The octets of the regions' datagrams: other versions of the program read them. */
 class RegionMessageCodecGoldenTest {
-    private static final RegionMessage.Head HEAD = new RegionMessage.Head(0x01020304, 9, 1_764_576_000_123L);
+    private static final RegionMessage.Header HEAD = new RegionMessage.Header(0x01020304, 9, 1_764_576_000_123L);
 
     private static String hex(RegionMessage message) {
         return HexFormat.of().formatHex(RegionMessageCodec.encode(message));
@@ -16,17 +16,18 @@
 
     @Test
     void leaseRequest() {
-        RegionMessage.Placing placing = new RegionMessage.Placing(102, 200, List.of(1L, 2L, 3L, 4L, 5L));
+        RegionMessage.Placement placing = new RegionMessage.Placement(102, 200, List.of(1L, 2L, 3L, 4L, 5L));
         assertEquals(
                 "e1010102030400000000000000090000019ad8ecf87b0000000000000065000000000000000b0000"
                         + "00000000000c0000000d000000000000000e0000000000000066c804000000000000000100000000"
                         + "0000000200000000000000030000000000000004",
-                hex(new RegionMessage.Ask(HEAD, 101, 11, 12, 13, 14, placing)));
+                hex(new RegionMessage.LeaseRequest(HEAD, 101, 11, 12, 13, 14, placing)));
     }
 
     @Test
     void vote() {
-        RegionMessage.Opinion opinion = new RegionMessage.Opinion(101, 40_000, 0.1, 0.5, 0.9, 300, 7_000, 41_000);
+        RegionMessage.ParentReport opinion =
+                new RegionMessage.ParentReport(101, 40_000, 0.1, 0.5, 0.9, 300, 7_000, 41_000);
         RegionMessage vote =
                 new RegionMessage.Vote(HEAD, true, 3, 21, 22, 23, 1.5, 0x77L, 0.25, List.of(opinion, opinion));
         assertEquals(
@@ -40,15 +41,15 @@
     void suspicionOfTheLeader() {
         assertEquals(
                 "e1030102030400000000000000090000019ad8ecf87b000000000000006500061a8003",
-                hex(new RegionMessage.Doubt(HEAD, 101, 400_000, 3)));
+                hex(new RegionMessage.Suspicion(HEAD, 101, 400_000, 3)));
     }
 
     @Test
     void loadsAndClaims() {
-        RegionMessage words = new RegionMessage.Words(
+        RegionMessage words = new RegionMessage.DirectoryUpdate(
                 HEAD,
-                List.of(new RegionMessage.Load(2, 31, 4.5, -1), new RegionMessage.Load(3, 32, 0, 1)),
-                List.of(new RegionMessage.Claim(5, 6, 7, 8.5, 9)));
+                List.of(new RegionMessage.ZoneLoad(2, 31, 4.5, -1), new RegionMessage.ZoneLoad(3, 32, 0, 1)),
+                List.of(new RegionMessage.LeadershipClaim(5, 6, 7, 8.5, 9)));
         assertEquals(
                 "e1040102030400000000000000090000019ad8ecf87b02010002000000000000001f40900000ff00"
                         + "030000000000000020000000000100000005000000000000000600000000000000074108000000000009",
--- a/src/test/java/magpiewheel/region/RegionWorld.java
+++ b/src/test/java/magpiewheel/region/RegionWorld.java
@@ -50,13 +50,14 @@
         }
 
         void asked(long object, double weight, java.util.function.Consumer<Boolean> answer) {
-            work.removeIf(w -> w[0] <= net.now - COLD.tipAfterUs());
+            work.removeIf(w -> w[0] <= net.now - COLD.overloadWindowUs());
             work.add(new double[] {net.now, weight});
             carried.merge(net.now / 1_000_000, weight, Double::sum);
-            double age = Math.max(0, net.now - listed.startedUs() - COLD.tipAfterUs());
-            double present =
-                    listed.startedUs() == 0 ? 1 : Math.min(1, COLD.from() + (1 - COLD.from()) * age / COLD.warmUpUs());
-            double bears = COLD.multiple() * present * listed.capacity();
+            double age = Math.max(0, net.now - listed.startedUs() - COLD.overloadWindowUs());
+            double present = listed.startedUs() == 0
+                    ? 1
+                    : Math.min(1, COLD.initialShare() + (1 - COLD.initialShare()) * age / COLD.warmUpUs());
+            double bears = COLD.overloadMultiple() * present * listed.transferCapacity();
             double use = work.stream().mapToDouble(w -> w[1]).sum() / bears;
             if (present < 1) {
                 most = Math.max(most, use);
@@ -107,7 +108,7 @@
 
         void messageReceived(int from, byte[] message) {
             if (dead == 0) {
-                region.heard(local(me), from, message);
+                region.messageReceived(local(me), from, message);
             }
         }
 
@@ -215,7 +216,7 @@
     void list() {
         List<Parent> all = parents.values().stream().map(p -> p.listed).toList();
         for (Front front : fronts) {
-            front.region.parents(local(front.me), all);
+            front.region.parentsChanged(local(front.me), all);
         }
     }
 
@@ -240,8 +241,8 @@
         }
         for (long at = from; at < to; at += 500_000) {
             net.at(at, () -> {
-                view(2 * branch).load(local(2 * branch), load);
-                view(2 * branch + 1).load(local(2 * branch + 1), load);
+                view(2 * branch).zoneLoadMeasured(local(2 * branch), load);
+                view(2 * branch + 1).zoneLoadMeasured(local(2 * branch + 1), load);
             });
         }
     }
@@ -266,13 +267,13 @@
             net.at(net.now + 50_000, () -> took.add(new long[] {began, net.now - began}));
             return;
         }
-        front.region.began(now, parent.id, object, work, work);
+        front.region.fillStarted(now, parent.id, object, work, work);
         long asked = net.now;
         boolean[] over = {false};
         parent.asked(object, work, held -> {
             if (!over[0]) {
                 over[0] = true;
-                front.region.answered(local(me), parent.id, object, net.now - asked, true, held);
+                front.region.parentResponded(local(me), parent.id, object, net.now - asked, true, held);
                 double[] mean = front.latency.computeIfAbsent(parent.id, id -> new double[] {net.now - asked});
                 mean[0] += (net.now - asked - mean[0]) * 0.2;
                 took.add(new long[] {began, net.now - began});
@@ -285,7 +286,7 @@
                     firstOverdueAt = net.now;
                 }
                 front.latency.computeIfAbsent(parent.id, id -> new double[] {OVERDUE_US})[0] = 2 * OVERDUE_US;
-                front.region.overdue(local(me), parent.id, now);
+                front.region.responseOverdue(local(me), parent.id, now);
                 fill(me, object, work, parent.id, began);
             }
         });
@@ -294,7 +295,7 @@
     /** The design's own way: the faster of two parents, drawn anew or the same for an object at every front. */
     private StandIn pair(Front front, long now, long object, double work, long avoid) {
         List<StandIn> fit = new ArrayList<>(parents.values().stream()
-                .filter(p -> p.id != avoid && !p.listed.draining() && front.region.room(now, p.id, work))
+                .filter(p -> p.id != avoid && !p.listed.draining() && front.region.hasBudget(now, p.id, work))
                 .toList());
         if (way == Way.RANDOM_PAIR) {
             java.util.Collections.shuffle(fit, new java.util.Random(net.random.nextLong()));
--- a/src/test/java/magpiewheel/routing/RegionalFleetTest.java
+++ b/src/test/java/magpiewheel/routing/RegionalFleetTest.java
@@ -306,7 +306,7 @@
             rules.timerExpired(now, due.poll()[1]);
             assertTrue(++woken < 4_000, "woken " + woken + " times in " + (now - start) + " us");
         }
-        assertEquals(RouteReason.CUT_OFF.ordinal(), rules.statistics(now).get("region_verdict"));
+        assertEquals(RouteReason.ISOLATED.ordinal(), rules.statistics(now).get("region_verdict"));
     }
 
     private static List<String> decisions(List<String> all) {
