--- a/src/main/java/magpiewheel/region/DeterministicHash.java
+++ b/src/main/java/magpiewheel/region/DeterministicHash.java
@@ -2,7 +2,7 @@
 
 /** Numbers that look drawn, the same at every front. */
 final class DeterministicHash {
-    private static final double WHOLE = 1L << 53;
+    private static final double FRACTION_STEPS = 1L << 53;
 
     private DeterministicHash() {}
 
@@ -19,7 +19,7 @@
     }
 
     /** A number's place from 0 to below 1. */
-    static double place(long value) {
-        return (of(value) >>> 11) / WHOLE;
+    static double fraction(long value) {
+        return (of(value) >>> 11) / FRACTION_STEPS;
     }
 }
--- a/src/main/java/magpiewheel/region/Election.java
+++ b/src/main/java/magpiewheel/region/Election.java
@@ -38,7 +38,8 @@
         RegionMessage.Placement placement(long now, long leader);
 
         /** Fills in what this front measured. */
-        RegionMessage.Vote createVote(RegionMessage.Header head, boolean yes, long clock, long echo, long holdsTo);
+        RegionMessage.Vote createVote(
+                RegionMessage.Header header, boolean granted, long votedAt, long requestSentAt, long termHeld);
     }
 
     /**
@@ -126,88 +127,92 @@
     }
 
     /** Whether a message comes from the process that a front runs now: else it was sent before a restart. */
-    private boolean isCurrentProcess(int sender, RegionMessage.Header head) {
-        return incarnations.merge(sender, head.startedMs(), Math::max) == head.startedMs();
+    private boolean isCurrentProcess(int sender, RegionMessage.Header header) {
+        return incarnations.merge(sender, header.startedMs(), Math::max) == header.startedMs();
     }
 
     // ---------------------------------------------------------------- voting
 
     /** Whether this front votes for a leader; if it does it is bound. */
-    private boolean grantsVote(long now, int proposer, long asked, long wanted) {
-        if (now < silentUntil || asked < votedTerm || asked == votedTerm && wanted != votedLeader) {
+    private boolean grantsVote(long now, int proposer, long requestedTerm, long wantedLeader) {
+        if (now < silentUntil
+                || requestedTerm < votedTerm
+                || requestedTerm == votedTerm && wantedLeader != votedLeader) {
             return false;
         }
-        if (asked > votedTerm) {
+        if (requestedTerm > votedTerm) {
             if (currentProposer >= 0 && currentProposer != proposer && now - leaseHeardAt < LOYALTY_US) {
                 return false;
             }
-            if (promises.forbids(now, wanted, proposer)) {
+            if (promises.forbids(now, wantedLeader, proposer)) {
                 return false;
             }
-            votedTerm = asked;
-            votedLeader = wanted;
+            votedTerm = requestedTerm;
+            votedLeader = wantedLeader;
             votedSince = now;
         }
-        promises.promise(now, wanted, proposer);
-        if (lease != null && lease.leader() != wanted) {
+        promises.promise(now, wantedLeader, proposer);
+        if (lease != null && lease.leader() != wantedLeader) {
             lease = null;
         }
         return true;
     }
 
     /** A front asks for a vote. */
-    void requestReceived(long now, int sender, RegionMessage.LeaseRequest ask) {
-        long asked = ask.header().term();
-        if (ask.header().region() != region
-                || (asked & ROUTER_MASK) != sender
-                || !isCurrentProcess(sender, ask.header())
-                || (asked >>> ROUTER_BITS) > startedMs + MAX_CLOCK_LEAD_MS + (now - startedAt) / 1_000) {
+    void requestReceived(long now, int sender, RegionMessage.LeaseRequest request) {
+        long requestedTerm = request.header().term();
+        if (request.header().region() != region
+                || (requestedTerm & ROUTER_MASK) != sender
+                || !isCurrentProcess(sender, request.header())
+                || (requestedTerm >>> ROUTER_BITS) > startedMs + MAX_CLOCK_LEAD_MS + (now - startedAt) / 1_000) {
             return;
         }
-        highestTerm = Math.max(highestTerm, asked);
+        highestTerm = Math.max(highestTerm, requestedTerm);
         if (now < silentUntil) {
             proposerHeardAt = Math.max(proposerHeardAt, now);
             return;
         }
-        boolean fresh = asked > votedTerm;
-        boolean yes = grantsVote(now, sender, asked, ask.leader());
-        if (yes) {
+        boolean newTerm = requestedTerm > votedTerm;
+        boolean granted = grantsVote(now, sender, requestedTerm, request.leader());
+        if (granted) {
             if (isProposer) {
                 stepDown(now);
             }
             currentProposer = sender;
-            if (fresh || ask.remainingUs() > 0) {
+            if (newTerm || request.remainingUs() > 0) {
                 proposerHeardAt = now;
             }
-            if (ask.remainingUs() > 0) {
+            if (request.remainingUs() > 0) {
                 leaseHeardAt = now;
-                followLeader(now, ask);
+                followLeader(now, request);
             }
         }
-        RegionMessage.Header head = new RegionMessage.Header(region, asked, startedMs);
+        RegionMessage.Header header = new RegionMessage.Header(region, requestedTerm, startedMs);
         messageSender.send(
-                sender, RegionMessageCodec.encode(delegate.createVote(head, yes, now, ask.sentAt(), votedTerm)));
+                sender,
+                RegionMessageCodec.encode(delegate.createVote(header, granted, now, request.sentAt(), votedTerm)));
     }
 
     /** What is left of the holder's lease counts from this front's vote that it answers: that was before. */
-    private void followLeader(long now, RegionMessage.LeaseRequest ask) {
-        if (ask.echoedVoteAt() < Math.max(startedAt, votedSince) || ask.echoedVoteAt() > now) {
+    private void followLeader(long now, RegionMessage.LeaseRequest request) {
+        if (request.echoedVoteAt() < Math.max(startedAt, votedSince) || request.echoedVoteAt() > now) {
             return;
         }
-        long until = ask.echoedVoteAt()
-                + (long) (Math.min(ask.remainingUs(), Lease.VALIDITY_US) * Lease.CLOCK_RATE_RATIO)
+        long until = request.echoedVoteAt()
+                + (long) (Math.min(request.remainingUs(), Lease.VALIDITY_US) * Lease.CLOCK_RATE_RATIO)
                 - 1;
         if (lease != null && lease.term() == votedTerm && lease.untilUs() > until) {
             return;
         }
-        lease = new Lease(votedTerm, votedLeader, until, now - Math.max(0, ask.leadingForUs()), ask.placement());
+        lease = new Lease(
+                votedTerm, votedLeader, until, now - Math.max(0, request.leadingForUs()), request.placement());
     }
 
     // ---------------------------------------------------------------- proposing
 
-    /** Does what is due; {@code heard} are the other fronts of the region that are heard, by number. */
-    void tick(long now, Collection<Integer> heard, boolean alone) {
-        others = heard;
+    /** Does what is due; {@code runningRouters} are the other fronts of the region that are heard, by number. */
+    void tick(long now, Collection<Integer> runningRouters, boolean isolated) {
+        others = runningRouters;
         if (now < silentUntil) {
             return;
         }
@@ -217,18 +222,18 @@
                 return;
             }
             nextAttemptAt = now + Lease.RENEWAL_US;
-            long wanted = alone ? 0 : delegate.chooseLeader(now, current);
-            if (wanted != 0) {
-                propose(now, wanted);
+            long wantedLeader = isolated ? 0 : delegate.chooseLeader(now, current);
+            if (wantedLeader != 0) {
+                propose(now, wantedLeader);
             }
             return;
         }
         acquireLease(now);
-        long wanted = delegate.chooseLeader(now, leader);
-        if (wanted == 0) {
+        long wantedLeader = delegate.chooseLeader(now, leader);
+        if (wantedLeader == 0) {
             stepDown(now);
-        } else if (wanted != leader) {
-            propose(now, wanted);
+        } else if (wantedLeader != leader) {
+            propose(now, wantedLeader);
         } else if (now >= nextRequestAt) {
             if (!holdsLease && ++attempts > MAX_ATTEMPTS) {
                 stepDown(now);
@@ -239,7 +244,7 @@
     }
 
     private long takeoverAt() {
-        long before = others.stream().filter(front -> front < routerId).count();
+        long before = others.stream().filter(router -> router < routerId).count();
         return proposerHeardAt + TAKEOVER_US + before * Lease.RENEWAL_US;
     }
 
@@ -256,12 +261,12 @@
         return blocked > now ? Math.min(nextRequestAt, blocked) : nextRequestAt;
     }
 
-    private void propose(long now, long wanted) {
+    private void propose(long now, long wantedLeader) {
         long next = ((Math.max(highestTerm, votedTerm) >>> ROUTER_BITS) + 1) << ROUTER_BITS | routerId;
         if (currentProposer == routerId || now - leaseHeardAt >= LOYALTY_US) {
             currentProposer = routerId;
         }
-        if (!grantsVote(now, routerId, next, wanted)) {
+        if (!grantsVote(now, routerId, next, wantedLeader)) {
             // What this front promised to another proposer still stands.
             stepDown(now);
             return;
@@ -270,7 +275,7 @@
         isProposer = true;
         holdsLease = false;
         term = next;
-        leader = wanted;
+        leader = wantedLeader;
         leadingSince = leadingSince(now);
         termSince = now;
         attempts = 0;
@@ -300,33 +305,33 @@
         }
         acquireLease(now);
         boolean valid = holdsLease(now);
-        for (int front : others) {
-            requestVote(now, front, valid);
+        for (int router : others) {
+            requestVote(now, router, valid);
         }
     }
 
-    private void requestVote(long now, int front, boolean valid) {
-        long echo = valid ? voterClocks.getOrDefault(front, 0L) : 0;
-        long left = valid ? lease.untilUs() - now : 0;
-        if (echo != 0) {
-            grants.grant(front, leader, lease.untilUs());
+    private void requestVote(long now, int router, boolean valid) {
+        long echoedVoteAt = valid ? voterClocks.getOrDefault(router, 0L) : 0;
+        long remainingUs = valid ? lease.untilUs() - now : 0;
+        if (echoedVoteAt != 0) {
+            grants.grant(router, leader, lease.untilUs());
         }
         messageSender.send(
-                front,
+                router,
                 RegionMessageCodec.encode(new RegionMessage.LeaseRequest(
                         new RegionMessage.Header(region, term, startedMs),
                         leader,
                         now,
-                        echo,
-                        left,
+                        echoedVoteAt,
+                        remainingUs,
                         Math.max(0, now - leadingSince),
                         delegate.placement(now, leader))));
     }
 
     /** A front's word on an ask; false if it is refused: another term, before a restart, of no front of the region. */
-    boolean voteReceived(long now, int sender, RegionMessage.Vote vote, Set<Integer> branches) {
+    boolean voteReceived(long now, int sender, RegionMessage.Vote vote, Set<Integer> zones) {
         if (vote.header().region() != region
-                || !branches.contains(vote.zone())
+                || !zones.contains(vote.zone())
                 || !isCurrentProcess(sender, vote.header())) {
             return false;
         }
@@ -338,15 +343,7 @@
             return false;
         }
         if (!vote.granted()) {
-            rejections.add(sender);
-            boolean hopeless = !holdsLease && rejections.size() > routers - quorum;
-            if (hopeless || vote.votedTerm() > term) {
-                stepDown(now);
-            }
-            if (hopeless) {
-                // Two that each promised to themselves would refuse each other for good: let the promises run out.
-                proposerHeardAt = now + Lease.PROMISE_US;
-            }
+            rejected(now, sender, vote);
             return true;
         }
         if (vote.requestSentAt() < termSince || vote.requestSentAt() > now) {
@@ -357,25 +354,38 @@
                 voterClocks.merge(sender, vote.votedAt(), Math::max) == vote.votedAt() && !grants.contains(sender);
         // Its vote for this leader says that it uses no other.
         grants.votedFor(sender, leader);
-        boolean held = holdsLease(now);
+        boolean heldBefore = holdsLease(now);
         acquireLease(now);
-        if (!held && holdsLease(now)) {
+        if (!heldBefore && holdsLease(now)) {
             requestVotes(now);
-        } else if (held && first) {
+        } else if (heldBefore && first) {
             requestVote(now, sender, true);
         }
         return true;
     }
 
+    /** A router rejected the request: without a majority left, or with a higher term, another is to propose. */
+    private void rejected(long now, int sender, RegionMessage.Vote vote) {
+        rejections.add(sender);
+        boolean hopeless = !holdsLease && rejections.size() > routers - quorum;
+        if (hopeless || vote.votedTerm() > term) {
+            stepDown(now);
+        }
+        if (hopeless) {
+            // Two that each promised to themselves would reject each other for good: let the promises expire.
+            proposerHeardAt = now + Lease.PROMISE_US;
+        }
+    }
+
     /** Takes up the lease if a majority's votes carry it. */
     private void acquireLease(long now) {
         if (votes.size() < quorum || grants.othersUsedUntil(now, leader) > now) {
             holdsLease &= lease(now) != null;
             return;
         }
-        List<Long> asks =
+        List<Long> requestTimes =
                 votes.values().stream().sorted(Comparator.reverseOrder()).toList();
-        long until = asks.get(quorum - 1) + Lease.VALIDITY_US;
+        long until = requestTimes.get(quorum - 1) + Lease.VALIDITY_US;
         // An own vote stands in the majority only while it is this term's.
         if (now >= until || votedTerm != term) {
             holdsLease &= lease(now) != null;
--- a/src/main/java/magpiewheel/region/Handover.java
+++ b/src/main/java/magpiewheel/region/Handover.java
@@ -39,7 +39,7 @@
 
     /** Whether an object has moved to the leader of a term. */
     static boolean moved(long ledUs, long leader, long object) {
-        return DeterministicHash.place(DeterministicHash.of(leader, object)) < moved(ledUs);
+        return DeterministicHash.fraction(DeterministicHash.of(leader, object)) < moved(ledUs);
     }
 
     /** Work was sent to a parent. */
--- a/src/main/java/magpiewheel/region/HangDetector.java
+++ b/src/main/java/magpiewheel/region/HangDetector.java
@@ -26,36 +26,36 @@
     private final Map<Long, Suspect> suspects = new HashMap<>();
 
     /** A front has overdue answers of a parent that has been silent to it for so long. True if that convicts it. */
-    boolean suspected(long now, int front, long parent, long silentUs, int overdue) {
-        Suspect of = suspects.computeIfAbsent(parent, id -> new Suspect());
-        if (now - of.reportedAt > SUSPICION_US) {
-            of.silentSince.clear();
-            of.mostOverdue = 0;
+    boolean suspected(long now, int router, long parent, long silentUs, int overdue) {
+        Suspect suspect = suspects.computeIfAbsent(parent, id -> new Suspect());
+        if (now - suspect.reportedAt > SUSPICION_US) {
+            suspect.silentSince.clear();
+            suspect.mostOverdue = 0;
         }
-        of.reportedAt = now;
-        of.silentSince.put(front, now - silentUs);
-        of.mostOverdue = Math.max(of.mostOverdue, overdue);
-        boolean confirmed = of.silentSince.size() > 1 || of.mostOverdue > 1;
-        if (!confirmed || now < of.ejectedUntil) {
+        suspect.reportedAt = now;
+        suspect.silentSince.put(router, now - silentUs);
+        suspect.mostOverdue = Math.max(suspect.mostOverdue, overdue);
+        boolean confirmed = suspect.silentSince.size() > 1 || suspect.mostOverdue > 1;
+        if (!confirmed || now < suspect.ejectedUntil) {
             return false;
         }
-        of.ejectionUs = Math.min(MAX_EJECTION_US, Math.max(FIRST_EJECTION_US, 2 * of.ejectionUs));
-        of.ejectedUntil = now + of.ejectionUs;
+        suspect.ejectionUs = Math.min(MAX_EJECTION_US, Math.max(FIRST_EJECTION_US, 2 * suspect.ejectionUs));
+        suspect.ejectedUntil = now + suspect.ejectionUs;
         return true;
     }
 
     /** A front got an answer of the parent so long ago: who was silent only since before that is no doubt any more. */
     void responded(long at, long parent) {
-        Suspect of = suspects.get(parent);
-        if (of != null) {
-            of.silentSince.values().removeIf(since -> since < at);
-            of.mostOverdue = of.silentSince.isEmpty() ? 0 : of.mostOverdue;
+        Suspect suspect = suspects.get(parent);
+        if (suspect != null) {
+            suspect.silentSince.values().removeIf(since -> since < at);
+            suspect.mostOverdue = suspect.silentSince.isEmpty() ? 0 : suspect.mostOverdue;
         }
     }
 
     /** Whether it was found to hang a while ago at most. */
     boolean isEjected(long now, long parent) {
-        Suspect of = suspects.get(parent);
-        return of != null && now < of.ejectedUntil;
+        Suspect suspect = suspects.get(parent);
+        return suspect != null && now < suspect.ejectedUntil;
     }
 }
--- a/src/main/java/magpiewheel/region/LoadSpill.java
+++ b/src/main/java/magpiewheel/region/LoadSpill.java
@@ -36,13 +36,13 @@
     private long leader;
 
     /** A front told what it sends to the leader, and the object that most of it is for. */
-    void reported(long now, int front, double sent, long hot, double hotSent) {
-        reports.put(front, new Sent(sent, hot, hotSent, now));
+    void reported(long now, int router, double sent, long hot, double hotSent) {
+        reports.put(router, new Sent(sent, hot, hotSent, now));
     }
 
     /** What the fronts say that they send to the leader. */
     double reportedLoad(long now) {
-        reports.values().removeIf(word -> now - word.at() >= REPORT_VALID_US);
+        reports.values().removeIf(report -> now - report.at() >= REPORT_VALID_US);
         return reports.values().stream().mapToDouble(Sent::sent).sum();
     }
 
@@ -64,11 +64,11 @@
         }
         decidedAt = now;
         double sent = reportedLoad(now);
-        double use = sent / first.linkCapacity();
-        if (use > HIGH_UTILIZATION) {
+        double utilization = sent / first.linkCapacity();
+        if (utilization > HIGH_UTILIZATION) {
             placement = increase(
                     sent - TARGET_UTILIZATION * first.linkCapacity(), sent, first.linkCapacity(), second.id(), spare);
-        } else if (use < LOW_UTILIZATION && placement.second() != 0) {
+        } else if (utilization < LOW_UTILIZATION && placement.second() != 0) {
             placement = decrease();
         }
         return placement;
@@ -76,34 +76,34 @@
 
     private RegionMessage.Placement increase(double over, double sent, double carries, long second, double spare) {
         Map<Long, Double> hot = new HashMap<>();
-        reports.values().forEach(word -> {
-            if (word.hot() != 0) {
-                hot.merge(word.hot(), word.hotSent(), Double::sum);
+        reports.values().forEach(report -> {
+            if (report.hot() != 0) {
+                hot.merge(report.hot(), report.hotSent(), Double::sum);
             }
         });
-        double left = over;
-        double room = spare;
+        double excess = over;
+        double spareCapacity = spare;
         List<Long> objects = new ArrayList<>(placement.hotObjects());
         for (long object : hot.keySet().stream()
                 .sorted(Comparator.comparingDouble((Long o) -> -hot.get(o)).thenComparing(o -> o))
                 .toList()) {
             double part = hot.get(object);
-            if (left > 0
+            if (excess > 0
                     && part >= HOT_SHARE * carries
-                    && part <= room
+                    && part <= spareCapacity
                     && objects.size() < RegionMessageCodec.MAX_HOT_OBJECTS
                     && !objects.contains(object)) {
                 objects.add(object);
-                left -= part;
-                room -= part;
+                excess -= part;
+                spareCapacity -= part;
             }
         }
         int slice = placement.slice();
-        double gives = Math.min(left, room);
-        if (gives > 0 && sent > 0) {
+        double migrated = Math.min(excess, spareCapacity);
+        if (migrated > 0 && sent > 0) {
             // The slice is of all; what is still sent to the leader is all but the slice.
-            double kept = (1 - slice / ALL_SLICES) * (1 - gives / sent);
-            slice = Math.min(MAX_SLICE, (int) Math.ceil((1 - kept) * ALL_SLICES));
+            double remaining = (1 - slice / ALL_SLICES) * (1 - migrated / sent);
+            slice = Math.min(MAX_SLICE, (int) Math.ceil((1 - remaining) * ALL_SLICES));
         }
         return objects.isEmpty() && slice == 0
                 ? placement
@@ -129,6 +129,6 @@
     static boolean goesToSecond(RegionMessage.Placement placing, long object) {
         return placing.second() != 0
                 && (placing.hotObjects().contains(object)
-                        || DeterministicHash.place(object) * ALL_SLICES < placing.slice());
+                        || DeterministicHash.fraction(object) * ALL_SLICES < placing.slice());
     }
 }
--- a/src/main/java/magpiewheel/region/ParentObservations.java
+++ b/src/main/java/magpiewheel/region/ParentObservations.java
@@ -33,7 +33,7 @@
     private double hotPerS;
 
     /** An answer came, or a fill failed. */
-    void responded(long now, long tookUs, boolean ok, boolean held) {
+    void responded(long now, long tookUs, boolean ok, boolean hit) {
         if (now - respondedAt > FORGET_US) {
             samples = 0;
         }
@@ -42,20 +42,20 @@
         failureRatio += ((ok ? 0 : 1) - failureRatio) * weight;
         if (ok) {
             firstByteUs += (tookUs - firstByteUs) * weight;
-            hitRatio += ((held ? 1 : 0) - hitRatio) * weight;
+            hitRatio += ((hit ? 1 : 0) - hitRatio) * weight;
         }
         respondedAt = now;
         overdue = 0;
     }
 
     /** An answer asked for at a time is overdue; it is a doubt if nothing came since. */
-    void responseOverdue(long now, long askedAt) {
-        if (respondedAt >= askedAt) {
+    void responseOverdue(long now, long sentAt) {
+        if (respondedAt >= sentAt) {
             return;
         }
         if (suspicions(now) == 0) {
             overdue = 0;
-            suspectedSince = askedAt;
+            suspectedSince = sentAt;
         }
         overdue++;
         overdueAt = now;
--- a/src/main/java/magpiewheel/region/ParentRanking.java
+++ b/src/main/java/magpiewheel/region/ParentRanking.java
@@ -41,18 +41,18 @@
     }
 
     /** A front told what it measured. */
-    void reported(long now, int front, RegionMessage.ParentReport opinion) {
-        if (opinion.samples() > 0 || opinion.silentUs() > 0) {
-            reports.computeIfAbsent(opinion.parent(), id -> new HashMap<>()).put(front, new Said(opinion, now));
+    void reported(long now, int router, RegionMessage.ParentReport report) {
+        if (report.samples() > 0 || report.silentUs() > 0) {
+            reports.computeIfAbsent(report.parent(), id -> new HashMap<>()).put(router, new Said(report, now));
         }
     }
 
     /** What a fill from a parent costs, as the middle one of the fronts has it; NaN where nobody says. */
     double cost(long now, long parent) {
         List<Double> costs = new ArrayList<>();
-        for (Said word : reports.getOrDefault(parent, Map.of()).values()) {
-            if (now - word.at() < REPORT_VALID_US && word.opinion().samples() > 0) {
-                costs.add(cost(word.opinion()));
+        for (Said report : reports.getOrDefault(parent, Map.of()).values()) {
+            if (now - report.at() < REPORT_VALID_US && report.opinion().samples() > 0) {
+                costs.add(cost(report.opinion()));
             }
         }
         costs.sort(null);
@@ -60,28 +60,28 @@
         return count == 0 ? Double.NaN : (costs.get((count - 1) / 2) + costs.get(count / 2)) / 2;
     }
 
-    private static double cost(RegionMessage.ParentReport opinion) {
-        double full = Math.max(0, LOW_FREE_CAPACITY - opinion.freeCapacity()) / LOW_FREE_CAPACITY;
-        return opinion.firstByteUs()
-                + FAILURE_COST_US * opinion.failureRatio()
-                + MISS_COST_US * (1 - opinion.hitRatio())
+    private static double cost(RegionMessage.ParentReport report) {
+        double full = Math.max(0, LOW_FREE_CAPACITY - report.freeCapacity()) / LOW_FREE_CAPACITY;
+        return report.firstByteUs()
+                + FAILURE_COST_US * report.failureRatio()
+                + MISS_COST_US * (1 - report.hitRatio())
                 + FULL_LINK_COST_US * full;
     }
 
     /** The free part of a parent's link, by the least of the fronts' words; all of it where nobody says. */
     double freeCapacity(long now, long parent) {
         return reports.getOrDefault(parent, Map.of()).values().stream()
-                .filter(word ->
-                        now - word.at() < REPORT_VALID_US && word.opinion().samples() > 0)
-                .mapToDouble(word -> word.opinion().freeCapacity())
+                .filter(report ->
+                        now - report.at() < REPORT_VALID_US && report.opinion().samples() > 0)
+                .mapToDouble(report -> report.opinion().freeCapacity())
                 .min()
                 .orElse(1);
     }
 
     /** From the best to the worst. Of equals the one that is this region's own first: regions differ in that. */
-    List<Long> ranked(long now, List<Long> fit) {
+    List<Long> ranked(long now, List<Long> eligible) {
         Map<Long, Double> costs = new HashMap<>();
-        for (long parent : fit) {
+        for (long parent : eligible) {
             double cost = cost(now, parent);
             costs.put(parent, cost);
         }
@@ -91,7 +91,7 @@
                 .average()
                 .orElse(UNMEASURED_COST_US);
         costs.replaceAll((parent, cost) -> cost.isNaN() ? average : cost);
-        List<Long> ranked = new ArrayList<>(fit);
+        List<Long> ranked = new ArrayList<>(eligible);
         ranked.sort((one, two) -> {
             int by = Double.compare(costs.get(one), costs.get(two));
             return by != 0 ? by : Long.compare(DeterministicHash.of(region, one), DeterministicHash.of(region, two));
@@ -100,16 +100,16 @@
     }
 
     /** Who should lead: who does, unless it is not fit or another has been better by enough for long; 0 for nobody. */
-    long choose(long now, long current, List<Long> fit) {
-        if (fit.isEmpty()) {
+    long choose(long now, long current, List<Long> eligible) {
+        if (eligible.isEmpty()) {
             return 0;
         }
-        if (!fit.contains(current)) {
+        if (!eligible.contains(current)) {
             challenger = 0;
-            return ranked(now, fit).get(0);
+            return ranked(now, eligible).get(0);
         }
         double own = cost(now, current);
-        long best = fit.stream()
+        long best = eligible.stream()
                 .filter(parent -> parent != current && better(cost(now, parent), own))
                 .min((one, two) -> Double.compare(cost(now, one), cost(now, two)))
                 .orElse(0L);
--- a/src/main/java/magpiewheel/region/Region.java
+++ b/src/main/java/magpiewheel/region/Region.java
@@ -7,16 +7,16 @@
     /** The region's name between fronts: the same branches have the same, however they came together. */
     public int key() {
         long sum = DeterministicHash.of(hub);
-        for (int branch : zones) {
-            sum = DeterministicHash.of(sum, branch);
+        for (int zone : zones) {
+            sum = DeterministicHash.of(sum, zone);
         }
         return (int) sum;
     }
 
     /** Fronts that the settings name in it. */
-    int routers(int[] frontsByBranch) {
+    int routers(int[] routersByZone) {
         return zones.stream()
-                .mapToInt(b -> b < frontsByBranch.length ? frontsByBranch[b] : 0)
+                .mapToInt(b -> b < routersByZone.length ? routersByZone[b] : 0)
                 .sum();
     }
 }
--- a/src/main/java/magpiewheel/region/RegionAssignment.java
+++ b/src/main/java/magpiewheel/region/RegionAssignment.java
@@ -23,26 +23,26 @@
     private final int[] slots;
 
     private RegionAssignment(List<Region> all, int[] places) {
-        int branches = places.length;
+        int zones = places.length;
         this.slots = places;
         this.all = List.copyOf(all);
-        this.regionOf = new int[branches];
+        this.regionOf = new int[zones];
         Arrays.fill(regionOf, -1);
         for (int i = 0; i < all.size(); i++) {
-            for (int branch : all.get(i).zones()) {
-                regionOf[branch] = i;
+            for (int zone : all.get(i).zones()) {
+                regionOf[zone] = i;
             }
         }
     }
 
     /** The regions of a shape. */
-    public static RegionAssignment of(RegionTopology shape) {
+    public static RegionAssignment of(RegionTopology topology) {
         List<Region> all = new ArrayList<>();
-        int[] hubs = shape.hubByZone();
+        int[] hubs = topology.hubByZone();
         int[] places = new int[hubs.length];
         Arrays.fill(places, -1);
         for (int hub : IntStream.of(hubs).distinct().sorted().toArray()) {
-            double[] carries = shape.parents().stream()
+            double[] linkCapacities = topology.parents().stream()
                     .filter(p -> p.hub() == hub)
                     .mapToDouble(Parent::linkCapacity)
                     .map(c -> -c)
@@ -50,29 +50,31 @@
                     .map(c -> -c)
                     .toArray();
             // The order in which branches choose knows no loads: else a little more of one would move many.
-            List<Integer> branches = IntStream.range(0, hubs.length)
+            List<Integer> zones = IntStream.range(0, hubs.length)
                     .filter(b -> hubs[b] == hub)
                     .boxed()
                     .sorted(Comparator.comparingLong((Integer b) -> DeterministicHash.of(b))
                             .thenComparing(b -> b))
                     .toList();
-            all.addAll(ofHub(hub, branches, shape, carries, places));
+            all.addAll(ofHub(hub, zones, topology, linkCapacities, places));
         }
         return new RegionAssignment(all, places);
     }
 
     private static List<Region> ofHub(
-            int hub, List<Integer> branches, RegionTopology shape, double[] carries, int[] places) {
-        double[] loads = shape.loads();
-        double total = branches.stream().mapToDouble(b -> loads[b]).sum();
+            int hub, List<Integer> zones, RegionTopology topology, double[] linkCapacities, int[] places) {
+        double[] loads = topology.loads();
+        double total = zones.stream().mapToDouble(b -> loads[b]).sum();
         int had = Math.min(
-                carries.length,
-                1 + branches.stream().mapToInt(b -> shape.homeSlots()[b]).max().orElse(-1));
-        boolean fewer = had > 1 && total <= SHRINK_UTILIZATION * MAX_UTILIZATION * carries[had - 2] * (had - 1);
+                linkCapacities.length,
+                1 + zones.stream().mapToInt(b -> topology.homeSlots()[b]).max().orElse(-1));
+        boolean fewer = had > 1 && total <= SHRINK_UTILIZATION * MAX_UTILIZATION * linkCapacities[had - 2] * (had - 1);
         int[] best = new int[0];
         long placed = -1;
-        for (int count = fewer ? 1 : Math.max(1, had); count <= carries.length && placed < branches.size(); count++) {
-            int[] slots = assign(branches, shape, count, MAX_UTILIZATION * carries[count - 1]);
+        for (int count = fewer ? 1 : Math.max(1, had);
+                count <= linkCapacities.length && placed < zones.size();
+                count++) {
+            int[] slots = assign(zones, topology, count, MAX_UTILIZATION * linkCapacities[count - 1]);
             long fit = IntStream.of(slots).filter(s -> s >= 0).count();
             if (fit > placed) {
                 placed = fit;
@@ -80,12 +82,12 @@
             }
         }
         List<Region> regions = new ArrayList<>();
-        for (int slot = 0; slot < carries.length; slot++) {
+        for (int slot = 0; slot < linkCapacities.length; slot++) {
             List<Integer> mine = new ArrayList<>();
             for (int i = 0; i < best.length; i++) {
                 if (best[i] == slot) {
-                    places[branches.get(i)] = slot;
-                    mine.add(branches.get(i));
+                    places[zones.get(i)] = slot;
+                    mine.add(zones.get(i));
                 }
             }
             if (!mine.isEmpty()) {
@@ -99,26 +101,26 @@
     }
 
     /** By branch, in the given order, the slot it stays in, or falls to by rendezvous with bounded loads, or -1. */
-    private static int[] assign(List<Integer> branches, RegionTopology shape, int slots, double room) {
-        double[] loads = shape.loads();
+    private static int[] assign(List<Integer> zones, RegionTopology topology, int slots, double capacity) {
+        double[] loads = topology.loads();
         double[] taken = new double[slots];
-        int[] found = new int[branches.size()];
+        int[] found = new int[zones.size()];
         Arrays.fill(found, -1);
         for (int slot = 0; slot < slots; slot++) {
-            stay(branches, shape, slot, room, taken, found);
+            keepAtHome(zones, topology, slot, capacity, taken, found);
         }
         for (int i = 0; i < found.length; i++) {
-            int branch = branches.get(i);
+            int zone = zones.get(i);
             long first = 0;
             for (int slot = 0; slot < slots && (found[i] < 0 || first != 0); slot++) {
-                long draw = DeterministicHash.of(branch, slot);
-                if (taken[slot] + loads[branch] <= room && (found[i] < 0 || draw > first)) {
+                long draw = DeterministicHash.of(zone, slot);
+                if (taken[slot] + loads[zone] <= capacity && (found[i] < 0 || draw > first)) {
                     found[i] = slot;
                     first = draw;
                 }
             }
             if (found[i] >= 0 && first != 0) {
-                taken[found[i]] += loads[branch];
+                taken[found[i]] += loads[zone];
             }
         }
         return found;
@@ -127,31 +129,31 @@
     /**
      * Who has its home in a slot stays, but for the lightest that makes room enough, or the heaviest until there is.
      */
-    private static void stay(
-            List<Integer> branches, RegionTopology shape, int slot, double room, double[] taken, int[] found) {
-        double[] loads = shape.loads();
-        List<Integer> home = IntStream.range(0, found.length)
-                .filter(i -> shape.homeSlots()[branches.get(i)] == slot)
+    private static void keepAtHome(
+            List<Integer> zones, RegionTopology topology, int slot, double capacity, double[] taken, int[] found) {
+        double[] loads = topology.loads();
+        List<Integer> atHome = IntStream.range(0, found.length)
+                .filter(i -> topology.homeSlots()[zones.get(i)] == slot)
                 .boxed()
-                .sorted(Comparator.comparingDouble((Integer i) -> loads[branches.get(i)]))
+                .sorted(Comparator.comparingDouble((Integer i) -> loads[zones.get(i)]))
                 .collect(Collectors.toList());
-        double sum = home.stream().mapToDouble(i -> loads[branches.get(i)]).sum();
-        while (sum > room) {
-            double over = sum - room;
-            int goes = home.stream()
-                    .filter(i -> loads[branches.get(i)] >= over)
+        double sum = atHome.stream().mapToDouble(i -> loads[zones.get(i)]).sum();
+        while (sum > capacity) {
+            double over = sum - capacity;
+            int displaced = atHome.stream()
+                    .filter(i -> loads[zones.get(i)] >= over)
                     .findFirst()
-                    .orElse(home.get(home.size() - 1));
-            home.remove((Integer) goes);
-            sum = home.stream().mapToDouble(i -> loads[branches.get(i)]).sum();
+                    .orElse(atHome.get(atHome.size() - 1));
+            atHome.remove((Integer) displaced);
+            sum = atHome.stream().mapToDouble(i -> loads[zones.get(i)]).sum();
         }
-        home.forEach(i -> found[i] = slot);
+        atHome.forEach(i -> found[i] = slot);
         taken[slot] = sum;
     }
 
     /** The place of a branch on its hub, its home from now on; -1 for none. */
-    int slot(int branch) {
-        return slots[branch];
+    int slot(int zone) {
+        return slots[zone];
     }
 
     /** All regions, by hub. */
@@ -160,8 +162,8 @@
     }
 
     /** The region of a branch, or null. */
-    public Region of(int branch) {
-        return branch < 0 || branch >= regionOf.length || regionOf[branch] < 0 ? null : all.get(regionOf[branch]);
+    public Region of(int zone) {
+        return zone < 0 || zone >= regionOf.length || regionOf[zone] < 0 ? null : all.get(regionOf[zone]);
     }
 
     /**
--- a/src/main/java/magpiewheel/region/RegionDirectory.java
+++ b/src/main/java/magpiewheel/region/RegionDirectory.java
@@ -44,25 +44,25 @@
     }
 
     /** A branch's place is told by its first front; true if that is news. */
-    boolean setHomeSlot(int branch, int place) {
-        if (homeSlots[branch] == place) {
+    boolean setHomeSlot(int zone, int place) {
+        if (homeSlots[zone] == place) {
             return false;
         }
-        homeSlots[branch] = place;
-        versions[branch]++;
+        homeSlots[zone] = place;
+        versions[zone]++;
         return true;
     }
 
     /** The load of a branch was measured by the front that tells it; true if that is news. */
-    boolean loadMeasured(long now, int branch, double load) {
-        boolean differs = Math.abs(load - loads[branch]) > SIGNIFICANT_CHANGE * Math.max(loads[branch], 1e-9);
+    boolean loadMeasured(long now, int zone, double load) {
+        boolean differs = Math.abs(load - loads[zone]) > SIGNIFICANT_CHANGE * Math.max(loads[zone], 1e-9);
         differsSince = differs ? Math.min(differsSince, now) : Long.MAX_VALUE;
         if (!differs || now - differsSince < CHANGE_HOLDS_US) {
             return false;
         }
         differsSince = Long.MAX_VALUE;
-        loads[branch] = (float) load;
-        versions[branch]++;
+        loads[zone] = (float) load;
+        versions[zone]++;
         return true;
     }
 
@@ -72,24 +72,24 @@
     }
 
     /** Takes in what another front says; true if a load is news. */
-    boolean merge(long now, RegionMessage.DirectoryUpdate words) {
-        boolean news = false;
-        for (RegionMessage.ZoneLoad load : words.loads()) {
-            int branch = load.zone();
+    boolean merge(long now, RegionMessage.DirectoryUpdate update) {
+        boolean changed = false;
+        for (RegionMessage.ZoneLoad load : update.loads()) {
+            int zone = load.zone();
             // Equal versions of two tellers: the greater load, then place, so that all come to the same.
-            if (branch < loads.length
-                    && (load.version() > versions[branch]
-                            || load.version() == versions[branch]
+            if (zone < loads.length
+                    && (load.version() > versions[zone]
+                            || load.version() == versions[zone]
                                     && load.version() > 0
-                                    && (load.load() > loads[branch]
-                                            || load.load() == loads[branch] && load.homeSlot() > homeSlots[branch]))) {
-                versions[branch] = load.version();
-                news |= loads[branch] != load.load() || homeSlots[branch] != load.homeSlot();
-                homeSlots[branch] = load.homeSlot();
-                loads[branch] = load.load();
+                                    && (load.load() > loads[zone]
+                                            || load.load() == loads[zone] && load.homeSlot() > homeSlots[zone]))) {
+                versions[zone] = load.version();
+                changed |= loads[zone] != load.load() || homeSlots[zone] != load.homeSlot();
+                homeSlots[zone] = load.homeSlot();
+                loads[zone] = load.load();
             }
         }
-        for (RegionMessage.LeadershipClaim claim : words.claims()) {
+        for (RegionMessage.LeadershipClaim claim : update.claims()) {
             Claimed old = claims.get(claim.region());
             long at = now - claim.agoUs();
             if (old == null
@@ -99,29 +99,31 @@
             }
         }
         claims.values().removeIf(claimed -> now - claimed.at() > CLAIM_VALID_US);
-        return news;
+        return changed;
     }
 
     /**
-     * What other regions have a parent lead, as far as is known; {@code before} counts only those that go before a
-     * region.
+     * What other regions have a parent lead, as far as is known; {@code lowerKeysOnly} counts only those that go before
+     * a region.
      */
-    double claimedLoad(long now, long parent, int region, boolean before) {
+    double claimedLoad(long now, long parent, int region, boolean lowerKeysOnly) {
         return claims.values().stream()
                 .filter(c -> c.claim().leader() == parent
                         && now - c.at() <= CLAIM_VALID_US
-                        && (before ? c.claim().region() < region : c.claim().region() != region))
+                        && (lowerKeysOnly
+                                ? c.claim().region() < region
+                                : c.claim().region() != region))
                 .mapToDouble(c -> c.claim().load())
                 .sum();
     }
 
     /** The next words to tell, in turn. */
     RegionMessage.DirectoryUpdate nextUpdate(long now, RegionMessage.Header head) {
-        List<RegionMessage.ZoneLoad> told = new ArrayList<>();
-        for (int i = 0; i < loads.length && told.size() < RegionMessageCodec.MAX_LOADS; i++) {
-            int branch = nextLoad++ % loads.length;
-            if (versions[branch] > 0) {
-                told.add(new RegionMessage.ZoneLoad(branch, versions[branch], loads[branch], homeSlots[branch]));
+        List<RegionMessage.ZoneLoad> announced = new ArrayList<>();
+        for (int i = 0; i < loads.length && announced.size() < RegionMessageCodec.MAX_LOADS; i++) {
+            int zone = nextLoad++ % loads.length;
+            if (versions[zone] > 0) {
+                announced.add(new RegionMessage.ZoneLoad(zone, versions[zone], loads[zone], homeSlots[zone]));
             }
         }
         List<Claimed> live = claims.values().stream()
@@ -134,6 +136,6 @@
             claimed.add(new RegionMessage.LeadershipClaim(
                     claim.region(), claim.term(), claim.leader(), claim.load(), now - one.at()));
         }
-        return new RegionMessage.DirectoryUpdate(head, told, claimed);
+        return new RegionMessage.DirectoryUpdate(head, announced, claimed);
     }
 }
--- a/src/main/java/magpiewheel/region/RegionMessageCodec.java
+++ b/src/main/java/magpiewheel/region/RegionMessageCodec.java
@@ -17,10 +17,10 @@
     static final int MAX_HOT_OBJECTS = 4;
     static final int MAX_LOADS = 7;
     static final int MAX_CLAIMS = 3;
-    private static final int ASK = 1;
+    private static final int LEASE_REQUEST = 1;
     private static final int VOTE = 2;
-    private static final int DOUBT = 3;
-    private static final int WORDS = 4;
+    private static final int SUSPICION = 3;
+    private static final int DIRECTORY_UPDATE = 4;
     private static final int MAX_BYTE = 255;
     private static final long ANSWERED_STEP_US = 20_000;
 
@@ -29,22 +29,23 @@
     static byte[] encode(RegionMessage message) {
         ByteBuffer at = ByteBuffer.allocate(MAX_MESSAGE_BYTES);
         int kind = message instanceof RegionMessage.LeaseRequest
-                ? ASK
+                ? LEASE_REQUEST
                 : message instanceof RegionMessage.Vote
                         ? VOTE
-                        : message instanceof RegionMessage.Suspicion ? DOUBT : WORDS;
+                        : message instanceof RegionMessage.Suspicion ? SUSPICION : DIRECTORY_UPDATE;
         at.put(MARK).put((byte) kind);
         at.putInt(message.header().region())
                 .putLong(message.header().term())
                 .putLong(message.header().startedMs());
-        if (message instanceof RegionMessage.LeaseRequest ask) {
-            at.putLong(ask.leader())
-                    .putLong(ask.sentAt())
-                    .putLong(ask.echoedVoteAt())
-                    .putInt(whole(ask.remainingUs()));
-            at.putLong(ask.leadingForUs()).putLong(ask.placement().second()).put((byte)
-                    ask.placement().slice());
-            List<Long> hot = first(ask.placement().hotObjects(), MAX_HOT_OBJECTS);
+        if (message instanceof RegionMessage.LeaseRequest request) {
+            at.putLong(request.leader())
+                    .putLong(request.sentAt())
+                    .putLong(request.echoedVoteAt())
+                    .putInt(toInt(request.remainingUs()));
+            at.putLong(request.leadingForUs())
+                    .putLong(request.placement().second())
+                    .put((byte) request.placement().slice());
+            List<Long> hot = first(request.placement().hotObjects(), MAX_HOT_OBJECTS);
             at.put((byte) hot.size());
             hot.forEach(at::putLong);
         } else if (message instanceof RegionMessage.Vote vote) {
@@ -58,25 +59,24 @@
                     .putFloat((float) vote.hotSentPerS());
             List<RegionMessage.ParentReport> opinions = first(vote.reports(), MAX_REPORTS);
             at.put((byte) opinions.size());
-            for (RegionMessage.ParentReport opinion : opinions) {
-                at.putLong(opinion.parent())
-                        .putInt(whole(opinion.firstByteUs()))
-                        .put(small(opinion.failureRatio()));
-                at.put(small(opinion.freeCapacity())).put(small(opinion.hitRatio()));
-                at.put((byte) Math.min(MAX_BYTE, opinion.samples())).putInt(whole(opinion.silentUs()));
-                at.put((byte) Math.min(MAX_BYTE, opinion.answeredAgoUs() / ANSWERED_STEP_US));
+            for (RegionMessage.ParentReport report : opinions) {
+                at.putLong(report.parent()).putInt(toInt(report.firstByteUs())).put(toByte(report.failureRatio()));
+                at.put(toByte(report.freeCapacity())).put(toByte(report.hitRatio()));
+                at.put((byte) Math.min(MAX_BYTE, report.samples())).putInt(toInt(report.silentUs()));
+                at.put((byte) Math.min(MAX_BYTE, report.answeredAgoUs() / ANSWERED_STEP_US));
             }
-        } else if (message instanceof RegionMessage.Suspicion doubt) {
-            at.putLong(doubt.leader()).putInt(whole(doubt.silentUs())).put((byte) Math.min(MAX_BYTE, doubt.overdue()));
-        } else if (message instanceof RegionMessage.DirectoryUpdate words) {
-            at.put((byte) words.loads().size()).put((byte) words.claims().size());
-            for (RegionMessage.ZoneLoad load : words.loads()) {
+        } else if (message instanceof RegionMessage.Suspicion suspicion) {
+            at.putLong(suspicion.leader()).putInt(toInt(suspicion.silentUs())).put((byte)
+                    Math.min(MAX_BYTE, suspicion.overdue()));
+        } else if (message instanceof RegionMessage.DirectoryUpdate update) {
+            at.put((byte) update.loads().size()).put((byte) update.claims().size());
+            for (RegionMessage.ZoneLoad load : update.loads()) {
                 at.putShort((short) load.zone()).putLong(load.version()).putFloat((float) load.load());
                 at.put((byte) load.homeSlot());
             }
-            for (RegionMessage.LeadershipClaim claim : words.claims()) {
+            for (RegionMessage.LeadershipClaim claim : update.claims()) {
                 at.putInt(claim.region()).putLong(claim.term()).putLong(claim.leader());
-                at.putFloat((float) claim.load()).putInt(whole(claim.agoUs()));
+                at.putFloat((float) claim.load()).putInt(toInt(claim.agoUs()));
             }
         }
         return Arrays.copyOf(at.array(), at.position());
@@ -90,13 +90,13 @@
         ByteBuffer at = ByteBuffer.wrap(bytes).position(1);
         try {
             int kind = at.get();
-            RegionMessage.Header head = new RegionMessage.Header(at.getInt(), at.getLong(), at.getLong());
+            RegionMessage.Header header = new RegionMessage.Header(at.getInt(), at.getLong(), at.getLong());
             RegionMessage message = switch (kind) {
-                case ASK -> ask(head, at);
-                case VOTE -> vote(head, at);
-                case DOUBT ->
-                    new RegionMessage.Suspicion(head, at.getLong(), at.getInt(), Byte.toUnsignedInt(at.get()));
-                case WORDS -> words(head, at);
+                case LEASE_REQUEST -> leaseRequest(header, at);
+                case VOTE -> vote(header, at);
+                case SUSPICION ->
+                    new RegionMessage.Suspicion(header, at.getLong(), at.getInt(), Byte.toUnsignedInt(at.get()));
+                case DIRECTORY_UPDATE -> directoryUpdate(header, at);
                 default -> null;
             };
             return at.hasRemaining() ? null : message;
@@ -105,11 +105,11 @@
         }
     }
 
-    private static RegionMessage.LeaseRequest ask(RegionMessage.Header head, ByteBuffer at) {
+    private static RegionMessage.LeaseRequest leaseRequest(RegionMessage.Header header, ByteBuffer at) {
         long leader = at.getLong();
         long clock = at.getLong();
         long echo = at.getLong();
-        long left = at.getInt();
+        long remaining = at.getInt();
         long age = at.getLong();
         long second = at.getLong();
         int slice = Byte.toUnsignedInt(at.get());
@@ -118,10 +118,10 @@
             hot.add(at.getLong());
         }
         return new RegionMessage.LeaseRequest(
-                head, leader, clock, echo, left, age, new RegionMessage.Placement(second, slice, hot));
+                header, leader, clock, echo, remaining, age, new RegionMessage.Placement(second, slice, hot));
     }
 
-    private static RegionMessage.Vote vote(RegionMessage.Header head, ByteBuffer at) {
+    private static RegionMessage.Vote vote(RegionMessage.Header header, ByteBuffer at) {
         boolean yes = at.get() == 1;
         int branch = Short.toUnsignedInt(at.getShort());
         long clock = at.getLong();
@@ -135,22 +135,22 @@
             opinions.add(new RegionMessage.ParentReport(
                     at.getLong(),
                     at.getInt(),
-                    part(at),
-                    part(at),
-                    part(at),
+                    fromByte(at),
+                    fromByte(at),
+                    fromByte(at),
                     Byte.toUnsignedInt(at.get()),
                     at.getInt(),
                     Byte.toUnsignedInt(at.get()) * ANSWERED_STEP_US));
         }
-        return new RegionMessage.Vote(head, yes, branch, clock, echo, holdsTo, sent, hot, hotSent, opinions);
+        return new RegionMessage.Vote(header, yes, branch, clock, echo, holdsTo, sent, hot, hotSent, opinions);
     }
 
-    private static RegionMessage.DirectoryUpdate words(RegionMessage.Header head, ByteBuffer at) {
-        int loads = Byte.toUnsignedInt(at.get());
+    private static RegionMessage.DirectoryUpdate directoryUpdate(RegionMessage.Header header, ByteBuffer at) {
+        int loadCount = Byte.toUnsignedInt(at.get());
         int claims = Byte.toUnsignedInt(at.get());
-        List<RegionMessage.ZoneLoad> told = new ArrayList<>();
-        for (int i = 0; i < loads; i++) {
-            told.add(
+        List<RegionMessage.ZoneLoad> loads = new ArrayList<>();
+        for (int i = 0; i < loadCount; i++) {
+            loads.add(
                     new RegionMessage.ZoneLoad(Short.toUnsignedInt(at.getShort()), at.getLong(), amount(at), at.get()));
         }
         List<RegionMessage.LeadershipClaim> claimed = new ArrayList<>();
@@ -158,18 +158,18 @@
             claimed.add(new RegionMessage.LeadershipClaim(
                     at.getInt(), at.getLong(), at.getLong(), amount(at), at.getInt()));
         }
-        return new RegionMessage.DirectoryUpdate(head, told, claimed);
+        return new RegionMessage.DirectoryUpdate(header, loads, claimed);
     }
 
     private static <T> List<T> first(List<T> list, int most) {
         return list.subList(0, Math.min(most, list.size()));
     }
 
-    private static byte small(double part) {
+    private static byte toByte(double part) {
         return (byte) Math.round(Math.max(0, Math.min(1, part)) * MAX_BYTE);
     }
 
-    private static double part(ByteBuffer at) {
+    private static double fromByte(ByteBuffer at) {
         return Byte.toUnsignedInt(at.get()) / (double) MAX_BYTE;
     }
 
@@ -182,7 +182,7 @@
         return amount;
     }
 
-    private static int whole(long us) {
+    private static int toInt(long us) {
         return (int) Math.max(0, Math.min(Integer.MAX_VALUE, us));
     }
 }
--- a/src/main/java/magpiewheel/region/RegionMessageSender.java
+++ b/src/main/java/magpiewheel/region/RegionMessageSender.java
@@ -3,5 +3,5 @@
 /** Where the messages of a region go. It may not wait. */
 public interface RegionMessageSender {
     /** One datagram of at most 256 bytes to a front. */
-    void send(int front, byte[] message);
+    void send(int router, byte[] message);
 }
--- a/src/test/java/magpiewheel/staleness/StalenessFigures.java
+++ b/src/test/java/magpiewheel/staleness/StalenessFigures.java
@@ -32,10 +32,10 @@
     }
 
     private static void histories(int histories) {
-        for (StalenessWorld.Fault fault : StalenessWorld.Fault.values()) {
-            StalenessWorld.Tally sum = new StalenessWorld.Tally();
+        for (HistoryFault fault : HistoryFault.values()) {
+            StalenessTally sum = new StalenessTally();
             for (long seed = 1; seed <= histories; seed++) {
-                sum.add(new StalenessWorld(seed, fault, StalenessWorld.Hints.PINS).play(20));
+                sum.add(new StalenessWorld(seed, fault, HintUse.PINS).play(20));
             }
             System.out.printf(
                     "| %s | %d | %d | %d | %d | %d | %.4f | %.4f | %.4f | %.4f | %d | %.1f |%n",
@@ -59,12 +59,11 @@
 
     /** The same seeds without hints, with bounds and marks alone, and with pins. */
     private static void hits(int histories) {
-        for (StalenessWorld.Fault fault :
-                List.of(StalenessWorld.Fault.NONE, StalenessWorld.Fault.CACHES, StalenessWorld.Fault.ALL)) {
-            for (StalenessWorld.Hints hints : StalenessWorld.Hints.values()) {
+        for (HistoryFault fault : List.of(HistoryFault.NONE, HistoryFault.CACHES, HistoryFault.ALL)) {
+            for (HintUse hints : HintUse.values()) {
                 double[] shares = LongStream.rangeClosed(1, histories)
                         .mapToDouble(seed -> {
-                            StalenessWorld.Tally tally = new StalenessWorld(seed, fault, hints).play(20);
+                            StalenessTally tally = new StalenessWorld(seed, fault, hints).play(20);
                             return 1.0 * tally.hits / tally.answers;
                         })
                         .toArray();
--- a/src/test/java/magpiewheel/staleness/StalenessFingerprintTest.java
+++ b/src/test/java/magpiewheel/staleness/StalenessFingerprintTest.java
@@ -18,8 +18,8 @@
         "5, LATE_PURGES, 10620:6c15aabc04a7b560",
         "6, ALL, 7684:7f2532eda95cd4ae"
     })
-    void history(long seed, StalenessWorld.Fault fault, String fingerprint) {
-        StalenessWorld world = new StalenessWorld(seed, fault, StalenessWorld.Hints.PINS);
+    void history(long seed, HistoryFault fault, String fingerprint) {
+        StalenessWorld world = new StalenessWorld(seed, fault, HintUse.PINS);
         world.play(SECONDS);
         assertEquals(fingerprint, world.actions.toString());
     }
--- a/src/test/java/magpiewheel/staleness/StalenessProperties.java
+++ b/src/test/java/magpiewheel/staleness/StalenessProperties.java
@@ -15,30 +15,29 @@
 class StalenessProperties {
     private static final int HISTORIES = Integer.getInteger("pins.histories", 4);
     private static final long SECONDS = 20;
-    private static final Map<StalenessWorld.Fault, List<StalenessWorld.Tally>> PLAYED =
-            new EnumMap<>(StalenessWorld.Fault.class);
+    private static final Map<HistoryFault, List<StalenessTally>> PLAYED = new EnumMap<>(HistoryFault.class);
 
-    private static synchronized List<StalenessWorld.Tally> played(StalenessWorld.Fault fault) {
+    private static synchronized List<StalenessTally> played(HistoryFault fault) {
         return PLAYED.computeIfAbsent(fault, key -> {
-            List<StalenessWorld.Tally> all = new ArrayList<>();
+            List<StalenessTally> all = new ArrayList<>();
             for (long seed = 1; seed <= HISTORIES; seed++) {
-                all.add(new StalenessWorld(seed, fault, StalenessWorld.Hints.PINS).play(SECONDS));
+                all.add(new StalenessWorld(seed, fault, HintUse.PINS).play(SECONDS));
             }
             return all;
         });
     }
 
     /** Nothing of a kind in any history; the first that has some is named by its seed. */
-    private static void none(StalenessWorld.Fault fault, Function<StalenessWorld.Tally, List<String>> kind) {
-        List<StalenessWorld.Tally> all = played(fault);
+    private static void none(HistoryFault fault, Function<StalenessTally, List<String>> kind) {
+        List<StalenessTally> all = played(fault);
         for (int i = 0; i < all.size(); i++) {
             assertEquals(List.of(), kind.apply(all.get(i)), fault + ", seed " + (i + 1));
         }
     }
 
     @ParameterizedTest
-    @EnumSource(StalenessWorld.Fault.class)
-    void noReadIsBeyondItsBoundOrMark(StalenessWorld.Fault fault) {
+    @EnumSource(HistoryFault.class)
+    void noReadIsBeyondItsBoundOrMark(HistoryFault fault) {
         none(fault, tally -> tally.beyond);
         long served =
                 played(fault).stream().mapToLong(tally -> tally.strictServed).sum();
@@ -46,31 +45,30 @@
     }
 
     @ParameterizedTest
-    @EnumSource(StalenessWorld.Fault.class)
-    void noSessionGoesBack(StalenessWorld.Fault fault) {
+    @EnumSource(HistoryFault.class)
+    void noSessionGoesBack(HistoryFault fault) {
         none(fault, tally -> tally.back);
     }
 
     @ParameterizedTest
-    @EnumSource(StalenessWorld.Fault.class)
-    void noStrictReadIsOlderThanAPurgeThatWasTold(StalenessWorld.Fault fault) {
+    @EnumSource(HistoryFault.class)
+    void noStrictReadIsOlderThanAPurgeThatWasTold(HistoryFault fault) {
         none(fault, tally -> tally.purged);
     }
 
     @ParameterizedTest
-    @EnumSource(StalenessWorld.Fault.class)
-    void noAgeIsToldTooSmall(StalenessWorld.Fault fault) {
+    @EnumSource(HistoryFault.class)
+    void noAgeIsToldTooSmall(HistoryFault fault) {
         none(fault, tally -> tally.odd);
         assertTrue(
-                fault != StalenessWorld.Fault.CLOCKS
-                        || played(fault).stream().anyMatch(tally -> tally.preferredOld > 0),
+                fault != HistoryFault.CLOCKS || played(fault).stream().anyMatch(tally -> tally.preferredOld > 0),
                 "none told");
     }
 
     @ParameterizedTest
-    @EnumSource(StalenessWorld.Fault.class)
-    void datagramsAreSmallAndFew(StalenessWorld.Fault fault) {
-        for (StalenessWorld.Tally tally : played(fault)) {
+    @EnumSource(HistoryFault.class)
+    void datagramsAreSmallAndFew(HistoryFault fault) {
+        for (StalenessTally tally : played(fault)) {
             assertTrue(tally.mostBytes <= 256, "a message of " + tally.mostBytes);
             assertTrue(tally.sent <= 40 * SECONDS * StalenessWorld.FRONTS, tally.sent + " messages");
         }
@@ -78,9 +76,9 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = StalenessWorld.Fault.class,
+            value = HistoryFault.class,
             names = {"NONE", "LOSS", "SPLIT", "KILLED", "LATE_PURGES", "CACHES"})
-    void fewStrictReadsAreRefusedWhereClocksAndBoardAreWell(StalenessWorld.Fault fault) {
+    void fewStrictReadsAreRefusedWhereClocksAndBoardAreWell(HistoryFault fault) {
         long strict = played(fault).stream().mapToLong(tally -> tally.strict).sum();
         long refused =
                 played(fault).stream().mapToLong(tally -> tally.strictRefused).sum();
@@ -90,10 +88,10 @@
     /** Fronts begin without the origin's clock; the first strict reads go for it, and hardly any after them. */
     @ParameterizedTest
     @EnumSource(
-            value = StalenessWorld.Fault.class,
+            value = HistoryFault.class,
             names = {"NONE", "LATE_PURGES", "CACHES"})
-    void fewReadsGoToTheOriginForItsClock(StalenessWorld.Fault fault) {
-        for (StalenessWorld.Tally tally : played(fault)) {
+    void fewReadsGoToTheOriginForItsClock(HistoryFault fault) {
+        for (StalenessTally tally : played(fault)) {
             assertTrue(tally.learning > 0 && tally.learning <= 2 * StalenessWorld.FRONTS, tally.learning + " went");
         }
     }
--- a/src/test/java/magpiewheel/staleness/StalenessWorld.java
+++ b/src/test/java/magpiewheel/staleness/StalenessWorld.java
@@ -19,64 +19,6 @@
  * an answer is right is judged by the origin's own clock and versions, which no front sees.
  */
 final class StalenessWorld {
-    /** What goes wrong in a history. */
-    enum Fault {
-        NONE,
-        LOSS,
-        SPLIT,
-        KILLED,
-        PAUSED,
-        LATE_PURGES,
-        BOARD,
-        CLOCKS,
-        CACHES,
-        ALL
-    }
-
-    /** What of the reads' hints counts: nothing, bounds and marks, or these with pins. */
-    enum Hints {
-        NONE,
-        BOUNDS,
-        PINS
-    }
-
-    /** One history: what is asked of it and what came of it. */
-    static final class Tally {
-        long strict;
-        long strictServed;
-        long strictRefused;
-        long atOnce;
-        /** Reads that went to the origin itself for want of its clock. */
-        long learning;
-
-        long preferred;
-        long preferredOld;
-        long hits;
-        long answers;
-        final List<String> beyond = new ArrayList<>();
-        final List<String> back = new ArrayList<>();
-        final List<String> purged = new ArrayList<>();
-        final List<String> odd = new ArrayList<>();
-        long sent;
-        long mostBytes;
-        long ties;
-
-        void add(Tally one) {
-            strict += one.strict;
-            strictServed += one.strictServed;
-            strictRefused += one.strictRefused;
-            atOnce += one.atOnce;
-            learning += one.learning;
-            preferred += one.preferred;
-            preferredOld += one.preferredOld;
-            sent += one.sent;
-            ties += one.ties;
-            beyond.addAll(one.beyond);
-            back.addAll(one.back);
-            purged.addAll(one.purged);
-            odd.addAll(one.odd);
-        }
-    }
 
     static final int FRONTS = 5;
     static final int CACHES = 4;
@@ -101,8 +43,8 @@
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
     private final SplittableRandom random;
-    private final Fault fault;
-    private final Hints hints;
+    private final HistoryFault fault;
+    private final HintUse hints;
     private long numbers;
     private long now;
     private final long originOff;
@@ -116,11 +58,11 @@
     /** Purges in the order of their publication. */
     private final List<long[]> published = new ArrayList<>();
 
-    final Tally tally = new Tally();
+    final StalenessTally tally = new StalenessTally();
     /** Of all messages between fronts, attempts and replies, with their times. */
     final Fingerprint actions = new Fingerprint();
 
-    StalenessWorld(long seed, Fault fault, Hints hints) {
+    StalenessWorld(long seed, HistoryFault fault, HintUse hints) {
         random = new SplittableRandom(seed);
         this.fault = fault;
         this.hints = hints;
@@ -139,8 +81,8 @@
         }
     }
 
-    private boolean has(Fault one) {
-        return fault == one || fault == Fault.ALL;
+    private boolean has(HistoryFault one) {
+        return fault == one || fault == HistoryFault.ALL;
     }
 
     private long spread(long most) {
@@ -168,11 +110,11 @@
     }
 
     private boolean lost() {
-        return has(Fault.LOSS) && random.nextInt(10) == 0;
+        return has(HistoryFault.LOSS) && random.nextInt(10) == 0;
     }
 
     /** Plays some seconds. */
-    Tally play(long seconds) {
+    StalenessTally play(long seconds) {
         for (int i = 0; i < SESSIONS; i++) {
             Session session = new Session(i);
             after(random.nextLong(1_000 * MS) + 2_500 * MS, session::next);
@@ -188,30 +130,30 @@
     }
 
     private void schedule() {
-        if (has(Fault.SPLIT)) {
+        if (has(HistoryFault.SPLIT)) {
             every(9_000 * MS, this::split);
         }
-        if (has(Fault.KILLED)) {
+        if (has(HistoryFault.KILLED)) {
             every(3_000 * MS, () -> {
                 Front front = fronts[random.nextInt(FRONTS)];
                 front.kill();
                 after(100 * MS + random.nextLong(2_000 * MS), front::start);
             });
         }
-        if (has(Fault.PAUSED)) {
+        if (has(HistoryFault.PAUSED)) {
             every(2_500 * MS, () -> {
                 Front front = fronts[random.nextInt(FRONTS)];
                 front.paused = true;
                 after(50 * MS + random.nextLong(3_500 * MS), front::resume);
             });
         }
-        if (has(Fault.BOARD)) {
+        if (has(HistoryFault.BOARD)) {
             every(4_000 * MS, () -> {
                 Front front = fronts[random.nextInt(FRONTS)];
                 front.boardCut = now + 1_000 * MS + random.nextLong(9_000 * MS);
             });
         }
-        if (has(Fault.CACHES)) {
+        if (has(HistoryFault.CACHES)) {
             every(5_000 * MS, () -> {
                 Node node = nodes.get(1L + random.nextInt(CACHES));
                 if (nodes.values().stream().noneMatch(one -> one.draining || one.gone)) {
@@ -244,7 +186,7 @@
     private void purge() {
         int object = 1 + random.nextInt(OBJECTS);
         long at = originClock() / MS * MS;
-        long late = has(Fault.LATE_PURGES) ? random.nextLong(5_000 * MS) : random.nextLong(20 * MS);
+        long late = has(HistoryFault.LATE_PURGES) ? random.nextLong(5_000 * MS) : random.nextLong(20 * MS);
         after(late, () -> {
             published.add(new long[] {object, at, now});
             // Nodes drop what is older by themselves, some time later.
@@ -257,7 +199,7 @@
     /** A cache or a parent. */
     private final class Node {
         final long id;
-        final long off = EPOCH + (has(Fault.CLOCKS) ? spread(400 * MS) : spread(5 * MS));
+        final long off = EPOCH + (has(HistoryFault.CLOCKS) ? spread(400 * MS) : spread(5 * MS));
         final Map<Integer, Copy> held = new HashMap<>();
         final Map<Integer, List<Consumer<Answer>>> filling = new HashMap<>();
         boolean draining;
@@ -371,7 +313,7 @@
         Front(int me) {
             this.me = me;
             off = EPOCH + spread(400 * MS);
-            rate = 1 + (random.nextDouble() * 2 - 1) * (has(Fault.CLOCKS) ? 600e-6 : 100e-6);
+            rate = 1 + (random.nextDouble() * 2 - 1) * (has(HistoryFault.CLOCKS) ? 600e-6 : 100e-6);
             start();
         }
 
@@ -744,7 +686,7 @@
                     count(hint);
                     Map<Integer, Integer> before = new HashMap<>(seen);
                     asked.run(() -> asked.read(
-                            hints == Hints.NONE ? ReadHint.NONE : hint,
+                            hints == HintUse.NONE ? ReadHint.NONE : hint,
                             object,
                             reply -> after(
                                     way(),
@@ -754,7 +696,7 @@
         }
 
         private ReadHint hint(int object) {
-            long pin = hints == Hints.PINS ? id : 0;
+            long pin = hints == HintUse.PINS ? id : 0;
             long mark = marks.getOrDefault(object, 0L);
             long most = List.of(100L, 500L, 1_500L, 5_000L).get((int) (id / 6 % 4)) * MS;
             return switch (kind) {
@@ -791,7 +733,7 @@
                 tally.hits += reply.hit() ? 1 : 0;
                 tally.strictServed += hint.strict() ? 1 : 0;
                 tally.preferredOld += reply.aged() != 0 ? 1 : 0;
-                if (hints != Hints.NONE) {
+                if (hints != HintUse.NONE) {
                     check(object, hint, came, before, reply);
                 }
                 seen.merge(object, reply.copy().version(), Math::max);
