--- a/src/main/java/magpiewheel/region/DeterministicHash.java
+++ b/src/main/java/magpiewheel/region/DeterministicHash.java
@@ -1,6 +1,6 @@
 package magpiewheel.region;
 
-/** Numbers that look drawn, the same at every front. */
+/** Hashes that look random, and are the same at every router. */
 final class DeterministicHash {
     private static final double FRACTION_STEPS = 1L << 53;
 
@@ -18,7 +18,7 @@
         return of(of(one) ^ two);
     }
 
-    /** A number's place from 0 to below 1. */
+    /** A fraction of a number, from 0 to below 1. */
     static double fraction(long value) {
         return (of(value) >>> 11) / FRACTION_STEPS;
     }
--- a/src/main/java/magpiewheel/region/Election.java
+++ b/src/main/java/magpiewheel/region/Election.java
@@ -9,35 +9,36 @@
 import java.util.Set;
 
 /**
- * One front's part in electing a region's leader. Fronts vote; a proposer, the lowest-numbered front heard, asks for a
- * leader and asks again while it is to lead. Why there are never two: a term belongs to one proposer and has one
- * leader; a voter promises to hold to the leader until its promise runs out, and any two majorities share a voter. A
- * promise binds against all but the same leader and the proposer that it was given to, which itself waits until every
- * front that it let use the old leader has voted for the new one, or can't use it any more.
+ * The election of a region's leader: Paxos-like terms with leases. A proposer that a majority votes for holds the lease
+ * for its leader; a voter promises to support that leader until its promise expires, and any two majorities share a
+ * voter. A promise binds against all but the same leader and the proposer that it was given to, which itself waits
+ * until every router that it let use the old leader has voted for the new one, or can't use it any more.
  */
 final class Election {
     private static final int ROUTER_BITS = 16;
     private static final long ROUTER_MASK = (1L << ROUTER_BITS) - 1;
-    /** A voter whose proposer asked within this votes for no other proposer. */
+    /** A voter that heard a lease holder within this votes for no other proposer. */
     private static final long LOYALTY_US = 2 * Lease.RENEWAL_US;
-    /** Silence of the proposer after which the first in line proposes; each one behind it waits a renewal more. */
+    /**
+     * Silence of the proposer after which the first router in line proposes; each one behind it waits a renewal more.
+     */
     private static final long TAKEOVER_US = 2 * Lease.RENEWAL_US + 10_000;
-    /** Asks in a row without a majority after which a proposer lets others try. */
+    /** Requests in a row without a majority after which a proposer lets others propose. */
     private static final int MAX_ATTEMPTS = 9;
-    /** A leader that is elected again after less than this goes on where it was. */
+    /** A leader that is elected again within this continues where it was. */
     private static final long INTERRUPTION_US = 5_000_000;
-    /** Clocks that are farther ahead than a day say nothing of a term. */
+    /** Terms of a clock that is farther ahead than a day are ignored. */
     private static final long MAX_CLOCK_LEAD_MS = 86_400_000;
 
-    /** What the front wants of its region when it proposes, and tells when it votes. */
+    /** What this router wants when it proposes, and reports when it votes. */
     interface Delegate {
-        /** The parent that should lead, given who does or was promised to (0: nobody); 0 for none. */
+        /** The parent that should lead, given the current or promised leader (0 for none); 0 for none. */
         long chooseLeader(long now, long current);
 
-        /** Where the objects go under that leader. */
+        /** The placement of objects under that leader. */
         RegionMessage.Placement placement(long now, long leader);
 
-        /** Fills in what this front measured. */
+        /** A vote with what this router measured. */
         RegionMessage.Vote createVote(
                 RegionMessage.Header header, boolean granted, long votedAt, long requestSentAt, long termHeld);
     }
@@ -106,34 +107,34 @@
 
     // ---------------------------------------------------------------- what others ask
 
-    /** Who leads as far as this front may rely on it now, or null. */
+    /** The lease that this router may rely on now, or null. */
     Lease lease(long now) {
         return lease != null && now < lease.untilUs() ? lease : null;
     }
 
-    /** Whether this front holds the lease for the region. */
+    /** Whether this router holds the lease for the region. */
     boolean holdsLease(long now) {
         return isProposer && holdsLease && lease(now) != null;
     }
 
-    /** The highest term heard of. */
+    /** The highest known term. */
     long highestTerm() {
         return highestTerm;
     }
 
-    /** Whether a front proposes that lets this one know whom: else the highest word is its own. */
+    /** The router that proposes, as far as is known; negative for none. */
     int proposer() {
         return isProposer ? routerId : currentProposer;
     }
 
-    /** Whether a message comes from the process that a front runs now: else it was sent before a restart. */
+    /** Whether a message comes from the sender's current process, and not from before a restart. */
     private boolean isCurrentProcess(int sender, RegionMessage.Header header) {
         return incarnations.merge(sender, header.startedMs(), Math::max) == header.startedMs();
     }
 
     // ---------------------------------------------------------------- voting
 
-    /** Whether this front votes for a leader; if it does it is bound. */
+    /** Whether this router votes for a leader; if it does, it is bound by that. */
     private boolean grantsVote(long now, int proposer, long requestedTerm, long wantedLeader) {
         if (now < silentUntil
                 || requestedTerm < votedTerm
@@ -158,7 +159,7 @@
         return true;
     }
 
-    /** A front asks for a vote. */
+    /** Another router requests a vote. */
     void requestReceived(long now, int sender, RegionMessage.LeaseRequest request) {
         long requestedTerm = request.header().term();
         if (request.header().region() != region
@@ -193,7 +194,7 @@
                 RegionMessageCodec.encode(delegate.createVote(header, granted, now, request.sentAt(), votedTerm)));
     }
 
-    /** What is left of the holder's lease counts from this front's vote that it answers: that was before. */
+    /** The rest of the holder's lease counts from the vote of this router that it echoes: that was earlier. */
     private void followLeader(long now, RegionMessage.LeaseRequest request) {
         if (request.echoedVoteAt() < Math.max(startedAt, votedSince) || request.echoedVoteAt() > now) {
             return;
@@ -210,7 +211,7 @@
 
     // ---------------------------------------------------------------- proposing
 
-    /** Does what is due; {@code runningRouters} are the other fronts of the region that are heard, by number. */
+    /** Does what is due; {@code runningRouters} are the other routers of the region that run, by number. */
     void tick(long now, Collection<Integer> runningRouters, boolean isolated) {
         others = runningRouters;
         if (now < silentUntil) {
@@ -254,7 +255,7 @@
             return silentUntil;
         }
         if (!isProposer) {
-            // Who can propose nobody, alone or without a fit parent, looks again after a while and not at once.
+            // A router that can propose nobody, isolated or without an eligible parent, tries again later.
             return Math.max(takeoverAt(), nextAttemptAt);
         }
         long blocked = grants.othersUsedUntil(now, leader);
@@ -267,7 +268,7 @@
             currentProposer = routerId;
         }
         if (!grantsVote(now, routerId, next, wantedLeader)) {
-            // What this front promised to another proposer still stands.
+            // A promise to another proposer still stands.
             stepDown(now);
             return;
         }
@@ -285,7 +286,7 @@
         requestVotes(now);
     }
 
-    /** Since when the parent leads that this front proposes: a short while without agreement is no break. */
+    /** Since when the proposed parent leads: a short while without a lease is no interruption. */
     private long leadingSince(long now) {
         return lease != null && lease.leader() == leader && now - lease.untilUs() < INTERRUPTION_US
                 ? lease.leadingSinceUs()
@@ -328,7 +329,10 @@
                         delegate.placement(now, leader))));
     }
 
-    /** A front's word on an ask; false if it is refused: another term, before a restart, of no front of the region. */
+    /**
+     * A vote came; returns false where it does not count: of another term, from before a restart, or from another
+     * region.
+     */
     boolean voteReceived(long now, int sender, RegionMessage.Vote vote, Set<Integer> zones) {
         if (vote.header().region() != region
                 || !zones.contains(vote.zone())
@@ -352,7 +356,7 @@
         votes.merge(sender, vote.requestSentAt(), Math::max);
         boolean first =
                 voterClocks.merge(sender, vote.votedAt(), Math::max) == vote.votedAt() && !grants.contains(sender);
-        // Its vote for this leader says that it uses no other.
+        // A vote for this leader says that the voter uses no other.
         grants.votedFor(sender, leader);
         boolean heldBefore = holdsLease(now);
         acquireLease(now);
@@ -377,7 +381,7 @@
         }
     }
 
-    /** Takes up the lease if a majority's votes carry it. */
+    /** Acquires the lease where the votes of a majority support it. */
     private void acquireLease(long now) {
         if (votes.size() < quorum || grants.othersUsedUntil(now, leader) > now) {
             holdsLease &= lease(now) != null;
@@ -386,7 +390,7 @@
         List<Long> requestTimes =
                 votes.values().stream().sorted(Comparator.reverseOrder()).toList();
         long until = requestTimes.get(quorum - 1) + Lease.VALIDITY_US;
-        // An own vote stands in the majority only while it is this term's.
+        // This router's own vote counts only while it is of this term.
         if (now >= until || votedTerm != term) {
             holdsLease &= lease(now) != null;
             return;
--- a/src/main/java/magpiewheel/region/FillAdmission.java
+++ b/src/main/java/magpiewheel/region/FillAdmission.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 
 /**
- * Lets misses up at the pace that leader and origin bear, most wanted first. A miss of an object that is on its way up
- * costs nothing more and passes. While all that comes fits the pace nothing is held back; else an object must be wanted
- * as often as those that fitted in the last window, so that its next asker, or the one after, gets it.
+ * Admits fills at the rate that leader and origin carry, the most requested objects first. A fill of an object that is
+ * in flight costs nothing more and is admitted. While all fills fit the rate none is rejected; else an object must have
+ * been requested as often as those that fitted in the last window.
  */
 final class FillAdmission {
     static final long WINDOW_US = 200_000;
-    /** Wishes of objects are remembered for at most so many of them. */
+    /** Objects whose requests are counted at most. */
     private static final int MAX_OBJECTS = 8_192;
-    /** Wishes fade by half in so many windows. */
+    /** Windows after which all counts are halved. */
     private static final int FADE_WINDOWS = 20;
-    /** Work saved up for at most so long. */
+    /** Windows of unused work that are saved up at most. */
     private static final double BURST_WINDOWS = 1;
 
     private static final int MAX_DEMAND = 64;
@@ -29,7 +29,7 @@
         }
     };
     private final Map<Long, Long> inFlight = new HashMap<>();
-    /** Work that came in this window, by how often its object was wanted. */
+    /** Work that arrived in this window, by how often its object was requested. */
     private double[] arrivedWork = new double[MAX_DEMAND + 1];
 
     private double tokens;
@@ -39,9 +39,7 @@
     private int demandThreshold;
     private long rejected;
 
-    /**
-     * Whether a miss may go up; {@code perS} is the work a second that this front may let up. It is not asked to wait.
-     */
+    /** Whether a fill may start; {@code perS} is the work a second that this router may start. Nobody waits. */
     boolean admits(long now, long object, double work, double perS) {
         rotateWindow(now, perS);
         int[] count = demand.computeIfAbsent(object, o -> new int[1]);
@@ -49,7 +47,7 @@
         if (inFlight.containsKey(object)) {
             return true;
         }
-        // What is asked for again moves up: only its best place counts as work.
+        // What is requested again counts once, with its highest count.
         arrivedWork[count[0]] += work;
         if (count[0] > 1) {
             arrivedWork[count[0] - 1] = Math.max(0, arrivedWork[count[0] - 1] - work);
@@ -63,7 +61,7 @@
         return true;
     }
 
-    /** A fill has come, or failed: the object is no more on its way. */
+    /** A fill ended, with the object or without. */
     void fillEnded(long object, boolean filled) {
         inFlight.remove(object);
         if (filled) {
@@ -85,7 +83,7 @@
         }
         double fits = perS * (now - windowAt) / 1e6;
         windowAt = now;
-        // The lowest number of wishes down to which all that came would have fitted.
+        // The lowest count down to which all work that arrived would have fitted.
         int lowest = MAX_DEMAND;
         double sum = arrivedWork[MAX_DEMAND];
         while (lowest > 0 && sum + arrivedWork[lowest - 1] <= fits) {
@@ -100,18 +98,18 @@
         }
     }
 
-    /** Halves a count; whether nothing is left of it. */
+    /** Halves a count; returns whether nothing is left of it. */
     private static boolean halve(int[] count) {
         count[0] /= 2;
         return count[0] == 0;
     }
 
-    /** How often an object must have been wanted now. */
+    /** How often an object must have been requested now. */
     int demandThreshold() {
         return demandThreshold;
     }
 
-    /** Misses held back so far. */
+    /** Fills rejected so far. */
     long rejected() {
         return rejected;
     }
--- a/src/main/java/magpiewheel/region/Handover.java
+++ b/src/main/java/magpiewheel/region/Handover.java
@@ -6,18 +6,18 @@
 import java.util.Map;
 
 /**
- * Moves load to a new leader in steps, within what a cold parent bears. Which objects have moved depends on how long it
- * has led and on nothing else, so that all fronts agree on them; what has not moved goes on by the old way. All work
- * sent to a parent, by whatever way, counts against this front's part of its budget.
+ * Migrates load to a new leader in steps, within what a parent that warms up tolerates. Which objects have migrated
+ * depends on how long it has led and on nothing else, so that all routers agree on them. All work sent to a parent
+ * counts against this router's share of its budget.
  */
 final class Handover {
-    /** The first step, as a part of all objects; each further one doubles it. */
+    /** The first step, as a part of all objects; each further step doubles it. */
     static final double FIRST_SHARE = 1 / 16.0;
     /** How long a step lasts. */
     static final long STEP_US = 1_000_000;
-    /** Of what a cold parent bears at most, this part is used. */
+    /** The part of what a parent tolerates that is used. */
     static final double SAFETY = 0.7;
-    /** A window is looked at in this many pieces. */
+    /** The buckets that a window is divided into. */
     private static final int BUCKETS = 8;
 
     private static final class Ledger {
@@ -32,12 +32,12 @@
         this.slowStart = cold;
     }
 
-    /** The part of all objects that has moved to a parent that has led for so long. */
+    /** The part of all objects that has migrated to a parent that has led for so long. */
     static double moved(long ledUs) {
         return Math.min(1, FIRST_SHARE * Math.pow(2, Math.floorDiv(Math.max(0, ledUs), STEP_US)));
     }
 
-    /** Whether an object has moved to the leader of a term. */
+    /** Whether an object has migrated to a leader that has led for so long. */
     static boolean moved(long ledUs, long leader, long object) {
         return DeterministicHash.fraction(DeterministicHash.of(leader, object)) < moved(ledUs);
     }
@@ -64,9 +64,7 @@
         return ledger;
     }
 
-    /**
-     * What all fronts together may send to a parent within the time in which it would fall; infinite once it is warm.
-     */
+    /** What all routers together may send to a parent within the overload window; infinite once it is warm. */
     double budget(long now, Parent parent) {
         long since = now - parent.startedUs() - slowStart.overloadWindowUs();
         if (parent.startedUs() <= 0 || since >= slowStart.warmUpUs()) {
@@ -76,13 +74,13 @@
         return SAFETY * slowStart.overloadMultiple() * present * parent.transferCapacity();
     }
 
-    /** Whether this front's part of a parent's budget has room for more work; {@code sharers} divide it. */
+    /** Whether this router's share of a parent's budget allows more work; {@code sharers} divide the budget. */
     boolean hasBudget(long now, Parent parent, double sharers, double work) {
         double budget = budget(now, parent);
         return Double.isInfinite(budget) || ledger(now, parent.id()).sum + work <= budget / Math.max(1, sharers);
     }
 
-    /** Parents that went are forgotten. */
+    /** Forgets all other parents. */
     void retain(java.util.Set<Long> parents) {
         ledgers.keySet().retainAll(parents);
     }
--- a/src/main/java/magpiewheel/region/HangDetector.java
+++ b/src/main/java/magpiewheel/region/HangDetector.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * Whether a parent hangs: it says nothing though the list says that it is fine. A front's overdue answer is a doubt; it
- * needs one confirmation, another front's overdue answer or a second one of the same, and any answer since refutes it.
+ * Whether a parent hangs: it is silent though discovery lists it as ready. A suspicion needs one confirmation, by
+ * another router or a second overdue response of the same, and any response since refutes it.
  */
 final class HangDetector {
-    /** A doubt counts for so long. */
+    /** How long a suspicion counts. */
     private static final long SUSPICION_US = 2_000_000;
-    /** A parent found to hang is not elected for so long, twice as long each time up to the most. */
+    /** How long a parent that hangs is not elected; twice as long each time, up to the longest. */
     private static final long FIRST_EJECTION_US = 5_000_000;
 
     private static final long MAX_EJECTION_US = 80_000_000;
@@ -25,7 +25,7 @@
 
     private final Map<Long, Suspect> suspects = new HashMap<>();
 
-    /** A front has overdue answers of a parent that has been silent to it for so long. True if that convicts it. */
+    /** Responses of a parent to a router are overdue, the first for so long; returns whether it is ejected now. */
     boolean suspected(long now, int router, long parent, long silentUs, int overdue) {
         Suspect suspect = suspects.computeIfAbsent(parent, id -> new Suspect());
         if (now - suspect.reportedAt > SUSPICION_US) {
@@ -44,7 +44,7 @@
         return true;
     }
 
-    /** A front got an answer of the parent so long ago: who was silent only since before that is no doubt any more. */
+    /** A parent responded at a time: suspicions of a silence that began before are refuted. */
     void responded(long at, long parent) {
         Suspect suspect = suspects.get(parent);
         if (suspect != null) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Whether it was found to hang a while ago at most. */
+    /** Whether it is ejected. */
     boolean isEjected(long now, long parent) {
         Suspect suspect = suspects.get(parent);
         return suspect != null && now < suspect.ejectedUntil;
--- a/src/main/java/magpiewheel/region/LoadSpill.java
+++ b/src/main/java/magpiewheel/region/LoadSpill.java
@@ -7,22 +7,21 @@
 import java.util.Map;
 
 /**
- * What of a leader's load goes to the second in rank. The lease's holder decides it from what the fronts say that they
- * sent, and its word is the lease's: an object's place follows from that word alone. Hot objects go first, one place
- * for each; then a slice of all others.
+ * Which part of a leader's load goes to the second in rank. The lease's holder decides it from what the routers report
+ * that they send, and the placement is part of the lease. Hot objects go first, then a slice of all others.
  */
 final class LoadSpill {
-    /** Above this part of its link the leader gives load away ... */
+    /** Utilization of its link above which the leader gives load away ... */
     static final double HIGH_UTILIZATION = 0.85;
-    /** ... until it is at this; below {@link #LOW_UTILIZATION} it takes load back. */
+    /** ... down to this; below {@link #LOW_UTILIZATION} it takes load back. */
     static final double TARGET_UTILIZATION = 0.75;
 
     static final double LOW_UTILIZATION = 0.55;
-    /** At most this much of all objects goes: a leader that can't bear half of its region should not lead. */
+    /** The largest slice: a leader that can't carry half of its region should not lead. */
     static final int MAX_SLICE = 127;
-    /** An object that takes this part of the leader's link is hot. */
+    /** An object that uses this part of the leader's link is hot. */
     static final double HOT_SHARE = 0.1;
-    /** A word of a front counts for so long; and a decision stands for so long. */
+    /** How long a report counts, and how long a decision stands. */
     private static final long REPORT_VALID_US = 1_500_000;
 
     static final long DECISION_INTERVAL_US = 1_000_000;
@@ -35,20 +34,20 @@
     private long decidedAt = Long.MIN_VALUE / 2;
     private long leader;
 
-    /** A front told what it sends to the leader, and the object that most of it is for. */
+    /** A router reported what it sends to the leader, and the object that most of it is for. */
     void reported(long now, int router, double sent, long hot, double hotSent) {
         reports.put(router, new Sent(sent, hot, hotSent, now));
     }
 
-    /** What the fronts say that they send to the leader. */
+    /** What the routers report that they send to the leader. */
     double reportedLoad(long now) {
         reports.values().removeIf(report -> now - report.at() >= REPORT_VALID_US);
         return reports.values().stream().mapToDouble(Sent::sent).sum();
     }
 
     /**
-     * Where objects go: decided anew at most once in {@link #DECISION_INTERVAL_US}. {@code spare} is what the second's
-     * link has free.
+     * The placement of objects, decided anew at most once in {@link #DECISION_INTERVAL_US}; {@code spare} is the free
+     * capacity of the second's link.
      */
     RegionMessage.Placement decide(long now, Parent first, Parent second, double spare) {
         if (first.id() != leader) {
@@ -101,7 +100,7 @@
         int slice = placement.slice();
         double migrated = Math.min(excess, spareCapacity);
         if (migrated > 0 && sent > 0) {
-            // The slice is of all; what is still sent to the leader is all but the slice.
+            // The slice is of all objects; the leader still gets all but the slice.
             double remaining = (1 - slice / ALL_SLICES) * (1 - migrated / sent);
             slice = Math.min(MAX_SLICE, (int) Math.ceil((1 - remaining) * ALL_SLICES));
         }
@@ -125,7 +124,7 @@
         return placing.slice() == 0 && placing.hotObjects().isEmpty() ? RegionMessage.Placement.NONE : placing;
     }
 
-    /** Whether an object has its place at the second in rank. */
+    /** Whether an object is placed at the second in rank. */
     static boolean goesToSecond(RegionMessage.Placement placing, long object) {
         return placing.second() != 0
                 && (placing.hotObjects().contains(object)
--- a/src/main/java/magpiewheel/region/ParentObservations.java
+++ b/src/main/java/magpiewheel/region/ParentObservations.java
@@ -3,13 +3,13 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What this front measured of one parent. */
+/** What this router measured of one parent. */
 final class ParentObservations {
-    /** Averages are of about so many answers, and forgotten when none came for so long. */
+    /** Weight of the newest response, and how long averages are remembered without one. */
     private static final double WEIGHT = 0.1;
 
     private static final long FORGET_US = 5_000_000;
-    /** An overdue answer is a doubt for so long: whoever asks no more hears no more. */
+    /** How long an overdue response counts as a suspicion: without requests there are no responses. */
     private static final long SUSPICION_US = 2_000_000;
 
     private static final long WINDOW_US = 500_000;
@@ -32,7 +32,7 @@
     private long hotObject;
     private double hotPerS;
 
-    /** An answer came, or a fill failed. */
+    /** A response came, or a fill failed. */
     void responded(long now, long tookUs, boolean ok, boolean hit) {
         if (now - respondedAt > FORGET_US) {
             samples = 0;
@@ -48,7 +48,7 @@
         overdue = 0;
     }
 
-    /** An answer asked for at a time is overdue; it is a doubt if nothing came since. */
+    /** The response to a request of a time is overdue; a suspicion if nothing came since. */
     void responseOverdue(long now, long sentAt) {
         if (respondedAt >= sentAt) {
             return;
@@ -61,7 +61,7 @@
         overdueAt = now;
     }
 
-    /** The part of its link that is free. */
+    /** Sets the part of its link that is free. */
     void setFreeCapacity(double free) {
         freeCapacity = free;
     }
@@ -89,7 +89,7 @@
         byObject = new HashMap<>();
     }
 
-    /** Answers that were overdue lately with nothing heard since; 0 for none. */
+    /** Responses that were overdue lately, with nothing heard since; 0 for none. */
     int suspicions(long now) {
         return now - overdueAt < SUSPICION_US ? overdue : 0;
     }
@@ -103,7 +103,7 @@
         return sentPerS;
     }
 
-    /** The part of fills that it did not hold; all of them where nothing was heard lately. */
+    /** The ratio of fills that it did not hold; 1 where nothing was measured lately. */
     double missRatio(long now) {
         return samples == 0 || now - respondedAt > FORGET_US ? 1 : 1 - hitRatio;
     }
--- a/src/main/java/magpiewheel/region/ParentRanking.java
+++ b/src/main/java/magpiewheel/region/ParentRanking.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * Ranks parents by what the fronts measured. A parent's cost is the median of what the fronts say, so that one front's
- * bad way, or word, elects nobody; parents that nobody heard count as average. A challenger must be better by a stated
- * part for a stated time without a break.
+ * Ranks parents by what the routers measured. A parent's cost is the median of the reports, so that one router's bad
+ * connection elects nobody; parents without a report count as average. A challenger must be better by a margin, for a
+ * time without a break.
  */
 final class ParentRanking {
-    /** A front's word counts for so long. */
+    /** How long a report counts. */
     static final long REPORT_VALID_US = 3_000_000;
     /** A challenger's cost is at most this part of the leader's ... */
     static final double MAX_COST_RATIO = 0.7;
@@ -23,7 +23,7 @@
     private static final double FAILURE_COST_US = 1_000_000;
     /** A miss at the parent, against a hit. */
     private static final double MISS_COST_US = 60_000;
-    /** Less room on the link than this costs as {@link #FULL_LINK_COST_US} in part. */
+    /** Below this free capacity of its link a parent costs a part of {@link #FULL_LINK_COST_US}. */
     private static final double LOW_FREE_CAPACITY = 0.15;
 
     private static final double FULL_LINK_COST_US = 400_000;
@@ -40,14 +40,14 @@
         this.region = region;
     }
 
-    /** A front told what it measured. */
+    /** A router reported what it measured. */
     void reported(long now, int router, RegionMessage.ParentReport report) {
         if (report.samples() > 0 || report.silentUs() > 0) {
             reports.computeIfAbsent(report.parent(), id -> new HashMap<>()).put(router, new Said(report, now));
         }
     }
 
-    /** What a fill from a parent costs, as the middle one of the fronts has it; NaN where nobody says. */
+    /** What a fill from a parent costs, by the median of the reports, us; NaN without a report. */
     double cost(long now, long parent) {
         List<Double> costs = new ArrayList<>();
         for (Said report : reports.getOrDefault(parent, Map.of()).values()) {
@@ -68,7 +68,7 @@
                 + FULL_LINK_COST_US * full;
     }
 
-    /** The free part of a parent's link, by the least of the fronts' words; all of it where nobody says. */
+    /** The free part of a parent's link, by the lowest report; 1 without a report. */
     double freeCapacity(long now, long parent) {
         return reports.getOrDefault(parent, Map.of()).values().stream()
                 .filter(report ->
@@ -78,7 +78,7 @@
                 .orElse(1);
     }
 
-    /** From the best to the worst. Of equals the one that is this region's own first: regions differ in that. */
+    /** From the best to the worst; equals are ordered by the region, so that regions differ in that. */
     List<Long> ranked(long now, List<Long> eligible) {
         Map<Long, Double> costs = new HashMap<>();
         for (long parent : eligible) {
@@ -99,7 +99,10 @@
         return ranked;
     }
 
-    /** Who should lead: who does, unless it is not fit or another has been better by enough for long; 0 for nobody. */
+    /**
+     * The parent that should lead: the current one, unless it is not eligible or another was better for long; 0 for
+     * none.
+     */
     long choose(long now, long current, List<Long> eligible) {
         if (eligible.isEmpty()) {
             return 0;
@@ -132,7 +135,7 @@
         return cost < MAX_COST_RATIO * own && cost < own - MIN_GAIN_US;
     }
 
-    /** What was said of a parent before is no more true: it hangs, or it is another process. */
+    /** Forgets the reports of a parent: it hangs, or its process was restarted. */
     void forget(long parent) {
         reports.remove(parent);
     }
--- a/src/main/java/magpiewheel/region/Region.java
+++ b/src/main/java/magpiewheel/region/Region.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Branches whose misses meet at one parent. */
+/** Zones whose misses meet at one parent. */
 public record Region(int hub, List<Integer> zones, double load) {
-    /** The region's name between fronts: the same branches have the same, however they came together. */
+    /** The key of the region between routers: the same zones have the same key, however they came together. */
     public int key() {
         long sum = DeterministicHash.of(hub);
         for (int zone : zones) {
@@ -13,7 +13,7 @@
         return (int) sum;
     }
 
-    /** Fronts that the settings name in it. */
+    /** How many routers the settings name in it. */
     int routers(int[] routersByZone) {
         return zones.stream()
                 .mapToInt(b -> b < routersByZone.length ? routersByZone[b] : 0)
--- a/src/main/java/magpiewheel/region/RegionAssignment.java
+++ b/src/main/java/magpiewheel/region/RegionAssignment.java
@@ -8,14 +8,14 @@
 import java.util.stream.IntStream;
 
 /**
- * Which branches meet where: an agreed function of a {@link RegionTopology}. On each hub there are as few places as its
- * parents' links allow, and no fewer than there were while those are used well. A branch stays in its home while that
- * has room; others go to the first place in their own order that has. Branches that find no room are in no region.
+ * Which zones meet in which region: an agreed function of a {@link RegionTopology}. A hub has as few slots as its
+ * parents' links allow, and no fewer than there were while those are used well. A zone stays in its home slot while
+ * that has capacity; others go to the first slot in their own order that has. Zones that fit nowhere are in no region.
  */
 public final class RegionAssignment {
-    /** Share of a parent's link that a region may take by measure: the rest is for what the measure missed. */
+    /** The part of a parent's link that a region may use as measured: the rest is for what was not measured. */
     public static final double MAX_UTILIZATION = 0.8;
-    /** A place is given up when what is left would be filled to this part of their room at most. */
+    /** A slot is given up when the others would be used to this part of their capacity at most. */
     private static final double SHRINK_UTILIZATION = 0.7;
 
     private final List<Region> all;
@@ -35,7 +35,7 @@
         }
     }
 
-    /** The regions of a shape. */
+    /** The regions of a topology. */
     public static RegionAssignment of(RegionTopology topology) {
         List<Region> all = new ArrayList<>();
         int[] hubs = topology.hubByZone();
@@ -49,7 +49,7 @@
                     .sorted()
                     .map(c -> -c)
                     .toArray();
-            // The order in which branches choose knows no loads: else a little more of one would move many.
+            // The order in which zones choose is independent of loads: else a little more of one would migrate many.
             List<Integer> zones = IntStream.range(0, hubs.length)
                     .filter(b -> hubs[b] == hub)
                     .boxed()
@@ -100,7 +100,7 @@
         return regions;
     }
 
-    /** By branch, in the given order, the slot it stays in, or falls to by rendezvous with bounded loads, or -1. */
+    /** By zone, in the given order, the slot it stays in, or gets by rendezvous hashing with bounded loads, or -1. */
     private static int[] assign(List<Integer> zones, RegionTopology topology, int slots, double capacity) {
         double[] loads = topology.loads();
         double[] taken = new double[slots];
@@ -127,7 +127,8 @@
     }
 
     /**
-     * Who has its home in a slot stays, but for the lightest that makes room enough, or the heaviest until there is.
+     * Zones stay in their home slot, but for the lightest one that frees enough capacity, or the heaviest ones until
+     * there is enough.
      */
     private static void keepAtHome(
             List<Integer> zones, RegionTopology topology, int slot, double capacity, double[] taken, int[] found) {
@@ -151,7 +152,7 @@
         taken[slot] = sum;
     }
 
-    /** The place of a branch on its hub, its home from now on; -1 for none. */
+    /** The slot of a zone on its hub, its home from now on; -1 for none. */
     int slot(int zone) {
         return slots[zone];
     }
@@ -161,14 +162,14 @@
         return all;
     }
 
-    /** The region of a branch, or null. */
+    /** The region of a zone, or null. */
     public Region of(int zone) {
         return zone < 0 || zone >= regionOf.length || regionOf[zone] < 0 ? null : all.get(regionOf[zone]);
     }
 
     /**
-     * How many branches changed company: each new region is matched with the old one that it shares most branches with,
-     * one with one; branches that were in none, or are in none now, don't count.
+     * How many zones migrated: each new region is matched with the old one that it shares most zones with, one with
+     * one; zones that were in none, or are in none now, do not count.
      */
     public static int migratedZones(RegionAssignment before, RegionAssignment after) {
         int stayed = 0;
--- a/src/main/java/magpiewheel/region/RegionConfig.java
+++ b/src/main/java/magpiewheel/region/RegionConfig.java
@@ -1,9 +1,14 @@
 package magpiewheel.region;
 
 /**
- * What a front is told of regions at its start: its number and branch, how many fronts the settings name and the hub,
- * both by branch, the load of branches to go by until it was measured, how parents start, what the origin bears of
- * fetches' work a second from all fronts, and the Unix millisecond of this process's start.
+ * The configuration of a router's regions.
+ *
+ * @param routersByZone how many routers the settings name in each zone
+ * @param hubByZone the hub that each zone is attached to
+ * @param assumedLoads the load of each zone until it was measured
+ * @param slowStart the load that a parent tolerates after its start
+ * @param originWorkPerS the work a second that the origin carries of all routers
+ * @param startedMs the Unix millisecond at which this process started
  */
 public record RegionConfig(
         int routerId,
--- a/src/main/java/magpiewheel/region/RegionDirectory.java
+++ b/src/main/java/magpiewheel/region/RegionDirectory.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 
 /**
- * What all fronts tell each other whatever their region: the measured load of each branch, and who leads elsewhere. The
- * later version counts, so that fronts that heard the same know the same.
+ * What all routers tell each other whatever their region: the load of each zone, and who leads elsewhere. The later
+ * version counts, so that routers that heard the same know the same.
  */
 final class RegionDirectory {
-    /** A branch's load is told anew when it differs by this part for {@link #CHANGE_HOLDS_US}. */
+    /** A zone announces its load anew when it differs by this part for {@link #CHANGE_HOLDS_US}. */
     static final double SIGNIFICANT_CHANGE = 0.25;
 
     static final long CHANGE_HOLDS_US = 3_000_000;
-    /** A claim counts for so long after it was made. */
+    /** How long a claim counts after it was made. */
     static final long CLAIM_VALID_US = 6_000_000;
 
     private record Claimed(RegionMessage.LeadershipClaim claim, long at) {}
@@ -27,7 +27,7 @@
     private int nextLoad;
     private int nextClaim;
 
-    /** {@code settings} are the loads to go by until any was measured. */
+    /** A directory with assumed loads, until any was measured. */
     RegionDirectory(double[] settings) {
         this.loads = settings.clone();
         this.versions = new long[settings.length];
@@ -43,7 +43,7 @@
         return homeSlots.clone();
     }
 
-    /** A branch's place is told by its first front; true if that is news. */
+    /** Sets the slot of the own zone, which its first router announces; returns whether it is new. */
     boolean setHomeSlot(int zone, int place) {
         if (homeSlots[zone] == place) {
             return false;
@@ -53,7 +53,7 @@
         return true;
     }
 
-    /** The load of a branch was measured by the front that tells it; true if that is news. */
+    /** The load of the own zone was measured by the router that announces it; returns whether it changed. */
     boolean loadMeasured(long now, int zone, double load) {
         boolean differs = Math.abs(load - loads[zone]) > SIGNIFICANT_CHANGE * Math.max(loads[zone], 1e-9);
         differsSince = differs ? Math.min(differsSince, now) : Long.MAX_VALUE;
@@ -66,17 +66,17 @@
         return true;
     }
 
-    /** This front's region is led by a parent. */
+    /** A parent leads this router's region. */
     void claim(long now, RegionMessage.LeadershipClaim claim) {
         claims.put(claim.region(), new Claimed(claim, now));
     }
 
-    /** Takes in what another front says; true if a load is news. */
+    /** Merges an update of another router; returns whether a load changed. */
     boolean merge(long now, RegionMessage.DirectoryUpdate update) {
         boolean changed = false;
         for (RegionMessage.ZoneLoad load : update.loads()) {
             int zone = load.zone();
-            // Equal versions of two tellers: the greater load, then place, so that all come to the same.
+            // Equal versions of two routers: the greater load, then slot, so that all come to the same.
             if (zone < loads.length
                     && (load.version() > versions[zone]
                             || load.version() == versions[zone]
@@ -103,8 +103,8 @@
     }
 
     /**
-     * What other regions have a parent lead, as far as is known; {@code lowerKeysOnly} counts only those that go before
-     * a region.
+     * The load of other regions that a parent leads, as far as is known; {@code lowerKeysOnly} counts only those of
+     * lower keys.
      */
     double claimedLoad(long now, long parent, int region, boolean lowerKeysOnly) {
         return claims.values().stream()
@@ -117,7 +117,7 @@
                 .sum();
     }
 
-    /** The next words to tell, in turn. */
+    /** The next update to send, of all entries in turn. */
     RegionMessage.DirectoryUpdate nextUpdate(long now, RegionMessage.Header head) {
         List<RegionMessage.ZoneLoad> announced = new ArrayList<>();
         for (int i = 0; i < loads.length && announced.size() < RegionMessageCodec.MAX_LOADS; i++) {
--- a/src/main/java/magpiewheel/region/RegionMessage.java
+++ b/src/main/java/magpiewheel/region/RegionMessage.java
@@ -2,17 +2,28 @@
 
 import java.util.List;
 
-/** What fronts say to each other about regions. */
+/** What routers send each other about regions. */
 sealed interface RegionMessage {
-    /** What stands in each: whose region, in which term, and the start of the process that says it (Unix ms). */
+    /**
+     * The header of each message.
+     *
+     * @param region the key of the region
+     * @param term the term that the message is about; 0 for none
+     * @param startedMs the Unix millisecond at which the sender's process started
+     */
     record Header(int region, long term, long startedMs) {}
 
+    /** The header. */
     Header header();
 
     /**
-     * A proposer asks for a leader's lease, first or again. {@code clock} is the asker's when it asked. If it holds the
-     * lease, {@code leftUs} is what is left of it and {@code echo} the clock of the voter's last vote in this term: the
-     * voter may use the leader for so long, counted from there. {@code ageUs} is how long the leader has led.
+     * A proposer requests votes for a leader's lease, or renews it.
+     *
+     * @param sentAt when it was sent, by the proposer's clock
+     * @param echoedVoteAt the receiver's clock at its last vote in this term, if the proposer holds the lease; else 0.
+     *     The receiver may use the leader for {@code remainingUs}, counted from there
+     * @param remainingUs what is left of the lease; 0 where the proposer does not hold it
+     * @param leadingForUs for how long the leader has led
      */
     record LeaseRequest(
             Header header,
@@ -24,15 +35,28 @@
             Placement placement)
             implements RegionMessage {}
 
-    /** Which objects go to the second in rank: the hot ones named, and a slice of all others in 255ths. */
+    /**
+     * Which objects go to the second in rank.
+     *
+     * @param second that parent; 0 for none
+     * @param slice the slice of all objects, in 255ths
+     * @param hotObjects objects that go there besides the slice
+     */
     record Placement(long second, int slice, List<Long> hotObjects) {
+        /** Every object goes to the leader. */
         static final Placement NONE = new Placement(0, 0, List.of());
     }
 
     /**
-     * The word of a front on an ask: {@code echo} is the ask's clock, {@code clock} the voter's own. One that says no
-     * names the term it holds to. {@code sent} is what it sent to the leader a second, {@code hot} the object most of
-     * it was for, {@code hotSent} that object's part; then what it measured of the parents.
+     * The vote of a router on a request.
+     *
+     * @param votedAt when it was sent, by the voter's clock
+     * @param requestSentAt the time in the request
+     * @param votedTerm the term that the voter holds to
+     * @param sentPerS the transfers a second that it sends to the leader
+     * @param hotObject the object that most of these are for
+     * @param hotSentPerS the transfers a second of that object
+     * @param reports what it measured of the parents
      */
     record Vote(
             Header header,
@@ -48,9 +72,14 @@
             implements RegionMessage {}
 
     /**
-     * What one front measured of a parent lately: first bytes, the shares of fills that failed, of its link that is
-     * free, and of fills that it held already; {@code samples} behind it (at most 255); for how long it has been silent
-     * while answers were overdue (0: none is); and how long ago it last answered, in steps of 20 ms up to 5 s.
+     * What one router measured of a parent lately.
+     *
+     * @param failureRatio the ratio of fills that failed
+     * @param freeCapacity the part of its link that is free
+     * @param hitRatio the ratio of fills that it held
+     * @param samples how many responses were measured, 255 at most
+     * @param silentUs for how long it is silent while responses are overdue; 0 where none is
+     * @param answeredAgoUs how long ago it responded last, in steps of 20 ms up to 5 s
      */
     record ParentReport(
             long parent,
@@ -62,16 +91,16 @@
             long silentUs,
             long answeredAgoUs) {}
 
-    /** The leader's answer is overdue here: so many of them, the first for so long. */
+    /** Responses of a leading parent are overdue: so many of them, the first for so long. */
     record Suspicion(Header header, long leader, long silentUs, int overdue) implements RegionMessage {}
 
-    /** What is known of loads and of who leads elsewhere; the later version counts. */
+    /** Loads of zones and leaders of regions; of each the later version counts. */
     record DirectoryUpdate(Header header, List<ZoneLoad> loads, List<LeadershipClaim> claims)
             implements RegionMessage {}
 
-    /** The measured load of a branch, and its place on its hub (-1: none). */
+    /** The measured load of a zone, and its slot on its hub (-1 for none). */
     record ZoneLoad(int zone, long version, double load, int homeSlot) {}
 
-    /** A parent leads a region with such a load; said so long ago at its source. */
+    /** A parent leads a region with such a load; claimed so long ago at its source. */
     record LeadershipClaim(int region, long term, long leader, double load, long agoUs) {}
 }
--- a/src/main/java/magpiewheel/region/RegionMessageCodec.java
+++ b/src/main/java/magpiewheel/region/RegionMessageCodec.java
@@ -6,12 +6,12 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Codes the messages: 256 bytes at most, anything else is none of ours. */
+/** Encodes the messages: 256 bytes at most. */
 final class RegionMessageCodec {
     static final int MAX_MESSAGE_BYTES = 256;
-    /** First byte: no kind of the membership's or the module's messages. */
+    /** The first byte: no other protocol between routers begins with it. */
     static final byte MARK = (byte) 0xe1;
-    /** Parents that a vote tells of at most. */
+    /** Reports in a vote, at most. */
     static final int MAX_REPORTS = 9;
 
     static final int MAX_HOT_OBJECTS = 4;
@@ -82,7 +82,7 @@
         return Arrays.copyOf(at.array(), at.position());
     }
 
-    /** The message, or null where the bytes are none of ours. */
+    /** The message, or null where the bytes are none. */
     static RegionMessage decode(byte[] bytes) {
         if (bytes.length > MAX_MESSAGE_BYTES || bytes.length < 2 || bytes[0] != MARK) {
             return null;
@@ -173,7 +173,7 @@
         return Byte.toUnsignedInt(at.get()) / (double) MAX_BYTE;
     }
 
-    /** An amount that somebody measured; anything else makes the message none of ours. */
+    /** A measured amount; anything else makes the message malformed. */
     private static double amount(ByteBuffer at) {
         float amount = at.getFloat();
         if (!Float.isFinite(amount) || amount < 0) {
--- a/src/main/java/magpiewheel/region/RegionMessageSender.java
+++ b/src/main/java/magpiewheel/region/RegionMessageSender.java
@@ -1,6 +1,6 @@
 package magpiewheel.region;
 
-/** Where the messages of a region go. It may not wait. */
+/** Sends the messages of a region. It may not wait. */
 public interface RegionMessageSender {
     /** One datagram of at most 256 bytes to a front. */
     void send(int router, byte[] message);
--- a/src/main/java/magpiewheel/region/RegionTopology.java
+++ b/src/main/java/magpiewheel/region/RegionTopology.java
@@ -6,16 +6,19 @@
 import java.util.stream.IntStream;
 
 /**
- * All that regions are made from; {@code hubByZone}, {@code loads} and {@code homeSlots} are by branch. A home is the
- * place on its hub that a branch had, as it told; -1 where it told none.
+ * All that regions are assigned from.
+ *
+ * @param hubByZone the hub of each zone
+ * @param loads the load of each zone
+ * @param homeSlots the slot on its hub that each zone had, as it announced; -1 for none
  */
 public record RegionTopology(int[] hubByZone, double[] loads, int[] homeSlots, List<Parent> parents) {
-    /** A shape of which nobody has a home yet. */
+    /** A topology in which no zone has a slot yet. */
     RegionTopology(int[] hubByZone, double[] loads, List<Parent> parents) {
         this(hubByZone, loads, IntStream.generate(() -> -1).limit(loads.length).toArray(), parents);
     }
 
-    /** Equal for shapes that give equal regions; the order in which parents were told is no part of it. */
+    /** Equal for topologies that give equal regions, whatever the order of the parents. */
     public int digest() {
         long sum = DeterministicHash.of(
                 DeterministicHash.of(Arrays.hashCode(hubByZone), Arrays.hashCode(loads)), Arrays.hashCode(homeSlots));
--- a/src/main/java/magpiewheel/region/package-info.java
+++ b/src/main/java/magpiewheel/region/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which branches belong together and which parent leads them: election by votes and leases, handover within what a cold
- * parent bears, and the pace of misses. It has no I/O; the module asks it where {@code fleet.regions} is on.
+ * Regions: zones whose misses meet at one parent, which their routers elect by leases. Assignment of zones, election,
+ * ranking and suspicion of parents, migration of load, admission of fills. Free of clocks, sockets and threads.
  */
 package magpiewheel.region;
