--- a/src/main/java/magpiewheel/routing/AttemptStarter.java
+++ b/src/main/java/magpiewheel/routing/AttemptStarter.java
@@ -87,7 +87,7 @@
     /** A preferred bound is given up where no fill may go out for it, and with the second attempt of a request. */
     private static boolean isBounded(InFlightRequest request, Route route, boolean spare) {
         boolean firstFill = request.attempts.size() == request.cachedOnlyAttempts && !route.last() && !spare;
-        return request.bound.strict() || request.bound.asks() && firstFill;
+        return request.bound.strict() || request.bound.isBounded() && firstFill;
     }
 
     private void count(long now, InFlightRequest request, Attempt attempt) {
--- a/src/main/java/magpiewheel/routing/StalenessBridge.java
+++ b/src/main/java/magpiewheel/routing/StalenessBridge.java
@@ -43,7 +43,7 @@
                         now, topology.routerId(), topology.zone(), fleet.membershipView(), actions::sendToPeer);
         if (reads != null) {
             fleet.add(new FleetProtocols.PeerProtocol(
-                    BoundedStalenessReads::isOurs, reads::heard, at -> reads.due(), reads::tick));
+                    BoundedStalenessReads::isStalenessMessage, reads::messageReceived, at -> reads.due(), reads::tick));
         }
     }
 
@@ -53,11 +53,11 @@
     private StalenessBound boundOf(long now, InFlightRequest request) {
         if (reads == null
                 || request.requestClass.write()
-                || !request.request.hint().bounds()) {
+                || !request.request.hint().isBounded()) {
             return StalenessBound.NONE;
         }
         long freshUs = request.requestClass.freshUs();
-        return reads.bound(
+        return reads.boundOf(
                 now,
                 request.request.hint(),
                 freshUs > 0 ? freshUs : UNLIMITED_FRESH_US,
@@ -76,22 +76,22 @@
         }
         request.unproven = true;
         request.noMoreAttempts =
-                !BoundedStalenessReads.mayLearn(originReader == null ? 0 : originReader.openAttempts());
+                !BoundedStalenessReads.mayReadOrigin(originReader == null ? 0 : originReader.openAttempts());
         originReader = request.noMoreAttempts ? originReader : request;
     }
 
     /** Whether the response must come from the origin itself, and not from a fill that is already in flight. */
     boolean requiresOriginResponse(long now, InFlightRequest request) {
-        return reads != null && reads.byOriginOnly(now, request.bound);
+        return reads != null && reads.requiresOriginResponse(now, request.bound);
     }
 
     /** The tighter of an age limit (0 for none) and the one that the bound leaves for an endpoint, us. */
     long tightenAgeLimit(long now, InFlightRequest request, Endpoint target, long limit) {
-        long bound = !request.bound.asks()
+        long bound = !request.bound.isBounded()
                 ? 0
                 : requiresOriginResponse(now, request)
                         ? 1
-                        : reads.freshUs(
+                        : reads.maxAgeUs(
                                 now, request.request.objectId(), request.request.part(), target.id, request.bound);
         return limit == 0 || bound > 0 && bound < limit ? bound : limit;
     }
@@ -100,7 +100,7 @@
      * The preferred one of the candidates: the session's sticky cache, or one with an acceptable copy, else the holder.
      */
     Endpoint preferredCache(long now, InFlightRequest request, List<Endpoint> candidates, Endpoint holder) {
-        if (reads == null || request.request.hint().session() == 0 && !request.bound.asks()) {
+        if (reads == null || request.request.hint().session() == 0 && !request.bound.isBounded()) {
             return holder;
         }
         List<Endpoint> ordered = new ArrayList<>(candidates);
@@ -108,7 +108,7 @@
         if (holder != null && ordered.remove(holder)) {
             ordered.add(0, holder);
         }
-        long preferred = reads.pick(
+        long preferred = reads.preferredReplica(
                 now,
                 request.request.hint(),
                 request.request.objectId(),
@@ -130,15 +130,16 @@
 
     /** Whether what an endpoint is known to hold may be acceptable; true where there is no bound. */
     boolean mayHoldAcceptableCopy(long now, InFlightRequest request, Endpoint endpoint) {
-        return !request.bound.asks()
+        return !request.bound.isBounded()
                 || endpoint == null
-                || reads.satisfies(now, request.request.objectId(), request.request.part(), endpoint.id, request.bound);
+                || reads.mayBeAcceptable(
+                        now, request.request.objectId(), request.request.part(), endpoint.id, request.bound);
     }
 
     /** Whether a copy satisfies the bound, and is not older than a purge. */
     boolean accepts(long now, InFlightRequest request, long originTimeUs) {
-        return !request.bound.asks()
-                || originTimeUs >= purgedUs(request) && reads.admits(now, request.bound, originTimeUs);
+        return !request.bound.isBounded()
+                || originTimeUs >= purgedUs(request) && reads.accepts(now, request.bound, originTimeUs);
     }
 
     /**
@@ -158,7 +159,7 @@
     /** A copy that violates the bound is delivered with its age or, for a strict read, not at all. */
     private DeliveryDecision decide(long now, InFlightRequest request, long originTimeMs) {
         long originTimeUs = Math.max(0, originTimeMs) * US_PER_MS;
-        long mark = BoundedStalenessReads.mark(originTimeUs, request.requestClass.write());
+        long mark = BoundedStalenessReads.markOf(originTimeUs, request.requestClass.write());
         if (accepts(now, request, originTimeUs)) {
             return new DeliveryDecision(true, mark, 0);
         }
@@ -166,13 +167,13 @@
             return DeliveryDecision.WITHHELD;
         }
         // A copy that only a later purge made unacceptable satisfies the bound as it was set.
-        long ageMs = reads.aged(now, request.bound, originTimeUs);
+        long ageMs = reads.ageMsBeyond(now, request.bound, originTimeUs);
         return new DeliveryDecision(true, mark, ageMs == 0 ? UNKNOWN_AGE : ageMs);
     }
 
     /** How long a client is to wait that was rejected for its bound, us. */
     long retryAfterUs(long now) {
-        return reads.pauseUs(now);
+        return reads.retryAfterUs(now);
     }
 
     // ---------------------------------------------------------------- events
@@ -185,12 +186,12 @@
         }
         Attempt attempt = request.attempts.get(attemptNumber);
         if (request.requestClass.write()) {
-            reads.wrote(attempt.sentAt, at, originTimeMs * US_PER_MS);
+            reads.writeAnswered(attempt.sentAt, at, originTimeMs * US_PER_MS);
             return;
         }
         boolean bypassed = !attempt.target.isCache();
         boolean fromOrigin = attempt.source.isOrigin() && (bypassed || filled(status));
-        reads.fetched(
+        reads.responseReceived(
                 attempt.sentAt,
                 at,
                 originTimeMs * US_PER_MS,
@@ -209,11 +210,11 @@
         ReadHint hint = outcome.result() == AttemptResult.OK ? request.request.hint() : ReadHint.NONE;
         long originTimeUs = outcome.originTimeMs() * US_PER_MS;
         if (attempt.target.isCache()) {
-            reads.served(
+            reads.responseServed(
                     now, hint, request.request.objectId(), request.request.part(), attempt.target.id, originTimeUs);
         }
         if (filled(outcome.cacheStatus()) && attempt.source.isParent()) {
-            reads.served(
+            reads.responseServed(
                     now,
                     ReadHint.NONE,
                     request.request.objectId(),
@@ -229,14 +230,14 @@
             // Without the origin's own time, this router's stands for it.
             long at = purge.originTimeMs() > 0 ? purge.originTimeMs() * US_PER_MS : now - purge.agoUs();
             purges.add(at, purge);
-            reads.purged(now, purge.objectId(), purge.group(), at);
+            reads.objectPurged(now, purge.objectId(), purge.group(), at);
         }
     }
 
     /** The list changed; only the caches of the router's own zone matter. */
     void endpointsChanged(long now, Collection<Endpoint> statistics) {
         if (reads != null) {
-            reads.nodes(
+            reads.replicasChanged(
                     now,
                     statistics.stream()
                             .filter(endpoint -> endpoint.state != EndpointState.REMOVED
@@ -260,20 +261,22 @@
     @Override
     public void discoveryHeard(long at) {
         if (reads != null) {
-            reads.board(at);
+            reads.discoveryHeard(at);
         }
     }
 
     /** Adds the statistics of bounded reads; none while they are disabled. */
     Map<String, Long> addStatistics(long now, Map<String, Long> statistics) {
         if (reads != null) {
-            statistics.put("pins_held", (long) reads.pinned());
+            statistics.put("pins_held", (long) reads.stickyReplicas());
             statistics.put(
                     "pins_uncertain_ms",
-                    reads.errorUs(now) < 0 ? -1 : (reads.errorUs(now) + US_PER_MS - 1) / US_PER_MS);
-            statistics.put("pins_board", (long) reads.step(now));
+                    reads.clockUncertaintyUs(now) < 0
+                            ? -1
+                            : (reads.clockUncertaintyUs(now) + US_PER_MS - 1) / US_PER_MS);
+            statistics.put("pins_board", (long) reads.discoveryState(now));
             statistics.put("pins_clock_steps", reads.clockSteps());
-            statistics.put("pins_spoilt", reads.spoilt());
+            statistics.put("pins_spoilt", reads.malformedMessages());
         }
         return statistics;
     }
--- a/src/main/java/magpiewheel/staleness/BoundedStalenessReads.java
+++ b/src/main/java/magpiewheel/staleness/BoundedStalenessReads.java
@@ -4,33 +4,35 @@
 import magpiewheel.membership.MembershipView;
 
 /**
- * One front's part in pinned reads: bounds a read, picks the replica, and proves each copy before it is passed on. It
- * is told what happens, is called when {@link #due} says, and never waits. Times are us of the front's own Unix clock;
- * {@code minted}, marks and purges are of the origin's.
+ * One router's part in reads of bounded staleness: sets the bound of a read, prefers a replica, and proves each copy
+ * before it is delivered. It is notified of events, is called when {@link #due} says, and never waits.
+ *
+ * <p>Times are microseconds of the router's own Unix clock; origin times, marks and purges are of the origin's. One
+ * thread at a time.
  */
 public final class BoundedStalenessReads {
     /** Known copies and pins that are held, and how long they are kept unused. */
-    private static final int COPIES = 1 << 15;
+    private static final int MAX_REPLICAS = 1 << 15;
 
-    private static final int PINS = 1 << 14;
-    private static final long COPY_US = 120_000_000;
-    private static final long PIN_US = 600_000_000;
+    private static final int MAX_STICKY_REPLICAS = 1 << 14;
+    private static final long REPLICA_MEMORY_US = 120_000_000;
+    private static final long STICKY_MEMORY_US = 600_000_000;
     /** A mark this far past the origin's latest time can't be met while a client waits. */
-    private static final long AHEAD_US = 2_000_000;
+    private static final long MAX_MARK_LEAD_US = 2_000_000;
     /** The pause of a refusal: a beat of the board, and a little more with the board cut off. */
-    private static final long PAUSE_US = 300_000;
+    private static final long RETRY_AFTER_US = 300_000;
 
-    private static final long CUT_PAUSE_US = 1_000_000;
+    private static final long CUT_OFF_RETRY_AFTER_US = 1_000_000;
     private final OriginClock origin = new OriginClock();
-    private final DiscoveryFreshness board;
-    private final ReplicaIndex copies = new ReplicaIndex(COPIES, COPY_US);
-    private final StickyReplicaTable pins = new StickyReplicaTable(PINS, PIN_US);
+    private final DiscoveryFreshness discovery;
+    private final ReplicaIndex replicas = new ReplicaIndex(MAX_REPLICAS, REPLICA_MEMORY_US);
+    private final StickyReplicaTable stickyReplicaTable = new StickyReplicaTable(MAX_STICKY_REPLICAS, STICKY_MEMORY_US);
     private final ReplicaGossip gossip;
 
-    /** Told at the start; caches come with {@link #nodes}. */
+    /** The reads of one router, which knows nothing yet; replicas come with {@link #replicasChanged}. */
     public BoundedStalenessReads(long now, int me, int zone, MembershipView view, GossipSender out) {
-        board = new DiscoveryFreshness(now);
-        gossip = new ReplicaGossip(now, me, zone, view, out, origin, copies, pins);
+        discovery = new DiscoveryFreshness(now);
+        gossip = new ReplicaGossip(now, me, zone, view, out, origin, replicas, stickyReplicaTable);
     }
 
     // ---------------------------------------------------------------- what a copy must keep to
@@ -40,78 +42,79 @@
      * kept, and the origin itself answers, which meets any hint); the time of the object's last purge is of the
      * origin's clock.
      */
-    public StalenessBound bound(long now, ReadHint hint, long freshUs, long graceUs, long purgeUs) {
-        if (!hint.bounds() || freshUs + graceUs <= 0) {
+    public StalenessBound boundOf(long now, ReadHint hint, long freshUs, long graceUs, long purgeUs) {
+        if (!hint.isBounded() || freshUs + graceUs <= 0) {
             return StalenessBound.NONE;
         }
-        DiscoveryFreshness.Step step = hint.strict() ? board.step(now) : DiscoveryFreshness.Step.HEARD;
+        DiscoveryFreshness.State step = hint.strict() ? discovery.state(now) : DiscoveryFreshness.State.HEARD;
         long age = hint.atMostUs() == 0 ? 0 : Math.min(hint.atMostUs(), freshUs + graceUs);
-        if (step != DiscoveryFreshness.Step.HEARD) {
+        if (step != DiscoveryFreshness.State.HEARD) {
             age = age == 0 ? DiscoveryFreshness.SILENT_US : Math.min(age, DiscoveryFreshness.SILENT_US);
         }
         long floor = Math.max(hint.afterMs() * 1000, purgeUs);
-        boolean known = origin.known(now);
-        boolean ahead = known && floor > origin.latest(now) + AHEAD_US;
-        boolean provable = step != DiscoveryFreshness.Step.CUT && !ahead;
+        boolean known = origin.isKnown(now);
+        boolean ahead = known && floor > origin.latest(now) + MAX_MARK_LEAD_US;
+        boolean provable = step != DiscoveryFreshness.State.CUT_OFF && !ahead;
         long oldest = age == 0 ? floor : Math.max(floor, (known ? origin.latest(now) : now) - age);
         return new StalenessBound(oldest, provable, hint.strict(), floor, now, age, freshUs);
     }
 
     /** The oldest age in us that a node may answer with, at least 1; 0 where nothing is asked. */
-    public long freshUs(long now, StalenessBound bound) {
-        if (!bound.asks()) {
+    public long maxAgeUs(long now, StalenessBound bound) {
+        if (!bound.isBounded()) {
             return 0;
         }
-        long age = origin.earliest(now) - bound.oldestUs();
+        long age = origin.earliest(now) - bound.oldestAcceptableUs();
         return Math.max(1, bound.freshUs() > 0 ? Math.min(age, bound.freshUs()) : age);
     }
 
     /** Likewise of one node: 1 where its known copy will not do, whatever its clock makes of that copy's age. */
-    public long freshUs(long now, long object, int part, long node, StalenessBound bound) {
-        long minted = bound.asks() ? copies.minted(now, object, part, node) : 0;
-        return minted > 0 && !admits(now, bound, minted) ? 1 : freshUs(now, bound);
+    public long maxAgeUs(long now, long object, int part, long node, StalenessBound bound) {
+        long minted = bound.isBounded() ? replicas.originTimeOf(now, object, part, node) : 0;
+        return minted > 0 && !accepts(now, bound, minted) ? 1 : maxAgeUs(now, bound);
     }
 
     /**
      * The last and only proof, asked of every copy before it is passed on. What was learnt of the origin's clock since
      * the request came counts: a copy that the origin gave out after that is admitted, however little was known before.
      */
-    public boolean admits(long now, StalenessBound bound, long mintedUs) {
-        if (!bound.asks()) {
+    public boolean accepts(long now, StalenessBound bound, long mintedUs) {
+        if (!bound.isBounded()) {
             return true;
         }
-        if (mintedUs <= 0 || mintedUs < bound.floorUs() || bound.strict() && !bound.provable()) {
+        if (mintedUs <= 0 || mintedUs < bound.notBeforeUs() || bound.strict() && !bound.provable()) {
             return false;
         }
-        return bound.ageUs() == 0 || origin.known(now) && mintedUs >= origin.latest(bound.cameUs()) - bound.ageUs();
+        return bound.maxAgeUs() == 0
+                || origin.isKnown(now) && mintedUs >= origin.latest(bound.requestedAt()) - bound.maxAgeUs();
     }
 
     /**
      * Whether only what the origin gives out for the request itself can prove a strict read: nothing is known of its
      * clock yet.
      */
-    public boolean byOriginOnly(long now, StalenessBound bound) {
-        return bound.strict() && bound.ageUs() > 0 && !origin.known(now);
+    public boolean requiresOriginResponse(long now, StalenessBound bound) {
+        return bound.strict() && bound.maxAgeUs() > 0 && !origin.isKnown(now);
     }
 
     /**
      * Whether such a read may go out, with so many under way: one at a time, since the answer to one teaches the clock
      * to all.
      */
-    public static boolean mayLearn(int underWay) {
+    public static boolean mayReadOrigin(int underWay) {
         return underWay == 0;
     }
 
-    /** How long a client that was refused for its hint is to stay away. */
-    public long pauseUs(long now) {
-        return board.step(now) == DiscoveryFreshness.Step.CUT ? CUT_PAUSE_US : PAUSE_US;
+    /** How long a client is to wait that was rejected for its bound, us. */
+    public long retryAfterUs(long now) {
+        return discovery.state(now) == DiscoveryFreshness.State.CUT_OFF ? CUT_OFF_RETRY_AFTER_US : RETRY_AFTER_US;
     }
 
     /**
      * The mark to hand back, in ms: of a write one more than its answer's, since a copy of that ms may be from before
      * it.
      */
-    public static long mark(long mintedUs, boolean write) {
+    public static long markOf(long mintedUs, boolean write) {
         return mintedUs <= 0 ? 0 : mintedUs / 1000 + (write ? 1 : 0);
     }
 
@@ -119,33 +122,37 @@
      * The age in ms of a copy that does not keep to a bound, error included; 0 if it does, -1 if nothing bounds its
      * age.
      */
-    public long aged(long now, StalenessBound bound, long mintedUs) {
-        if (admits(now, bound, mintedUs)) {
+    public long ageMsBeyond(long now, StalenessBound bound, long mintedUs) {
+        if (accepts(now, bound, mintedUs)) {
             return 0;
         }
-        return mintedUs <= 0 || !origin.known(now)
+        return mintedUs <= 0 || !origin.isKnown(now)
                 ? -1
-                : Math.max(1, (origin.latest(bound.cameUs()) - mintedUs + 999) / 1000);
+                : Math.max(1, (origin.latest(bound.requestedAt()) - mintedUs + 999) / 1000);
     }
 
     // ---------------------------------------------------------------- which replica
 
-    /** The cache to ask of those that are fit, in the module's order, or 0: that order holds. */
-    public long pick(long now, ReadHint hint, long object, int part, List<Long> candidates, StalenessBound bound) {
+    /** The replica to prefer among the candidates, which are in order of preference; 0 for that order. */
+    public long preferredReplica(
+            long now, ReadHint hint, long object, int part, List<Long> candidates, StalenessBound bound) {
         if (hint.session() != 0) {
-            long pinned = pins.of(now, hint.session(), object);
-            long minted = pinned == 0 || !candidates.contains(pinned) ? -1 : copies.minted(now, object, part, pinned);
-            if (minted == 0 || minted > 0 && admits(now, bound, minted)) {
+            long pinned = stickyReplicaTable.replicaOf(now, hint.session(), object);
+            long minted =
+                    pinned == 0 || !candidates.contains(pinned) ? -1 : replicas.originTimeOf(now, object, part, pinned);
+            if (minted == 0 || minted > 0 && accepts(now, bound, minted)) {
                 return pinned;
             }
         }
-        if (!bound.asks()) {
+        if (!bound.isBounded()) {
             return 0;
         }
         for (int i = 0; i < candidates.size(); i++) {
             long node = candidates.get(i);
-            long minted = copies.minted(now, object, part, node);
-            if (minted > 0 && admits(now, bound, minted) && (i == 0 || pins.move(now, node))) {
+            long minted = replicas.originTimeOf(now, object, part, node);
+            if (minted > 0
+                    && accepts(now, bound, minted)
+                    && (i == 0 || stickyReplicaTable.admitsMigration(now, node))) {
                 return node;
             }
         }
@@ -155,23 +162,23 @@
     /**
      * Whether what a cache or a leading parent is known to hold can satisfy; of one that is not known, no strict read.
      */
-    public boolean satisfies(long now, long object, int part, long node, StalenessBound bound) {
-        long minted = copies.minted(now, object, part, node);
-        return minted == 0 ? !bound.strict() : admits(now, bound, minted);
+    public boolean mayBeAcceptable(long now, long object, int part, long node, StalenessBound bound) {
+        long minted = replicas.originTimeOf(now, object, part, node);
+        return minted == 0 ? !bound.strict() : accepts(now, bound, minted);
     }
 
     // ---------------------------------------------------------------- what happens
 
-    /** A node answered a read with a copy. */
-    public void served(long now, ReadHint hint, long object, int part, long node, long mintedUs) {
+    /** An endpoint answered a read with a copy. */
+    public void responseServed(long now, ReadHint hint, long object, int part, long node, long mintedUs) {
         if (mintedUs > 0) {
-            origin.atLeast(now, mintedUs);
-            if (copies.saw(now, object, part, node, mintedUs) && (hint.bounds() || hint.session() != 0)) {
-                gossip.copy(object, part, node, mintedUs);
+            origin.raiseLowerBound(now, mintedUs);
+            if (replicas.observed(now, object, part, node, mintedUs) && (hint.isBounded() || hint.session() != 0)) {
+                gossip.replicaObserved(object, part, node, mintedUs);
             }
         }
-        if (hint.session() != 0 && pins.take(now, hint.session(), object, node)) {
-            gossip.pin(hint.session(), object, node);
+        if (hint.session() != 0 && stickyReplicaTable.assign(now, hint.session(), object, node)) {
+            gossip.stickyReplicaAssigned(hint.session(), object, node);
         }
     }
 
@@ -179,13 +186,13 @@
      * A copy came that was asked for at a time. {@code viaOrigin} only if the origin gave it out for this very request:
      * a fill from the origin that joined none under way.
      */
-    public void fetched(long sentUs, long gotUs, long mintedUs, boolean viaOrigin) {
+    public void responseReceived(long sentUs, long gotUs, long mintedUs, boolean viaOrigin) {
         if (mintedUs <= 0) {
             return;
         }
-        origin.atLeast(gotUs, mintedUs);
+        origin.raiseLowerBound(gotUs, mintedUs);
         if (viaOrigin) {
-            origin.atMost(sentUs, mintedUs + OriginClock.STAMP_US);
+            origin.lowerUpperBound(sentUs, mintedUs + OriginClock.MARK_STEP_US);
         }
     }
 
@@ -194,66 +201,66 @@
      * was not past it when this try was sent: a keyed write that was done before may be answered with the time at which
      * it was done.
      */
-    public void wrote(long sentUs, long gotUs, long mintedUs) {
-        fetched(sentUs, gotUs, mintedUs, false);
+    public void writeAnswered(long sentUs, long gotUs, long mintedUs) {
+        responseReceived(sentUs, gotUs, mintedUs, false);
     }
 
     /**
      * An object, or with object 0 a group, was purged at a time of the origin's: the bound of a read brings a group's.
      */
-    public void purged(long now, long object, int group, long atUs) {
+    public void objectPurged(long now, long object, int group, long atUs) {
         if (object != 0) {
-            copies.purged(object, atUs);
+            replicas.removeOlder(object, atUs);
         }
     }
 
     /** The caches of the branch as the list has them; who is no more in it is gone from this moment. */
-    public void nodes(long now, List<Replica> list) {
-        pins.nodes(now, list).forEach(copies::forget);
+    public void replicasChanged(long now, List<Replica> list) {
+        stickyReplicaTable.replicasChanged(now, list).forEach(replicas::forget);
     }
 
-    /** The board was heard, be it by an empty frame. */
-    public void board(long now) {
-        board.heard(now);
+    /** Discovery was heard, be it by an empty frame. */
+    public void discoveryHeard(long now) {
+        discovery.heard(now);
     }
 
     // ---------------------------------------------------------------- figures
 
-    /** Pins held. */
-    public int pinned() {
-        return pins.total();
+    /** How many sessions stick to a replica. */
+    public int stickyReplicas() {
+        return stickyReplicaTable.total();
     }
 
     /** The width of what is known of the origin's clock, us; -1 where it has no end. */
-    public long errorUs(long now) {
-        return origin.error(now);
+    public long clockUncertaintyUs(long now) {
+        return origin.widthUs(now);
     }
 
-    /** How far strict reads are held back for the board's silence: 0 not at all, 1 silent, 2 cut off. */
-    public int step(long now) {
-        return board.step(now).ordinal();
+    /** How discovery's silence limits strict reads: 0 not at all, 1 silent, 2 cut off. */
+    public int discoveryState(long now) {
+        return discovery.state(now).ordinal();
     }
 
     /** How often a clock was found to have been stepped. */
     public long clockSteps() {
-        return origin.steps();
+        return origin.clockSteps();
     }
 
-    /** Datagrams that could not be used. */
-    public long spoilt() {
-        return gossip.spoilt();
+    /** Datagrams that were malformed. */
+    public long malformedMessages() {
+        return gossip.malformed();
     }
 
     // ---------------------------------------------------------------- messages
 
-    /** Whether a message is one of the pinned reads'. */
-    public static boolean isOurs(byte[] message) {
-        return message.length > 0 && message[0] == ReplicaGossip.MARK;
+    /** Whether a message belongs to the reads of bounded staleness. */
+    public static boolean isStalenessMessage(byte[] message) {
+        return message.length > 0 && message[0] == ReplicaGossip.PROTOCOL_BYTE;
     }
 
-    /** A datagram came from a front. */
-    public void heard(long now, int from, byte[] message) {
-        gossip.heard(now, from, message);
+    /** A datagram came from a router. */
+    public void messageReceived(long now, int from, byte[] message) {
+        gossip.messageReceived(now, from, message);
     }
 
     /** Call at {@link #due}. */
--- a/src/main/java/magpiewheel/staleness/DiscoveryFreshness.java
+++ b/src/main/java/magpiewheel/staleness/DiscoveryFreshness.java
@@ -1,44 +1,44 @@
 package magpiewheel.staleness;
 
-/** How long the board has been silent, and what that makes of strict reads. */
+/** How long discovery has been silent, and what strict reads may still prove. */
 final class DiscoveryFreshness {
     /** The board speaks each second; past this its connection counts as lost, and purges may be missed. */
     static final long SILENT_US = 2_300_000;
     /** Past this a purge counts as told to every front. */
-    static final long CUT_US = 7_000_000;
+    static final long CUT_OFF_US = 7_000_000;
     /** So long it must have been heard again before purges count as caught up: one empty frame more. */
     static final long CAUGHT_UP_US = 1_200_000;
 
     private long heard;
-    private long since;
+    private long heardAgainSince;
 
     /** What a front may still prove. */
-    enum Step {
+    enum State {
         /** All that hints ask. */
         HEARD,
         /** A purge may be missed that is older than the silence allowed: only copies younger than that silence. */
         SILENT,
         /** Nothing. */
-        CUT
+        CUT_OFF
     }
 
     DiscoveryFreshness(long now) {
         heard = now - SILENT_US - 1;
-        since = now;
+        heardAgainSince = now;
     }
 
     void heard(long now) {
         if (now - heard > SILENT_US) {
-            since = now;
+            heardAgainSince = now;
         }
         heard = Math.max(heard, now);
     }
 
-    Step step(long now) {
+    State state(long now) {
         long silent = now - heard;
-        if (silent > CUT_US) {
-            return Step.CUT;
+        if (silent > CUT_OFF_US) {
+            return State.CUT_OFF;
         }
-        return silent > SILENT_US || now - since < CAUGHT_UP_US ? Step.SILENT : Step.HEARD;
+        return silent > SILENT_US || now - heardAgainSince < CAUGHT_UP_US ? State.SILENT : State.HEARD;
     }
 }
--- a/src/main/java/magpiewheel/staleness/GossipSender.java
+++ b/src/main/java/magpiewheel/staleness/GossipSender.java
@@ -1,7 +1,7 @@
 package magpiewheel.staleness;
 
-/** Where the messages of pinned reads go. It may not wait. */
+/** Sends the messages of reads of bounded staleness. It may not wait. */
 public interface GossipSender {
     /** One datagram of at most 256 bytes to a front. */
-    void send(int front, byte[] message);
+    void send(int router, byte[] message);
 }
--- a/src/main/java/magpiewheel/staleness/ReadHint.java
+++ b/src/main/java/magpiewheel/staleness/ReadHint.java
@@ -1,25 +1,29 @@
 package magpiewheel.staleness;
 
 /**
- * What an application asks of one read: a staleness in us, a mark in Unix ms of the origin's clock, a session, and
- * whether a copy that will not do is refused. 0 or false: not asked.
+ * What an application asks of one read; 0 or false for nothing.
+ *
+ * @param atMostUs the largest age of the copy
+ * @param afterMs a mark: nothing older is acceptable, Unix milliseconds of the origin
+ * @param session a session whose reads stick to a replica
+ * @param strict whether a copy that violates this is rejected
  */
 public record ReadHint(long atMostUs, long afterMs, long session, boolean strict) {
     /** Asks nothing. */
     public static final ReadHint NONE = new ReadHint(0, 0, 0, false);
     /** The longest text, the largest staleness in ms (a day) and the last mark (the end of the year 9999). */
-    static final int TEXT = 128;
+    static final int MAX_LENGTH = 128;
 
-    static final long MOST_MS = 86_400_000;
-    static final long LAST_MS = 253_402_300_799_999L;
+    static final long MAX_STALENESS_MS = 86_400_000;
+    static final long MAX_MARK_MS = 253_402_300_799_999L;
 
     /** Words joined by {@code +}, a value behind {@code :}, each word once: at_most, after, pin, strict, prefer. */
     public static ReadHint parse(String text) throws InvalidHintException {
         if (text.isEmpty()) {
             throw new InvalidHintException("The hint is empty.");
         }
-        if (text.length() > TEXT) {
-            throw new InvalidHintException("The hint is longer than " + TEXT + " characters.");
+        if (text.length() > MAX_LENGTH) {
+            throw new InvalidHintException("The hint is longer than " + MAX_LENGTH + " characters.");
         }
         long atMost = 0;
         long after = 0;
@@ -31,8 +35,8 @@
             String name = colon < 0 ? word : word.substring(0, colon);
             String value = colon < 0 ? null : word.substring(colon + 1);
             switch (name) {
-                case "at_most" -> atMost = number(name, value, atMost, MOST_MS);
-                case "after" -> after = number(name, value, after, LAST_MS);
+                case "at_most" -> atMost = number(name, value, atMost, MAX_STALENESS_MS);
+                case "after" -> after = number(name, value, after, MAX_MARK_MS);
                 case "pin" -> session = session(value, session);
                 case "strict" -> strict = bare(name, value, strict);
                 case "prefer" -> prefer = bare(name, value, prefer);
@@ -50,7 +54,7 @@
     }
 
     /** Whether the read has anything to hold a copy against. */
-    public boolean bounds() {
+    public boolean isBounded() {
         return atMostUs > 0 || afterMs > 0;
     }
 
--- a/src/main/java/magpiewheel/staleness/ReplicaGossip.java
+++ b/src/main/java/magpiewheel/staleness/ReplicaGossip.java
@@ -10,105 +10,106 @@
 import magpiewheel.membership.MembershipView;
 
 /**
- * What fronts tell each other for pinned reads: copies with their times and pins, within a branch, and how they see the
- * origin's clock. A tick sends a bounded number of datagrams; what finds no room in the queue is not told.
+ * What routers send each other for reads of bounded staleness: replicas with their origin times and sticky replicas,
+ * within a zone, and bounds of the origin's clock. A tick sends a bounded number of datagrams; what the queue can't
+ * hold is not sent.
  */
 final class ReplicaGossip {
     /** The first byte of every datagram, and the version. */
-    static final byte MARK = (byte) 0xe2;
+    static final byte PROTOCOL_BYTE = (byte) 0xe2;
 
     private static final byte VERSION = 1;
-    private static final byte COPIES = 1;
-    private static final byte PINS = 2;
-    private static final byte ASK = 3;
-    private static final byte ANSWER = 4;
+    private static final byte REPLICAS = 1;
+    private static final byte STICKY_REPLICAS = 2;
+    private static final byte CLOCK_REQUEST = 3;
+    private static final byte CLOCK_ANSWER = 4;
     /** Pins from before, for a front that started: what it knows by itself is newer. */
-    private static final byte OLD_PINS = 5;
+    private static final byte OLD_STICKY_REPLICAS = 5;
     /** From one tick to the next; fronts told in one; datagrams in one. */
     static final long TICK_US = 250_000;
 
-    static final int TOLD = 4;
-    static final int DATAGRAMS = 8;
+    static final int RECEIVERS = 4;
+    static final int MAX_DATAGRAMS = 8;
     /** Words in a datagram: three of eight bytes, and for a copy two more of its part. */
-    private static final int HEAD = 4;
+    private static final int HEADER_BYTES = 4;
 
-    private static final int COPY_WORDS = 9;
-    private static final int PIN_WORDS = 10;
+    private static final int REPLICAS_PER_MESSAGE = 9;
+    private static final int STICKY_PER_MESSAGE = 10;
     /** News that wait, and what is kept for fronts that start. */
-    private static final int QUEUE = 256;
+    private static final int MAX_QUEUED = 256;
 
-    private static final int KEPT = 1_024;
+    private static final int MAX_REMEMBERED = 1_024;
     /** A clock that is known worse than this is asked about, one front each time; an answer counts so long. */
-    private static final long GOOD_US = 25_000;
+    private static final long PRECISE_ENOUGH_US = 25_000;
 
-    private static final long ASK_US = 500_000;
-    private static final long ANSWER_US = 3_000_000;
+    private static final long REQUEST_INTERVAL_US = 500_000;
+    private static final long MAX_ANSWER_AGE_US = 3_000_000;
     /** So many fronts are asked for all they have at the start. */
-    private static final int ASKED_ALL = 2;
+    private static final int FULL_REQUESTS = 2;
 
-    private final int me;
+    private final int routerId;
     private final int zone;
-    private final MembershipView view;
-    private final GossipSender out;
+    private final MembershipView membership;
+    private final GossipSender sender;
     private final OriginClock origin;
-    private final ReplicaIndex copies;
-    private final StickyReplicaTable pins;
-    private final Told newCopies = new Told();
-    private final Told newPins = new Told();
-    private final ArrayDeque<byte[]> owed = new ArrayDeque<>();
-    private final ArrayDeque<Integer> owedTo = new ArrayDeque<>();
-    private final Map<Integer, Long> asked = new HashMap<>();
-    private int toAskAll = ASKED_ALL;
+    private final ReplicaIndex replicas;
+    private final StickyReplicaTable stickyReplicas;
+    private final EntryQueue replicaEntries = new EntryQueue();
+    private final EntryQueue stickyEntries = new EntryQueue();
+    private final ArrayDeque<byte[]> pendingMessages = new ArrayDeque<>();
+    private final ArrayDeque<Integer> pendingReceivers = new ArrayDeque<>();
+    private final Map<Integer, Long> requestsSent = new HashMap<>();
+    private int fullRequestsLeft = FULL_REQUESTS;
     private long due;
-    private long askAt;
-    private int turn;
-    private long spoilt;
+    private long nextRequestAt;
+    private int nextReceiver;
+    private long malformed;
 
     /** A copy that a node holds, or with a session a pin. */
-    private record Word(long session, long object, int part, long node, long mintedUs) {}
+    private record Entry(long session, long object, int part, long endpoint, long mintedUs) {}
 
     /** Words of one kind: those that wait, and the last ones. */
-    private static final class Told {
-        final ArrayDeque<Word> news = new ArrayDeque<>();
-        final ArrayDeque<Word> kept = new ArrayDeque<>();
+    private static final class EntryQueue {
+        final ArrayDeque<Entry> queued = new ArrayDeque<>();
+        final ArrayDeque<Entry> remembered = new ArrayDeque<>();
 
-        void add(Word word) {
-            if (news.size() < QUEUE) {
-                news.add(word);
+        void add(Entry entry) {
+            if (queued.size() < MAX_QUEUED) {
+                queued.add(entry);
             }
-            kept.add(word);
-            if (kept.size() > KEPT) {
-                kept.remove();
+            remembered.add(entry);
+            if (remembered.size() > MAX_REMEMBERED) {
+                remembered.remove();
             }
         }
     }
 
     ReplicaGossip(
             long now,
-            int me,
+            int routerId,
             int zone,
-            MembershipView view,
-            GossipSender out,
+            MembershipView membership,
+            GossipSender sender,
             OriginClock origin,
             ReplicaIndex copies,
             StickyReplicaTable pins) {
-        this.me = me;
+        this.routerId = routerId;
         this.zone = zone;
-        this.view = view;
-        this.out = out;
+        this.membership = membership;
+        this.sender = sender;
         this.origin = origin;
-        this.copies = copies;
-        this.pins = pins;
+        this.replicas = copies;
+        this.stickyReplicas = pins;
         this.due = now;
-        this.turn = me;
+        this.nextReceiver = routerId;
     }
 
-    void copy(long object, int part, long node, long mintedUs) {
-        newCopies.add(new Word(0, object, part, node, mintedUs));
+    void replicaObserved(long object, int part, long node, long mintedUs) {
+        replicaEntries.add(new Entry(0, object, part, node, mintedUs));
     }
 
-    void pin(long session, long object, long node) {
-        newPins.add(new Word(session, object, 0, node, 0));
+    void stickyReplicaAssigned(long session, long object, long node) {
+        stickyEntries.add(new Entry(session, object, 0, node, 0));
     }
 
     long due() {
@@ -116,152 +117,163 @@
     }
 
     /** Datagrams that could not be used. */
-    long spoilt() {
-        return spoilt;
+    long malformed() {
+        return malformed;
     }
 
     void tick(long now) {
         due = now + TICK_US;
-        List<Integer> peers = view.runningMembersIn(zone);
-        if (peers.isEmpty()) {
-            newCopies.news.clear();
-            newPins.news.clear();
-            owed.clear();
-            owedTo.clear();
+        List<Integer> routers = membership.runningMembersIn(zone);
+        if (routers.isEmpty()) {
+            replicaEntries.queued.clear();
+            stickyEntries.queued.clear();
+            pendingMessages.clear();
+            pendingReceivers.clear();
             return;
         }
-        ask(now, peers);
-        int left = DATAGRAMS;
-        while (left > 0 && !owed.isEmpty()) {
-            out.send(owedTo.remove(), owed.remove());
-            left--;
+        requestClock(now, routers);
+        int messagesLeft = MAX_DATAGRAMS;
+        while (messagesLeft > 0 && !pendingMessages.isEmpty()) {
+            sender.send(pendingReceivers.remove(), pendingMessages.remove());
+            messagesLeft--;
         }
-        int to = Math.min(TOLD, peers.size());
-        while (left >= to && !(newCopies.news.isEmpty() && newPins.news.isEmpty())) {
-            byte[] message = newPins.news.isEmpty() ? next(newCopies.news, COPIES) : next(newPins.news, PINS);
+        int to = Math.min(RECEIVERS, routers.size());
+        while (messagesLeft >= to && !(replicaEntries.queued.isEmpty() && stickyEntries.queued.isEmpty())) {
+            byte[] message = stickyEntries.queued.isEmpty()
+                    ? encodeEntries(replicaEntries.queued, REPLICAS)
+                    : encodeEntries(stickyEntries.queued, STICKY_REPLICAS);
             for (int i = 0; i < to; i++) {
-                out.send(peers.get(Math.floorMod(turn + i, peers.size())), message);
+                sender.send(routers.get(Math.floorMod(nextReceiver + i, routers.size())), message);
             }
-            left -= to;
-            turn += to;
+            messagesLeft -= to;
+            nextReceiver += to;
         }
-        turn++;
+        nextReceiver++;
     }
 
-    private void ask(long now, List<Integer> peers) {
-        long error = origin.error(now);
-        boolean unsure = error < 0 || error > GOOD_US;
-        if (toAskAll == 0 && (!unsure || now < askAt)) {
+    private void requestClock(long now, List<Integer> routers) {
+        long error = origin.widthUs(now);
+        boolean unsure = error < 0 || error > PRECISE_ENOUGH_US;
+        if (fullRequestsLeft == 0 && (!unsure || now < nextRequestAt)) {
             return;
         }
-        askAt = now + ASK_US;
-        int peer = peers.get(Math.floorMod(turn, peers.size()));
-        asked.put(peer, now);
-        out.send(peer, head(ASK, toAskAll > 0 ? 1 : 0, 8).putLong(now).array());
-        toAskAll = Math.max(0, toAskAll - 1);
+        nextRequestAt = now + REQUEST_INTERVAL_US;
+        int peer = routers.get(Math.floorMod(nextReceiver, routers.size()));
+        requestsSent.put(peer, now);
+        sender.send(
+                peer,
+                header(CLOCK_REQUEST, fullRequestsLeft > 0 ? 1 : 0, 8)
+                        .putLong(now)
+                        .array());
+        fullRequestsLeft = Math.max(0, fullRequestsLeft - 1);
     }
 
-    /** As many of the first words as fit. */
-    private static byte[] next(ArrayDeque<Word> words, byte kind) {
-        boolean pin = kind != COPIES;
-        List<Word> taken = new ArrayList<>();
-        while (!words.isEmpty() && taken.size() < (pin ? PIN_WORDS : COPY_WORDS)) {
-            taken.add(words.remove());
+    /** As many of the first entries as fit. */
+    private static byte[] encodeEntries(ArrayDeque<Entry> entries, byte kind) {
+        boolean isSticky = kind != REPLICAS;
+        List<Entry> taken = new ArrayList<>();
+        while (!entries.isEmpty() && taken.size() < (isSticky ? STICKY_PER_MESSAGE : REPLICAS_PER_MESSAGE)) {
+            taken.add(entries.remove());
         }
-        ByteBuffer bytes = head(kind, taken.size(), taken.size() * (pin ? 24 : 26));
-        for (Word word : taken) {
-            bytes.putLong(word.object()).putLong(word.node());
-            if (pin) {
-                bytes.putLong(word.session());
+        ByteBuffer bytes = header(kind, taken.size(), taken.size() * (isSticky ? 24 : 26));
+        for (Entry entry : taken) {
+            bytes.putLong(entry.object()).putLong(entry.endpoint());
+            if (isSticky) {
+                bytes.putLong(entry.session());
             } else {
-                bytes.putLong(word.mintedUs()).putShort((short) word.part());
+                bytes.putLong(entry.mintedUs()).putShort((short) entry.part());
             }
         }
         return bytes.array();
     }
 
-    private static ByteBuffer head(byte kind, int count, int room) {
-        return ByteBuffer.allocate(HEAD + room).put(MARK).put(VERSION).put(kind).put((byte) count);
+    private static ByteBuffer header(byte kind, int count, int bodyBytes) {
+        return ByteBuffer.allocate(HEADER_BYTES + bodyBytes)
+                .put(PROTOCOL_BYTE)
+                .put(VERSION)
+                .put(kind)
+                .put((byte) count);
     }
 
     /** Whatever can't be used has no effect and is counted. */
-    void heard(long now, int from, byte[] message) {
+    void messageReceived(long now, int from, byte[] message) {
         ByteBuffer bytes = ByteBuffer.wrap(message);
         try {
-            if (bytes.get() != MARK || bytes.get() != VERSION) {
-                spoilt++;
+            if (bytes.get() != PROTOCOL_BYTE || bytes.get() != VERSION) {
+                malformed++;
                 return;
             }
             byte kind = bytes.get();
             int count = bytes.get() & 0xff;
             switch (kind) {
-                case COPIES -> copies(now, bytes, count);
-                case PINS, OLD_PINS -> pins(now, bytes, count, kind == OLD_PINS);
-                case ASK -> answer(now, from, bytes.getLong(), count == 1);
-                case ANSWER -> answered(now, from, bytes.getLong(), bytes.getLong(), bytes.getLong());
-                default -> spoilt++;
+                case REPLICAS -> replicasReceived(now, bytes, count);
+                case STICKY_REPLICAS, OLD_STICKY_REPLICAS ->
+                    stickyReplicasReceived(now, bytes, count, kind == OLD_STICKY_REPLICAS);
+                case CLOCK_REQUEST -> sendAnswer(now, from, bytes.getLong(), count == 1);
+                case CLOCK_ANSWER -> answerReceived(now, from, bytes.getLong(), bytes.getLong(), bytes.getLong());
+                default -> malformed++;
             }
         } catch (BufferUnderflowException e) {
-            spoilt++;
+            malformed++;
         }
     }
 
-    private void copies(long now, ByteBuffer bytes, int count) {
+    private void replicasReceived(long now, ByteBuffer bytes, int count) {
         for (int i = 0; i < count; i++) {
             long object = bytes.getLong();
             long node = bytes.getLong();
             long minted = bytes.getLong();
             int part = bytes.getShort() & 0xffff;
             if (minted > 0) {
-                copies.saw(now, object, part, node, minted);
+                replicas.observed(now, object, part, node, minted);
             }
         }
     }
 
-    private void pins(long now, ByteBuffer bytes, int count, boolean old) {
+    private void stickyReplicasReceived(long now, ByteBuffer bytes, int count, boolean isOld) {
         for (int i = 0; i < count; i++) {
             long object = bytes.getLong();
             long node = bytes.getLong();
             long session = bytes.getLong();
-            if (session != 0 && !(old && pins.has(now, session, object))) {
-                pins.take(now, session, object, node);
+            if (session != 0 && !(isOld && stickyReplicas.contains(now, session, object))) {
+                stickyReplicas.assign(now, session, object, node);
             }
         }
     }
 
-    private void answer(long now, int from, long echo, boolean all) {
-        boolean known = origin.known(now);
-        out.send(
+    private void sendAnswer(long now, int from, long echo, boolean wantsAll) {
+        boolean known = origin.isKnown(now);
+        sender.send(
                 from,
-                head(ANSWER, 0, 24)
+                header(CLOCK_ANSWER, 0, 24)
                         .putLong(echo)
                         .putLong(known ? origin.earliest(now) : 0)
                         .putLong(known ? origin.latest(now) : 0)
                         .array());
-        if (all && owed.size() < DATAGRAMS) {
-            owe(from, newPins.kept, OLD_PINS);
-            owe(from, newCopies.kept, COPIES);
+        if (wantsAll && pendingMessages.size() < MAX_DATAGRAMS) {
+            queueAll(from, stickyEntries.remembered, OLD_STICKY_REPLICAS);
+            queueAll(from, replicaEntries.remembered, REPLICAS);
         }
     }
 
     /** The newest first: they are the likeliest to be asked for. */
-    private void owe(int to, ArrayDeque<Word> kept, byte kind) {
-        ArrayDeque<Word> words = new ArrayDeque<>();
-        kept.forEach(words::addFirst);
-        while (!words.isEmpty()) {
-            owed.add(next(words, kind));
-            owedTo.add(to);
+    private void queueAll(int to, ArrayDeque<Entry> kept, byte kind) {
+        ArrayDeque<Entry> entries = new ArrayDeque<>();
+        kept.forEach(entries::addFirst);
+        while (!entries.isEmpty()) {
+            pendingMessages.add(encodeEntries(entries, kind));
+            pendingReceivers.add(to);
         }
     }
 
     /** The origin's clock was past the earliest when the answer came, and not past the latest when it was asked for. */
-    private void answered(long now, int from, long echo, long earliest, long latest) {
-        Long sent = asked.get(from);
-        if (sent == null || sent != echo || now - echo > ANSWER_US || latest == 0) {
+    private void answerReceived(long now, int from, long echo, long earliest, long latest) {
+        Long sent = requestsSent.get(from);
+        if (sent == null || sent != echo || now - echo > MAX_ANSWER_AGE_US || latest == 0) {
             return;
         }
-        asked.remove(from);
-        origin.atLeast(now, earliest);
-        origin.atMost(echo, latest);
+        requestsSent.remove(from);
+        origin.raiseLowerBound(now, earliest);
+        origin.lowerUpperBound(echo, latest);
     }
 }
--- a/src/main/java/magpiewheel/staleness/SetAssociativeTable.java
+++ b/src/main/java/magpiewheel/staleness/SetAssociativeTable.java
@@ -1,34 +1,34 @@
 package magpiewheel.staleness;
 
 /**
- * A bounded table of numbers in plain arrays, in sets of eight: what was used longest ago in a full set makes room.
- * Keys are mixed by the caller; two that are equal by chance share a place, which costs a wrong guess and never a wrong
- * proof.
+ * A bounded table of numbers in plain arrays, set-associative with eight ways: in a full set the least recently used
+ * entry is replaced. Keys are hashed by the caller; two that collide share an entry, which costs a wrong guess and
+ * never a wrong proof.
  */
 final class SetAssociativeTable {
-    private static final int SET = 8;
+    private static final int WAYS = 8;
     private final long[] keys;
     private final long[] first;
     private final long[] second;
     private final long[] third;
-    private final long[] used;
-    private final long ageUs;
+    private final long[] lastUsedAt;
+    private final long maxAgeUs;
 
     /** Room for a power of two of entries, which are forgotten once unused for an age. */
-    SetAssociativeTable(int most, long ageUs) {
-        keys = new long[most];
-        first = new long[most];
-        second = new long[most];
-        third = new long[most];
-        used = new long[most];
-        this.ageUs = ageUs;
+    SetAssociativeTable(int maxEntries, long ageUs) {
+        keys = new long[maxEntries];
+        first = new long[maxEntries];
+        second = new long[maxEntries];
+        third = new long[maxEntries];
+        lastUsedAt = new long[maxEntries];
+        this.maxAgeUs = ageUs;
     }
 
     /** The entry of a key, or -1. */
     int find(long now, long key) {
-        int at = set(key);
-        for (int i = at; i < at + SET; i++) {
-            if (keys[i] == key && used[i] > now - ageUs && used[i] != 0) {
+        int at = setOf(key);
+        for (int i = at; i < at + WAYS; i++) {
+            if (keys[i] == key && lastUsedAt[i] > now - maxAgeUs && lastUsedAt[i] != 0) {
                 return i;
             }
         }
@@ -36,11 +36,11 @@
     }
 
     /** The entry to put a new key at: empty, or aged, or unused for longest; see {@link #value} for what it held. */
-    int room(long now, long key) {
-        int at = set(key);
+    int slotFor(long now, long key) {
+        int at = setOf(key);
         int oldest = at;
-        for (int i = at; i < at + SET; i++) {
-            if (used[i] < used[oldest]) {
+        for (int i = at; i < at + WAYS; i++) {
+            if (lastUsedAt[i] < lastUsedAt[oldest]) {
                 oldest = i;
             }
         }
@@ -52,15 +52,15 @@
         first[at] = one;
         second[at] = two;
         third[at] = three;
-        used[at] = Math.max(1, now);
+        lastUsedAt[at] = Math.max(1, now);
     }
 
-    void use(long now, int at) {
-        used[at] = Math.max(1, now);
+    void touch(long now, int at) {
+        lastUsedAt[at] = Math.max(1, now);
     }
 
     void clear(int at) {
-        used[at] = 0;
+        lastUsedAt[at] = 0;
         first[at] = 0;
         second[at] = 0;
     }
@@ -70,16 +70,16 @@
         first[at] = 0;
     }
 
-    boolean holds(int at) {
-        return used[at] != 0;
+    boolean isUsed(int at) {
+        return lastUsedAt[at] != 0;
     }
 
     /** Whether an entry has gone unused for too long. */
-    boolean aged(long now, int at) {
-        return used[at] != 0 && used[at] <= now - ageUs;
+    boolean isExpired(long now, int at) {
+        return lastUsedAt[at] != 0 && lastUsedAt[at] <= now - maxAgeUs;
     }
 
-    long key(int at) {
+    long keyOf(int at) {
         return keys[at];
     }
 
@@ -99,16 +99,16 @@
         return keys.length;
     }
 
-    private int set(long key) {
-        return (int) (key >>> 3) * SET & keys.length - 1;
+    private int setOf(long key) {
+        return (int) (key >>> 3) * WAYS & keys.length - 1;
     }
 
     /** Mixes numbers into a key that is never 0 (the finaliser of SplitMix64). */
-    static long key(long one, long two, long three) {
-        return mix(mix(mix(one) ^ two) ^ three);
+    static long keyOf(long one, long two, long three) {
+        return hash(hash(hash(one) ^ two) ^ three);
     }
 
-    static long mix(long value) {
+    static long hash(long value) {
         long z = value + 0x9e3779b97f4a7c15L;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
--- a/src/main/java/magpiewheel/staleness/package-info.java
+++ b/src/main/java/magpiewheel/staleness/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads of bounded staleness: hints, the bounds that follow from them, the proof that a copy keeps to its bound by the
- * origin's clock, and the replicas that a session's reads keep to. It has no I/O and is driven by the time it is given.
+ * Reads with a staleness bound: hints of applications, bounds, proofs by the origin's clock, sticky replicas, and what
+ * routers tell each other about them. Free of clocks, sockets and threads.
  */
 package magpiewheel.staleness;
--- a/src/test/java/magpiewheel/staleness/BoundedStalenessReadsTest.java
+++ b/src/test/java/magpiewheel/staleness/BoundedStalenessReadsTest.java
@@ -17,56 +17,56 @@
 
     /** The origin's clock is 300 ms ahead, as a fetch of 10 ms and the board of both seconds tell. */
     private void told() {
-        pins.fetched(NOW - 20 * MS, NOW - 10 * MS, NOW + 285 * MS, true);
-        pins.board(NOW - 2_000 * MS);
-        pins.board(NOW);
+        pins.responseReceived(NOW - 20 * MS, NOW - 10 * MS, NOW + 285 * MS, true);
+        pins.discoveryHeard(NOW - 2_000 * MS);
+        pins.discoveryHeard(NOW);
     }
 
     @Test
     void afterNeedsNoClock() {
-        pins.board(NOW - 2_000 * MS);
-        pins.board(NOW);
-        StalenessBound bound = pins.bound(NOW, new ReadHint(0, NOW / MS + 400, 0, true), FRESH, GRACE, 0);
+        pins.discoveryHeard(NOW - 2_000 * MS);
+        pins.discoveryHeard(NOW);
+        StalenessBound bound = pins.boundOf(NOW, new ReadHint(0, NOW / MS + 400, 0, true), FRESH, GRACE, 0);
         assertTrue(bound.provable());
-        assertFalse(pins.admits(NOW, bound, NOW + 399 * MS));
-        assertTrue(pins.admits(NOW, bound, NOW + 400 * MS));
+        assertFalse(pins.accepts(NOW, bound, NOW + 399 * MS));
+        assertTrue(pins.accepts(NOW, bound, NOW + 400 * MS));
     }
 
     @Test
     void atMostGoesByTheLatestThatTheOriginMayShow() {
         told();
-        StalenessBound bound = pins.bound(NOW, new ReadHint(1_000 * MS, 0, 0, true), FRESH, GRACE, 0);
+        StalenessBound bound = pins.boundOf(NOW, new ReadHint(1_000 * MS, 0, 0, true), FRESH, GRACE, 0);
         assertTrue(bound.provable());
         // Latest: minted and its ms, less the moment of sending, and 24 us of drift over 20 ms.
         long latest = NOW + 285 * MS + 20 * MS + MS + 24;
-        assertEquals(latest - 1_000 * MS, bound.oldestUs());
-        assertFalse(pins.admits(NOW, bound, latest - 1_000 * MS - 1));
-        assertTrue(pins.admits(NOW, bound, latest - 1_000 * MS));
-        assertTrue(pins.freshUs(NOW, bound) <= 1_000 * MS);
-        assertEquals(0, pins.aged(NOW, bound, latest - 1_000 * MS));
-        assertEquals(1_001, pins.aged(NOW, bound, latest - 1_000 * MS - 1));
+        assertEquals(latest - 1_000 * MS, bound.oldestAcceptableUs());
+        assertFalse(pins.accepts(NOW, bound, latest - 1_000 * MS - 1));
+        assertTrue(pins.accepts(NOW, bound, latest - 1_000 * MS));
+        assertTrue(pins.maxAgeUs(NOW, bound) <= 1_000 * MS);
+        assertEquals(0, pins.ageMsBeyond(NOW, bound, latest - 1_000 * MS));
+        assertEquals(1_001, pins.ageMsBeyond(NOW, bound, latest - 1_000 * MS - 1));
     }
 
     @Test
     void withoutAClockOnlyTheOriginsAnswerProvesAtMost() {
-        pins.board(NOW - 2_000 * MS);
-        pins.board(NOW);
+        pins.discoveryHeard(NOW - 2_000 * MS);
+        pins.discoveryHeard(NOW);
         ReadHint hint = new ReadHint(1_000 * MS, 0, 0, true);
-        StalenessBound strict = pins.bound(NOW, hint, FRESH, GRACE, 0);
-        assertTrue(strict.provable() && pins.byOriginOnly(NOW, strict));
-        assertFalse(pins.admits(NOW, strict, NOW));
-        StalenessBound prefer = pins.bound(NOW, new ReadHint(1_000 * MS, 0, 0, false), FRESH, GRACE, 0);
-        assertFalse(pins.admits(NOW, prefer, NOW));
-        assertFalse(pins.byOriginOnly(NOW, prefer));
-        assertEquals(-1, pins.aged(NOW, prefer, NOW));
+        StalenessBound strict = pins.boundOf(NOW, hint, FRESH, GRACE, 0);
+        assertTrue(strict.provable() && pins.requiresOriginResponse(NOW, strict));
+        assertFalse(pins.accepts(NOW, strict, NOW));
+        StalenessBound prefer = pins.boundOf(NOW, new ReadHint(1_000 * MS, 0, 0, false), FRESH, GRACE, 0);
+        assertFalse(pins.accepts(NOW, prefer, NOW));
+        assertFalse(pins.requiresOriginResponse(NOW, prefer));
+        assertEquals(-1, pins.ageMsBeyond(NOW, prefer, NOW));
         // A parent's copy, or one that joined a fill, proves nothing.
-        pins.fetched(NOW + 1 * MS, NOW + 900 * MS, NOW - 399 * MS, false);
-        assertFalse(pins.admits(NOW + 900 * MS, strict, NOW - 399 * MS));
+        pins.responseReceived(NOW + 1 * MS, NOW + 900 * MS, NOW - 399 * MS, false);
+        assertFalse(pins.accepts(NOW + 900 * MS, strict, NOW - 399 * MS));
         // The origin gave it out for a request sent after the read came: whatever the clocks.
-        pins.fetched(NOW + 1 * MS, NOW + 900 * MS, NOW - 399 * MS, true);
-        assertTrue(pins.admits(NOW + 900 * MS, prefer, NOW - 399 * MS));
-        assertTrue(pins.admits(NOW + 900 * MS, strict, NOW - 399 * MS));
-        assertFalse(pins.byOriginOnly(NOW + 900 * MS, strict));
+        pins.responseReceived(NOW + 1 * MS, NOW + 900 * MS, NOW - 399 * MS, true);
+        assertTrue(pins.accepts(NOW + 900 * MS, prefer, NOW - 399 * MS));
+        assertTrue(pins.accepts(NOW + 900 * MS, strict, NOW - 399 * MS));
+        assertFalse(pins.requiresOriginResponse(NOW + 900 * MS, strict));
     }
 
     /**
@@ -74,21 +74,23 @@
      */
     @Test
     void oneReadAtATimeGoesForTheClock() {
-        pins.board(NOW - 2_000 * MS);
-        pins.board(NOW);
-        assertTrue(BoundedStalenessReads.mayLearn(0));
-        assertFalse(BoundedStalenessReads.mayLearn(1));
+        pins.discoveryHeard(NOW - 2_000 * MS);
+        pins.discoveryHeard(NOW);
+        assertTrue(BoundedStalenessReads.mayReadOrigin(0));
+        assertFalse(BoundedStalenessReads.mayReadOrigin(1));
         ReadHint mark = new ReadHint(0, NOW / MS - 100, 0, true);
-        assertFalse(pins.byOriginOnly(NOW, pins.bound(NOW, mark, FRESH, GRACE, 0)));
+        assertFalse(pins.requiresOriginResponse(NOW, pins.boundOf(NOW, mark, FRESH, GRACE, 0)));
         long late = NOW + 3_000 * MS;
-        assertTrue(pins.byOriginOnly(late, pins.bound(late, mark, FRESH, GRACE, 0)), "a silent board bounds the age");
+        assertTrue(
+                pins.requiresOriginResponse(late, pins.boundOf(late, mark, FRESH, GRACE, 0)),
+                "a silent board bounds the age");
     }
 
     @Test
     void nothingAskedBindsNothing() {
-        assertEquals(StalenessBound.NONE, pins.bound(NOW, ReadHint.NONE, FRESH, GRACE, NOW));
-        assertEquals(0, pins.freshUs(NOW, StalenessBound.NONE));
-        assertTrue(pins.admits(NOW, StalenessBound.NONE, 0));
-        assertEquals(0, pins.pick(NOW, ReadHint.NONE, 1, 0, List.of(1L, 2L), StalenessBound.NONE));
+        assertEquals(StalenessBound.NONE, pins.boundOf(NOW, ReadHint.NONE, FRESH, GRACE, NOW));
+        assertEquals(0, pins.maxAgeUs(NOW, StalenessBound.NONE));
+        assertTrue(pins.accepts(NOW, StalenessBound.NONE, 0));
+        assertEquals(0, pins.preferredReplica(NOW, ReadHint.NONE, 1, 0, List.of(1L, 2L), StalenessBound.NONE));
     }
 }
--- a/src/test/java/magpiewheel/staleness/CaseWorld.java
+++ b/src/test/java/magpiewheel/staleness/CaseWorld.java
@@ -30,9 +30,9 @@
 
     CaseWorld() {
         list();
-        pins.board(now - 4_000 * MS);
-        pins.board(now - 2_000 * MS);
-        pins.board(now);
+        pins.discoveryHeard(now - 4_000 * MS);
+        pins.discoveryHeard(now - 2_000 * MS);
+        pins.discoveryHeard(now);
     }
 
     long origin() {
@@ -46,7 +46,7 @@
                 all.add(new Replica(id, draining.contains(id), 1, 0));
             }
         }
-        pins.nodes(now, all);
+        pins.replicasChanged(now, all);
     }
 
     void state(long node, String state) {
@@ -74,10 +74,10 @@
     /** Frames each half second, the last one now. */
     void boardFor(long ms) {
         long from = now;
-        pins.board(from);
+        pins.discoveryHeard(from);
         for (long at = 100; at <= ms; at += 100) {
             now = from + at * MS;
-            pins.board(now);
+            pins.discoveryHeard(now);
         }
     }
 
@@ -85,7 +85,7 @@
     void read(String text) {
         if (clockMs > 0) {
             // So long a fetch leaves so much open at the upper end, and nothing at the lower.
-            pins.fetched(now - (clockMs - 1) * MS, now, origin(), true);
+            pins.responseReceived(now - (clockMs - 1) * MS, now, origin(), true);
         }
         try {
             java.util.regex.Matcher mark =
@@ -93,7 +93,7 @@
             hint = text.isEmpty()
                     ? ReadHint.NONE
                     : ReadHint.parse(mark.replaceAll(m -> "after:" + (origin() / MS + Long.parseLong(m.group(1)))));
-            bound = pins.bound(now, hint, fresh, grace, purge);
+            bound = pins.boundOf(now, hint, fresh, grace, purge);
         } catch (InvalidHintException e) {
             error = e.getMessage();
         }
@@ -104,6 +104,6 @@
     }
 
     long asked() {
-        return pins.pick(now, hint, OBJECT, 0, ready(), bound);
+        return pins.preferredReplica(now, hint, OBJECT, 0, ready(), bound);
     }
 }
--- a/src/test/java/magpiewheel/staleness/CasesTest.java
+++ b/src/test/java/magpiewheel/staleness/CasesTest.java
@@ -30,19 +30,19 @@
             .act("the origin's clock is known within (\\d+) ms", (w, m) -> w.clockMs = number(m, 1))
             .act("the object was purged (-?\\d+) ms ago", (w, m) -> {
                 w.purge = w.minted(number(m, 1));
-                w.pins.purged(w.now, CaseWorld.OBJECT, 0, w.purge);
+                w.pins.objectPurged(w.now, CaseWorld.OBJECT, 0, w.purge);
             })
             .act(
                     "cache (\\d) holds a copy (\\d+) ms old",
-                    (w, m) -> w.pins.served(
+                    (w, m) -> w.pins.responseServed(
                             w.now, ReadHint.NONE, CaseWorld.OBJECT, 0, number(m, 1), w.minted(number(m, 2))))
             .act(
                     "the parent holds a copy (\\d+) ms old",
-                    (w, m) -> w.pins.served(
+                    (w, m) -> w.pins.responseServed(
                             w.now, ReadHint.NONE, CaseWorld.OBJECT, 0, CaseWorld.PARENT, w.minted(number(m, 1))))
             .act(
                     "the session was served by cache (\\d)",
-                    (w, m) -> w.pins.served(
+                    (w, m) -> w.pins.responseServed(
                             w.now, new ReadHint(0, 0, CaseWorld.SESSION, false), CaseWorld.OBJECT, 0, number(m, 1), 0))
             .act("cache (\\d) (drains|is gone|is ready)", (w, m) -> w.state(number(m, 1), m.group(2)))
             .act("the board was silent for (\\d+) ms", (w, m) -> w.silent(number(m, 1)))
@@ -55,45 +55,47 @@
                 long sent = w.now;
                 w.given = w.origin() / MS * MS;
                 w.now += number(m, 2) * MS;
-                w.pins.fetched(sent, w.now, w.given, m.group(1).equals("the origin"));
+                w.pins.responseReceived(sent, w.now, w.given, m.group(1).equals("the origin"));
             })
             .check("its error is: (.+)", (w, m) -> assertEquals(m.group(1), w.error))
             .check("it is refused at once", (w, m) -> assertTrue(w.bound.strict() && !w.bound.provable()))
             .check("it is not refused at once", (w, m) -> assertFalse(w.bound.strict() && !w.bound.provable()))
-            .check("the pause is (\\d+) ms", (w, m) -> assertEquals(number(m, 1) * MS, w.pins.pauseUs(w.now)))
+            .check("the pause is (\\d+) ms", (w, m) -> assertEquals(number(m, 1) * MS, w.pins.retryAfterUs(w.now)))
             .check(
                     "a copy (\\d+) ms old is (not |)admitted",
-                    (w, m) -> assertEquals(m.group(2).isEmpty(), w.pins.admits(w.now, w.bound, w.minted(number(m, 1)))))
+                    (w, m) ->
+                            assertEquals(m.group(2).isEmpty(), w.pins.accepts(w.now, w.bound, w.minted(number(m, 1)))))
             .check(
                     "an answer that the client's copy of (\\d+) ms holds is (not |)admitted",
-                    (w, m) -> assertEquals(m.group(2).isEmpty(), w.pins.admits(w.now, w.bound, w.minted(number(m, 1)))))
-            .check("a copy that has no time is not admitted", (w, m) -> assertFalse(w.pins.admits(w.now, w.bound, 0)))
+                    (w, m) ->
+                            assertEquals(m.group(2).isEmpty(), w.pins.accepts(w.now, w.bound, w.minted(number(m, 1)))))
+            .check("a copy that has no time is not admitted", (w, m) -> assertFalse(w.pins.accepts(w.now, w.bound, 0)))
             .check(
                     "the origin's copy is (not |)admitted",
-                    (w, m) -> assertEquals(m.group(1).isEmpty(), w.pins.admits(w.now, w.bound, w.given)))
+                    (w, m) -> assertEquals(m.group(1).isEmpty(), w.pins.accepts(w.now, w.bound, w.given)))
             .check(
                     "a copy (\\d+) ms old is told as (\\d+) ms old",
-                    (w, m) -> assertEquals(number(m, 2), w.pins.aged(w.now, w.bound, w.minted(number(m, 1)))))
+                    (w, m) -> assertEquals(number(m, 2), w.pins.ageMsBeyond(w.now, w.bound, w.minted(number(m, 1)))))
             .check(
                     "a copy (\\d+) ms old is told without an age",
-                    (w, m) -> assertEquals(-1, w.pins.aged(w.now, w.bound, w.minted(number(m, 1)))))
+                    (w, m) -> assertEquals(-1, w.pins.ageMsBeyond(w.now, w.bound, w.minted(number(m, 1)))))
             .check(
                     "a copy (\\d+) ms old is told without more",
-                    (w, m) -> assertEquals(0, w.pins.aged(w.now, w.bound, w.minted(number(m, 1)))))
-            .check("nothing is asked of a node", (w, m) -> assertEquals(0, w.pins.freshUs(w.now, w.bound)))
+                    (w, m) -> assertEquals(0, w.pins.ageMsBeyond(w.now, w.bound, w.minted(number(m, 1)))))
+            .check("nothing is asked of a node", (w, m) -> assertEquals(0, w.pins.maxAgeUs(w.now, w.bound)))
             .check(
                     "a node may answer with copies up to (\\d+) ms old",
-                    (w, m) -> assertEquals(number(m, 1), Math.round(w.pins.freshUs(w.now, w.bound) / 1e3)))
+                    (w, m) -> assertEquals(number(m, 1), Math.round(w.pins.maxAgeUs(w.now, w.bound) / 1e3)))
             .check(
                     "cache (\\d) may answer with copies up to 0 ms old",
-                    (w, m) -> assertEquals(1, w.pins.freshUs(w.now, CaseWorld.OBJECT, 0, number(m, 1), w.bound)))
+                    (w, m) -> assertEquals(1, w.pins.maxAgeUs(w.now, CaseWorld.OBJECT, 0, number(m, 1), w.bound)))
             .check("cache (\\d) is asked", (w, m) -> assertEquals(number(m, 1), w.asked()))
             .check("the module's order holds", (w, m) -> assertEquals(0, w.asked()))
             .check(
                     "the parent may (not |)fill",
                     (w, m) -> assertEquals(
                             m.group(1).isEmpty(),
-                            w.pins.satisfies(w.now, CaseWorld.OBJECT, 0, CaseWorld.PARENT, w.bound)));
+                            w.pins.mayBeAcceptable(w.now, CaseWorld.OBJECT, 0, CaseWorld.PARENT, w.bound)));
 
     private static long number(MatchResult words, int group) {
         return Long.parseLong(words.group(group));
@@ -129,7 +131,7 @@
     @Test
     void theStepsOfASilentBoardAreThoseOfTheCode() throws IOException {
         assertEquals(
-                List.of(DiscoveryFreshness.Step.values()).stream()
+                List.of(DiscoveryFreshness.State.values()).stream()
                         .map(Enum::name)
                         .toList(),
                 PageTable.column(PageTable.read(PAGE, "## Steps of a silent board"), "step"));
--- a/src/test/java/magpiewheel/staleness/PartsTest.java
+++ b/src/test/java/magpiewheel/staleness/PartsTest.java
@@ -25,52 +25,52 @@
     @Test
     void whatIsKnownOfTheClockWidensAndNarrowsAgain() {
         OriginClock clock = new OriginClock();
-        assertFalse(clock.known(NOW));
-        assertEquals(-1, clock.error(NOW));
-        clock.atLeast(NOW, NOW + 100 * MS);
-        assertFalse(clock.known(NOW), "a lower bound alone is no use");
-        clock.atMost(NOW, NOW + 110 * MS);
-        assertTrue(clock.known(NOW));
-        assertEquals(10 * MS, clock.error(NOW));
+        assertFalse(clock.isKnown(NOW));
+        assertEquals(-1, clock.widthUs(NOW));
+        clock.raiseLowerBound(NOW, NOW + 100 * MS);
+        assertFalse(clock.isKnown(NOW), "a lower bound alone is no use");
+        clock.lowerUpperBound(NOW, NOW + 110 * MS);
+        assertTrue(clock.isKnown(NOW));
+        assertEquals(10 * MS, clock.widthUs(NOW));
         assertEquals(NOW + 110 * MS, clock.latest(NOW));
-        assertEquals(10 * MS + 2 * 12_000, clock.error(NOW + 10 * S));
+        assertEquals(10 * MS + 2 * 12_000, clock.widthUs(NOW + 10 * S));
         assertEquals(NOW + 10 * S + 110 * MS + 12 * MS, clock.latest(NOW + 10 * S));
-        clock.atMost(NOW + 10 * S, NOW + 10 * S + 111 * MS);
+        clock.lowerUpperBound(NOW + 10 * S, NOW + 10 * S + 111 * MS);
         assertEquals(NOW + 10 * S + 111 * MS, clock.latest(NOW + 10 * S));
-        clock.atMost(NOW + 10 * S, NOW + 10 * S + 500 * MS);
+        clock.lowerUpperBound(NOW + 10 * S, NOW + 10 * S + 500 * MS);
         assertEquals(NOW + 10 * S + 111 * MS, clock.latest(NOW + 10 * S), "a looser bound changes nothing");
-        assertFalse(clock.known(NOW + 1_000 * S), "past 2 s it is of no use");
+        assertFalse(clock.isKnown(NOW + 1_000 * S), "past 2 s it is of no use");
     }
 
     @Test
     void aClockThatWasSteppedIsFoundAndLearntAnew() {
         OriginClock clock = new OriginClock();
-        clock.atLeast(NOW, NOW);
-        clock.atMost(NOW, NOW + 5 * MS);
-        clock.atLeast(NOW + S, NOW + S + 400 * MS);
-        assertFalse(clock.known(NOW + S), "the old upper bound is refuted");
-        assertEquals(1, clock.steps());
-        clock.atMost(NOW + S, NOW + S + 410 * MS);
-        assertTrue(clock.known(NOW + S));
-        clock.atMost(NOW + 2 * S, NOW + 2 * S - 400 * MS);
-        assertEquals(2, clock.steps());
+        clock.raiseLowerBound(NOW, NOW);
+        clock.lowerUpperBound(NOW, NOW + 5 * MS);
+        clock.raiseLowerBound(NOW + S, NOW + S + 400 * MS);
+        assertFalse(clock.isKnown(NOW + S), "the old upper bound is refuted");
+        assertEquals(1, clock.clockSteps());
+        clock.lowerUpperBound(NOW + S, NOW + S + 410 * MS);
+        assertTrue(clock.isKnown(NOW + S));
+        clock.lowerUpperBound(NOW + 2 * S, NOW + 2 * S - 400 * MS);
+        assertEquals(2, clock.clockSteps());
         assertEquals(NOW + 2 * S - 400 * MS, clock.latest(NOW + 2 * S));
     }
 
     @Test
     void aWriteBoundsTheClockFromBelowOnly() {
         BoundedStalenessReads pins = new BoundedStalenessReads(NOW, 0, 0, new FixedView(), (to, bytes) -> {});
-        pins.wrote(NOW, NOW + 5 * MS, NOW - 90 * S);
-        assertEquals(-1, pins.errorUs(NOW + 5 * MS), "a keyed write done long ago would set the clock back");
-        pins.fetched(NOW, NOW + 5 * MS, NOW + 2 * MS, true);
-        assertTrue(pins.errorUs(NOW + 5 * MS) > 0);
+        pins.writeAnswered(NOW, NOW + 5 * MS, NOW - 90 * S);
+        assertEquals(-1, pins.clockUncertaintyUs(NOW + 5 * MS), "a keyed write done long ago would set the clock back");
+        pins.responseReceived(NOW, NOW + 5 * MS, NOW + 2 * MS, true);
+        assertTrue(pins.clockUncertaintyUs(NOW + 5 * MS) > 0);
     }
 
     @Test
     void aMarkOfAWriteIsOneMore() {
-        assertEquals(1_764_576_000_123L, BoundedStalenessReads.mark(1_764_576_000_123_000L, false));
-        assertEquals(1_764_576_000_124L, BoundedStalenessReads.mark(1_764_576_000_123_000L, true));
-        assertEquals(0, BoundedStalenessReads.mark(0, true));
+        assertEquals(1_764_576_000_123L, BoundedStalenessReads.markOf(1_764_576_000_123_000L, false));
+        assertEquals(1_764_576_000_124L, BoundedStalenessReads.markOf(1_764_576_000_123_000L, true));
+        assertEquals(0, BoundedStalenessReads.markOf(0, true));
     }
 
     // ---------------------------------------------------------------- the table
@@ -79,31 +79,31 @@
     void theOldestOfAFullSetGivesWayAndTheAgedAreGone() {
         SetAssociativeTable ways = new SetAssociativeTable(64, 100 * S);
         for (long i = 0; i < 1_000; i++) {
-            long key = SetAssociativeTable.key(i, 0, 0);
-            ways.put(NOW + i, ways.room(NOW + i, key), key, i, 0, 0);
+            long key = SetAssociativeTable.keyOf(i, 0, 0);
+            ways.put(NOW + i, ways.slotFor(NOW + i, key), key, i, 0, 0);
         }
         long kept = IntStream.range(0, 1_000)
-                .filter(i -> ways.find(NOW + 1_000, SetAssociativeTable.key(i, 0, 0)) >= 0)
+                .filter(i -> ways.find(NOW + 1_000, SetAssociativeTable.keyOf(i, 0, 0)) >= 0)
                 .count();
         assertEquals(64, kept);
         assertTrue(IntStream.range(0, 500)
-                .noneMatch(i -> ways.find(NOW + 1_000, SetAssociativeTable.key(i, 0, 0)) >= 0));
-        assertEquals(999, ways.value(ways.find(NOW + 1_000, SetAssociativeTable.key(999, 0, 0))));
-        assertEquals(-1, ways.find(NOW + 999 + 100 * S, SetAssociativeTable.key(999, 0, 0)));
+                .noneMatch(i -> ways.find(NOW + 1_000, SetAssociativeTable.keyOf(i, 0, 0)) >= 0));
+        assertEquals(999, ways.value(ways.find(NOW + 1_000, SetAssociativeTable.keyOf(999, 0, 0))));
+        assertEquals(-1, ways.find(NOW + 999 + 100 * S, SetAssociativeTable.keyOf(999, 0, 0)));
     }
 
     @Test
     void whatALaterWordTellsOfAnOlderCopyChangesNothing() {
         ReplicaIndex copies = new ReplicaIndex(64, 100 * S);
-        assertTrue(copies.saw(NOW, 1, 0, 5, NOW));
-        assertFalse(copies.saw(NOW, 1, 0, 5, NOW - S));
-        assertEquals(NOW, copies.minted(NOW, 1, 0, 5));
-        assertEquals(0, copies.minted(NOW, 1, 1, 5));
-        copies.purged(2, NOW + 1);
-        copies.purged(1, NOW);
-        assertEquals(NOW, copies.minted(NOW, 1, 0, 5), "as old as the purge is not older");
-        copies.purged(1, NOW + 1);
-        assertEquals(0, copies.minted(NOW, 1, 0, 5));
+        assertTrue(copies.observed(NOW, 1, 0, 5, NOW));
+        assertFalse(copies.observed(NOW, 1, 0, 5, NOW - S));
+        assertEquals(NOW, copies.originTimeOf(NOW, 1, 0, 5));
+        assertEquals(0, copies.originTimeOf(NOW, 1, 1, 5));
+        copies.removeOlder(2, NOW + 1);
+        copies.removeOlder(1, NOW);
+        assertEquals(NOW, copies.originTimeOf(NOW, 1, 0, 5), "as old as the purge is not older");
+        copies.removeOlder(1, NOW + 1);
+        assertEquals(0, copies.originTimeOf(NOW, 1, 0, 5));
     }
 
     // ---------------------------------------------------------------- pins
@@ -117,61 +117,63 @@
     @Test
     void aCrowdMovesNoHotSpot() {
         StickyReplicaTable pins = new StickyReplicaTable(1 << 14, 600 * S);
-        pins.nodes(NOW, caches(4, 0));
+        pins.replicasChanged(NOW, caches(4, 0));
         for (int i = 0; i < 8_000; i++) {
-            pins.take(NOW, 1 + i, 9, i % 8 == 0 ? 1 + i / 8 % 4 : 1);
-            assertTrue(pins.at(1) <= Math.max(16, 1.25 * pins.total() / 4) + 1, pins.at(1) + " of " + pins.total());
+            pins.assign(NOW, 1 + i, 9, i % 8 == 0 ? 1 + i / 8 % 4 : 1);
+            assertTrue(
+                    pins.assignedTo(1) <= Math.max(16, 1.25 * pins.total() / 4) + 1,
+                    pins.assignedTo(1) + " of " + pins.total());
         }
-        assertTrue(pins.at(1) > 200 && pins.total() > 900, pins.at(1) + " of " + pins.total());
+        assertTrue(pins.assignedTo(1) > 200 && pins.total() > 900, pins.assignedTo(1) + " of " + pins.total());
         int moved = 0;
         for (int i = 0; i < 8_000; i++) {
-            moved += pins.move(NOW, 2) ? 1 : 0;
+            moved += pins.admitsMigration(NOW, 2) ? 1 : 0;
         }
         assertEquals(16, moved, "reads that leave the module's order for one cache");
-        assertTrue(pins.move(NOW + 2 * S, 2));
+        assertTrue(pins.admitsMigration(NOW + 2 * S, 2));
     }
 
     @Test
     void pinsLeaveADrainingCacheAtOnceAndComeBackPaced() {
         StickyReplicaTable pins = new StickyReplicaTable(1 << 14, 600 * S);
-        pins.nodes(NOW, caches(4, 0));
+        pins.replicasChanged(NOW, caches(4, 0));
         for (int i = 0; i < 4_000; i++) {
-            assertTrue(pins.take(NOW, 1 + i, 9, 1 + i % 4));
+            assertTrue(pins.assign(NOW, 1 + i, 9, 1 + i % 4));
         }
-        assertEquals(List.of(), pins.nodes(NOW + 1, caches(4, 2)));
-        assertEquals(0, pins.at(2));
+        assertEquals(List.of(), pins.replicasChanged(NOW + 1, caches(4, 2)));
+        assertEquals(0, pins.assignedTo(2));
         for (int i = 0; i < 4_000; i++) {
-            assertEquals(i % 4 == 1 ? 0 : 1 + i % 4, pins.of(NOW + 1, 1 + i, 9), "no other pin moves");
+            assertEquals(i % 4 == 1 ? 0 : 1 + i % 4, pins.replicaOf(NOW + 1, 1 + i, 9), "no other pin moves");
         }
         for (int i = 1; i < 4_000; i += 4) {
-            assertTrue(pins.take(NOW + 2, 1 + i, 9, 3 + i / 4 % 2));
+            assertTrue(pins.assign(NOW + 2, 1 + i, 9, 3 + i / 4 % 2));
         }
-        pins.nodes(NOW + 10 * S, caches(4, 0));
+        pins.replicasChanged(NOW + 10 * S, caches(4, 0));
         for (int s = 0; s <= 20; s += 5) {
             long at = NOW + 10 * S + s * S;
             long back = IntStream.range(0, 1_000)
-                    .filter(i -> pins.of(at, 2 + 4L * i, 9) == 2)
+                    .filter(i -> pins.replicaOf(at, 2 + 4L * i, 9) == 2)
                     .count();
             assertEquals(1_000 * s / 20, back, 60, "after " + s + " s");
         }
         assertEquals(
                 List.of(3L),
-                pins.nodes(NOW + 40 * S, caches(2, 0)).stream()
+                pins.replicasChanged(NOW + 40 * S, caches(2, 0)).stream()
                         .filter(id -> id == 3)
                         .toList());
-        assertEquals(0, pins.at(3));
+        assertEquals(0, pins.assignedTo(3));
     }
 
     @Test
     void aCacheThatStartedAgainHoldsNothing() {
         BoundedStalenessReads pins = new BoundedStalenessReads(NOW, 0, 0, new FixedView(), (to, bytes) -> {});
-        pins.nodes(NOW, List.of(new Replica(1, false, 1, 0)));
-        pins.served(NOW, new ReadHint(0, 5, 8, true), 9, 0, 1, NOW);
-        StalenessBound bound = pins.bound(NOW, new ReadHint(0, 5, 8, false), S, S, 0);
-        assertEquals(1, pins.pick(NOW, new ReadHint(0, 5, 8, false), 9, 0, List.of(1L), bound));
-        pins.nodes(NOW + 1, List.of(new Replica(1, false, 1, NOW)));
-        assertEquals(0, pins.pick(NOW + 1, new ReadHint(0, 5, 0, false), 9, 0, List.of(1L), bound));
-        assertEquals(0, pins.pinned());
+        pins.replicasChanged(NOW, List.of(new Replica(1, false, 1, 0)));
+        pins.responseServed(NOW, new ReadHint(0, 5, 8, true), 9, 0, 1, NOW);
+        StalenessBound bound = pins.boundOf(NOW, new ReadHint(0, 5, 8, false), S, S, 0);
+        assertEquals(1, pins.preferredReplica(NOW, new ReadHint(0, 5, 8, false), 9, 0, List.of(1L), bound));
+        pins.replicasChanged(NOW + 1, List.of(new Replica(1, false, 1, NOW)));
+        assertEquals(0, pins.preferredReplica(NOW + 1, new ReadHint(0, 5, 0, false), 9, 0, List.of(1L), bound));
+        assertEquals(0, pins.stickyReplicas());
     }
 
     // ---------------------------------------------------------------- between fronts
@@ -192,15 +194,15 @@
             fronts[me] = new BoundedStalenessReads(clock(me), me, 0, new FixedView(List.of(1 - me)), (to, bytes) -> {
                 assertTrue(bytes.length <= 256 && bytes[0] == (byte) 0xe2);
                 sent++;
-                way.add(() -> fronts[to].heard(clock(to), me, bytes));
+                way.add(() -> fronts[to].messageReceived(clock(to), me, bytes));
             });
-            fronts[me].nodes(clock(me), caches(4, 0));
+            fronts[me].replicasChanged(clock(me), caches(4, 0));
         }
 
         void run(long us) {
             for (long end = now + us; now < end; now += 50 * MS) {
                 for (int me = 0; me < 2; me++) {
-                    fronts[me].board(clock(me));
+                    fronts[me].discoveryHeard(clock(me));
                     if (clock(me) >= fronts[me].due()) {
                         fronts[me].tick(clock(me));
                     }
@@ -220,24 +222,24 @@
         two.start(0);
         two.start(1);
         two.run(S);
-        two.fronts[1].fetched(two.clock(1), two.clock(1) + 4 * MS, two.clock(1) + 700 * MS, true);
+        two.fronts[1].responseReceived(two.clock(1), two.clock(1) + 4 * MS, two.clock(1) + 700 * MS, true);
         for (int i = 0; i < 300; i++) {
-            two.fronts[1].served(two.clock(1), new ReadHint(0, 5, 100 + i, true), 1 + i, 0, 1 + i % 4, NOW);
+            two.fronts[1].responseServed(two.clock(1), new ReadHint(0, 5, 100 + i, true), 1 + i, 0, 1 + i % 4, NOW);
             two.run(60 * MS);
         }
         two.start(0);
-        assertEquals(0, two.fronts[0].pinned());
+        assertEquals(0, two.fronts[0].stickyReplicas());
         two.run(6 * S);
-        assertEquals(300, two.fronts[0].pinned());
+        assertEquals(300, two.fronts[0].stickyReplicas());
         ReadHint hint = new ReadHint(0, NOW / MS, 100 + 17, true);
-        StalenessBound bound = two.fronts[0].bound(two.now, hint, 900 * S, S, 0);
-        assertEquals(1 + 17 % 4, two.fronts[0].pick(two.now, hint, 18, 0, List.of(4L, 3L, 2L, 1L), bound));
-        assertTrue(two.fronts[0].satisfies(two.now, 18, 0, 1 + 17 % 4, bound));
-        long error = two.fronts[0].errorUs(two.now);
+        StalenessBound bound = two.fronts[0].boundOf(two.now, hint, 900 * S, S, 0);
+        assertEquals(1 + 17 % 4, two.fronts[0].preferredReplica(two.now, hint, 18, 0, List.of(4L, 3L, 2L, 1L), bound));
+        assertTrue(two.fronts[0].mayBeAcceptable(two.now, 18, 0, 1 + 17 % 4, bound));
+        long error = two.fronts[0].clockUncertaintyUs(two.now);
         assertTrue(error >= 0 && error < 100 * MS, "the clock is known within " + error);
         // Front 1's clock is 400 ms behind, and the origin's 700 ms ahead of that one.
-        StalenessBound young = two.fronts[0].bound(two.now, new ReadHint(1_000 * MS, 0, 0, false), 900 * S, S, 0);
-        assertTrue(young.oldestUs() >= two.now + 300 * MS - 1_000 * MS, "the bound is on the safe side");
+        StalenessBound young = two.fronts[0].boundOf(two.now, new ReadHint(1_000 * MS, 0, 0, false), 900 * S, S, 0);
+        assertTrue(young.oldestAcceptableUs() >= two.now + 300 * MS - 1_000 * MS, "the bound is on the safe side");
     }
 
     @Test
@@ -248,12 +250,13 @@
         two.run(5 * S);
         two.sent = 0;
         for (int i = 0; i < 50_000; i++) {
-            two.fronts[0].served(two.now, new ReadHint(0, 5, 1 + i, true), 1 + i, 0, 1 + i % 4, NOW + i);
+            two.fronts[0].responseServed(two.now, new ReadHint(0, 5, 1 + i, true), 1 + i, 0, 1 + i % 4, NOW + i);
         }
         for (int tick = 0; tick < 40; tick++) {
             two.sent = 0;
             two.run(ReplicaGossip.TICK_US);
-            assertTrue(two.sent <= 2 * (ReplicaGossip.DATAGRAMS + 2), two.sent + " datagrams in a tick of two fronts");
+            assertTrue(
+                    two.sent <= 2 * (ReplicaGossip.MAX_DATAGRAMS + 2), two.sent + " datagrams in a tick of two fronts");
         }
     }
 
@@ -268,12 +271,12 @@
             most[0] = Math.max(most[0], bytes[2] == 1 ? copies.merge(Arrays.toString(bytes), 1, Integer::sum) : 0);
         });
         for (int i = 0; i < 90; i++) {
-            pins.served(NOW, new ReadHint(0, 5, 0, true), 1 + i, 0, 1 + i % 4, NOW + i);
+            pins.responseServed(NOW, new ReadHint(0, 5, 0, true), 1 + i, 0, 1 + i % 4, NOW + i);
         }
         for (int tick = 0; tick < 20; tick++) {
             pins.tick(NOW + tick * ReplicaGossip.TICK_US);
         }
-        assertEquals(ReplicaGossip.TOLD, most[0]);
+        assertEquals(ReplicaGossip.RECEIVERS, most[0]);
         assertEquals(10, copies.size());
         assertEquals(20, told.size(), "the turn goes round");
     }
@@ -288,15 +291,15 @@
             random.nextBytes(bytes);
             all.add(bytes);
         }
-        all.add(new byte[] {ReplicaGossip.MARK, 2, 1, 0});
-        all.add(new byte[] {ReplicaGossip.MARK, 1, 9, 0});
-        all.add(new byte[] {ReplicaGossip.MARK, 1, 1, 3, 0, 0});
-        all.forEach(bytes -> pins.heard(NOW, 1, bytes));
-        assertEquals(all.size(), pins.spoilt());
-        assertEquals(0, pins.pinned());
+        all.add(new byte[] {ReplicaGossip.PROTOCOL_BYTE, 2, 1, 0});
+        all.add(new byte[] {ReplicaGossip.PROTOCOL_BYTE, 1, 9, 0});
+        all.add(new byte[] {ReplicaGossip.PROTOCOL_BYTE, 1, 1, 3, 0, 0});
+        all.forEach(bytes -> pins.messageReceived(NOW, 1, bytes));
+        assertEquals(all.size(), pins.malformedMessages());
+        assertEquals(0, pins.stickyReplicas());
         // An answer that nobody asked for.
         byte[] answer = java.nio.ByteBuffer.allocate(28)
-                .put(ReplicaGossip.MARK)
+                .put(ReplicaGossip.PROTOCOL_BYTE)
                 .put((byte) 1)
                 .put((byte) 4)
                 .put((byte) 0)
@@ -304,7 +307,7 @@
                 .putLong(NOW)
                 .putLong(NOW)
                 .array();
-        pins.heard(NOW, 1, answer);
-        assertEquals(-1, pins.errorUs(NOW));
+        pins.messageReceived(NOW, 1, answer);
+        assertEquals(-1, pins.clockUncertaintyUs(NOW));
     }
 }
--- a/src/test/java/magpiewheel/staleness/ReplicaGossipGoldenTest.java
+++ b/src/test/java/magpiewheel/staleness/ReplicaGossipGoldenTest.java
@@ -21,8 +21,8 @@
     @Test
     void copiesPinsAndQuestions() {
         ReadHint hint = new ReadHint(1_500_000, 0, 0x1122334455667788L, true);
-        pins.nodes(NOW, List.of(new Replica(5, false, 1, 0)));
-        pins.served(NOW, hint, 77, 3, 5, NOW - 1_000);
+        pins.replicasChanged(NOW, List.of(new Replica(5, false, 1, 0)));
+        pins.responseServed(NOW, hint, 77, 3, 5, NOW - 1_000);
         pins.tick(NOW);
         assertEquals(
                 "1 e2010301000644df5da8c000\n" + "1 e2010201000000000000004d00000000000000051122334455667788\n"
@@ -33,12 +33,12 @@
     @Test
     void answers() {
         ReadHint hint = new ReadHint(1_500_000, 0, 0x1122334455667788L, true);
-        pins.nodes(NOW, List.of(new Replica(5, false, 1, 0)));
-        pins.served(NOW, hint, 77, 3, 5, NOW - 1_000);
-        pins.fetched(NOW - 20_000, NOW - 10_000, NOW - 5_000, true);
+        pins.replicasChanged(NOW, List.of(new Replica(5, false, 1, 0)));
+        pins.responseServed(NOW, hint, 77, 3, 5, NOW - 1_000);
+        pins.responseReceived(NOW - 20_000, NOW - 10_000, NOW - 5_000, true);
         pins.tick(NOW);
         sent.clear();
-        pins.heard(NOW + 100, 1, HexFormat.of().parseHex("e2010301" + "000644f0dd3c8000"));
+        pins.messageReceived(NOW + 100, 1, HexFormat.of().parseHex("e2010301" + "000644f0dd3c8000"));
         pins.tick(NOW + 300_000);
         assertEquals(
                 "1 e2010400000644f0dd3c8000000644df5da8d3e0000644df5da8fefc\n" + "1 e2010301000644df5dad53e0\n"
--- a/src/test/java/magpiewheel/staleness/StalenessFigures.java
+++ b/src/test/java/magpiewheel/staleness/StalenessFigures.java
@@ -79,36 +79,36 @@
     /** Pins that move when one of eight caches drains and comes back. */
     private static void drains() {
         StickyReplicaTable pins = new StickyReplicaTable(1 << 14, 600_000_000);
-        pins.nodes(NOW, PartsTest.caches(8, 0));
+        pins.replicasChanged(NOW, PartsTest.caches(8, 0));
         int count = 8_000;
         long[] at = new long[count];
         for (int i = 0; i < count; i++) {
-            at[i] = 1 + Math.floorMod(SetAssociativeTable.mix(i), 8);
-            pins.take(NOW, 1 + i, i % 500, at[i]);
+            at[i] = 1 + Math.floorMod(SetAssociativeTable.hash(i), 8);
+            pins.assign(NOW, 1 + i, i % 500, at[i]);
         }
         long[] pinned = IntStream.range(0, count)
-                .mapToLong(i -> pins.of(NOW, 1 + i, i % 500))
+                .mapToLong(i -> pins.replicaOf(NOW, 1 + i, i % 500))
                 .toArray();
-        int held = pins.at(3);
-        pins.nodes(NOW + 1, PartsTest.caches(8, 3));
+        int held = pins.assignedTo(3);
+        pins.replicasChanged(NOW + 1, PartsTest.caches(8, 3));
         long moved = IntStream.range(0, count)
-                .filter(i -> pinned[i] != 3 && pins.of(NOW + 1, 1 + i, i % 500) != pinned[i])
+                .filter(i -> pinned[i] != 3 && pins.replicaOf(NOW + 1, 1 + i, i % 500) != pinned[i])
                 .count();
         System.out.printf(
                 "pins %d, at the cache %d, there after it drains %d, of others' moved %d%n",
-                pins.total() + held, held, pins.at(3), moved);
+                pins.total() + held, held, pins.assignedTo(3), moved);
         for (int i = 0; i < count; i++) {
             if (pinned[i] == 3) {
-                pins.take(NOW + 2, 1 + i, i % 500, 4 + i % 5);
+                pins.assign(NOW + 2, 1 + i, i % 500, 4 + i % 5);
             }
         }
-        pins.nodes(NOW + 10_000_000, PartsTest.caches(8, 0));
+        pins.replicasChanged(NOW + 10_000_000, PartsTest.caches(8, 0));
         long before = 0;
         long most = 0;
         for (int s = 1; s <= 21; s++) {
             long time = NOW + 10_000_000 + s * 1_000_000L;
             long back = IntStream.range(0, count)
-                    .filter(i -> pinned[i] == 3 && pins.of(time, 1 + i, i % 500) == 3)
+                    .filter(i -> pinned[i] == 3 && pins.replicaOf(time, 1 + i, i % 500) == 3)
                     .count();
             most = Math.max(most, back - before);
             before = back;
@@ -146,16 +146,16 @@
         }
         long mapBytes = heap() - base;
         for (int i = 0; i < most; i++) {
-            arrays.saw(NOW, i / 8, 0, 1 + i % 8, NOW);
+            arrays.observed(NOW, i / 8, 0, 1 + i % 8, NOW);
         }
         SplittableRandom random = new SplittableRandom(1);
         long[] objects = random.longs(1 << 16, 0, most / 8).toArray();
-        double inArrays = time(i -> arrays.minted(NOW, objects[i & 65_535], 0, 1 + (i & 7)));
+        double inArrays = time(i -> arrays.originTimeOf(NOW, objects[i & 65_535], 0, 1 + (i & 7)));
         double inMap = time(i -> {
             Held held = map.get(new Key(objects[i & 65_535], 0, 1 + (i & 7)));
             return held == null ? 0 : held.minted;
         });
-        double newInArrays = time(i -> arrays.saw(NOW, i, 1, 1, NOW + i) ? 1 : 0);
+        double newInArrays = time(i -> arrays.observed(NOW, i, 1, 1, NOW + i) ? 1 : 0);
         double newInMap = time(i -> {
             Held held = new Held();
             held.minted = NOW + i;
@@ -163,9 +163,9 @@
             return 1;
         });
         ReplicaIndex once = new ReplicaIndex(most, 120_000_000);
-        IntStream.range(0, most).forEach(i -> once.saw(NOW, i / 8, 0, 1 + i % 8, NOW));
+        IntStream.range(0, most).forEach(i -> once.observed(NOW, i / 8, 0, 1 + i % 8, NOW));
         long found = IntStream.range(0, most)
-                .filter(i -> once.minted(NOW, i / 8, 0, 1 + i % 8) != 0)
+                .filter(i -> once.originTimeOf(NOW, i / 8, 0, 1 + i % 8) != 0)
                 .count();
         System.out.printf(
                 "lookup ns: arrays %.0f, map %.0f; new entry ns: arrays %.0f, map %.0f; bytes an entry: arrays %.0f, "
@@ -194,14 +194,14 @@
     private static void decisions() {
         BoundedStalenessReads pins =
                 new BoundedStalenessReads(NOW - 10_000_000, 0, 0, new FixedView(), (to, bytes) -> {});
-        pins.nodes(NOW, PartsTest.caches(8, 0));
-        pins.board(NOW - 2_000_000);
-        pins.board(NOW - 500_000);
-        pins.board(NOW);
-        pins.fetched(NOW - 10_000, NOW, NOW, true);
+        pins.replicasChanged(NOW, PartsTest.caches(8, 0));
+        pins.discoveryHeard(NOW - 2_000_000);
+        pins.discoveryHeard(NOW - 500_000);
+        pins.discoveryHeard(NOW);
+        pins.responseReceived(NOW - 10_000, NOW, NOW, true);
         SplittableRandom random = new SplittableRandom(2);
         for (int i = 0; i < 20_000; i++) {
-            pins.served(
+            pins.responseServed(
                     NOW,
                     new ReadHint(0, 0, 1 + i, false),
                     random.nextInt(3_000),
@@ -221,13 +221,13 @@
         for (int i = 0; i < ROUNDS; i++) {
             all[i] = round(n -> {
                 ReadHint hint = hints[n & 4_095];
-                long object = SetAssociativeTable.mix(n) & 2_047;
-                StalenessBound bound = pins.bound(NOW, hint, 5_000_000, 10_000_000, 0);
-                long node = pins.pick(NOW, hint, object, 0, eight, bound);
-                boolean parent = pins.satisfies(NOW, object, 0, 101, bound);
-                long fresh = pins.freshUs(NOW, object, 0, node == 0 ? 1 : node, bound);
-                boolean admitted = pins.admits(NOW, bound, NOW - 100_000);
-                pins.served(NOW, hint, object, 0, node == 0 ? 1 : node, NOW - 100_000 + (n & 1_023));
+                long object = SetAssociativeTable.hash(n) & 2_047;
+                StalenessBound bound = pins.boundOf(NOW, hint, 5_000_000, 10_000_000, 0);
+                long node = pins.preferredReplica(NOW, hint, object, 0, eight, bound);
+                boolean parent = pins.mayBeAcceptable(NOW, object, 0, 101, bound);
+                long fresh = pins.maxAgeUs(NOW, object, 0, node == 0 ? 1 : node, bound);
+                boolean admitted = pins.accepts(NOW, bound, NOW - 100_000);
+                pins.responseServed(NOW, hint, object, 0, node == 0 ? 1 : node, NOW - 100_000 + (n & 1_023));
                 return node + fresh + (parent ? 1 : 0) + (admitted ? 1 : 0);
             });
         }
--- a/src/test/java/magpiewheel/staleness/StalenessWorld.java
+++ b/src/test/java/magpiewheel/staleness/StalenessWorld.java
@@ -339,7 +339,7 @@
                 if (!cut[me][to] && !lost() && !lost()) {
                     after(
                             1_400 + random.nextLong(21_600),
-                            () -> fronts[to].run(() -> fronts[to].pins.heard(fronts[to].clock(), me, bytes)));
+                            () -> fronts[to].run(() -> fronts[to].pins.messageReceived(fronts[to].clock(), me, bytes)));
                 }
             });
             list();
@@ -376,9 +376,9 @@
                             if (told < upTo) {
                                 long[] one = published.get(told++);
                                 purges.merge((int) one[0], one[1], Math::max);
-                                pins.purged(clock(), one[0], 0, one[1]);
+                                pins.objectPurged(clock(), one[0], 0, one[1]);
                             }
-                            pins.board(clock());
+                            pins.discoveryHeard(clock());
                         }));
             }
             after(told < published.size() ? 60 * MS : 500 * MS, () -> board(mine));
@@ -424,20 +424,20 @@
                 }
             }
             if (pins != null) {
-                pins.nodes(clock(), all);
+                pins.replicasChanged(clock(), all);
             }
         }
 
         private List<Long> order(int object) {
             List<Long> order = new ArrayList<>(ready);
-            order.sort(Comparator.comparingLong(id -> SetAssociativeTable.key(object, id, 7)));
+            order.sort(Comparator.comparingLong(id -> SetAssociativeTable.keyOf(object, id, 7)));
             return order;
         }
 
         void read(ReadHint hint, int object, Consumer<Reply> to) {
             long came = clock();
             long purge = purges.getOrDefault(object, 0L);
-            StalenessBound bound = pins.bound(came, hint, FRESH, GRACE, purge);
+            StalenessBound bound = pins.boundOf(came, hint, FRESH, GRACE, purge);
             if (bound.strict() && !bound.provable()) {
                 tally.atOnce++;
                 to.accept(new Reply(null, -1, false));
@@ -446,14 +446,14 @@
             Copy mine = own.get(object);
             if (mine != null
                     && came - mine.mintedMs() * MS <= FRESH
-                    && (bound.asks() || mine.mintedMs() * MS >= purge)
-                    && pins.admits(came, bound, mine.mintedMs() * MS)) {
+                    && (bound.isBounded() || mine.mintedMs() * MS >= purge)
+                    && pins.accepts(came, bound, mine.mintedMs() * MS)) {
                 to.accept(new Reply(mine, 0, true));
                 return;
             }
-            if (!pins.byOriginOnly(came, bound)) {
+            if (!pins.requiresOriginResponse(came, bound)) {
                 attempt(hint, object, bound, purge, 0, to);
-            } else if (BoundedStalenessReads.mayLearn(learning)) {
+            } else if (BoundedStalenessReads.mayReadOrigin(learning)) {
                 learning++;
                 tally.learning++;
                 attempt(hint, object, bound, purge, 0, reply -> {
@@ -474,13 +474,14 @@
                 return;
             }
             long sent = clock();
-            long picked = pins.pick(sent, hint, object, 0, order, bound);
+            long picked = pins.preferredReplica(sent, hint, object, 0, order, bound);
             long node = picked != 0 ? picked : order.get(0);
             long parent = 101 + object % PARENTS;
-            boolean only = pins.byOriginOnly(sent, bound);
-            boolean byParent = tries == 0 && !only && (!bound.asks() || pins.satisfies(sent, object, 0, parent, bound));
+            boolean only = pins.requiresOriginResponse(sent, bound);
+            boolean byParent =
+                    tries == 0 && !only && (!bound.isBounded() || pins.mayBeAcceptable(sent, object, 0, parent, bound));
             long limit = FRESH;
-            long asked = pins.freshUs(sent, object, 0, node, bound);
+            long asked = pins.maxAgeUs(sent, object, 0, node, bound);
             limit = asked > 0 ? Math.min(limit, asked) : limit;
             limit = purge > 0 ? Math.min(limit, Math.max(1, sent - purge)) : limit;
             limit = tries > 0 || only ? 1 : limit;
@@ -536,12 +537,12 @@
                 Consumer<Reply> to) {
             long got = clock();
             long minted = answer.copy().mintedMs() * MS;
-            pins.fetched(sent, got, minted, answer.direct());
-            pins.served(got, hint, object, 0, node, minted);
+            pins.responseReceived(sent, got, minted, answer.direct());
+            pins.responseServed(got, hint, object, 0, node, minted);
             if (answer.parent() != 0) {
-                pins.served(got, ReadHint.NONE, object, 0, answer.parent(), minted);
+                pins.responseServed(got, ReadHint.NONE, object, 0, answer.parent(), minted);
             }
-            if ((bound.asks() || minted >= purge) && pins.admits(got, bound, minted)) {
+            if ((bound.isBounded() || minted >= purge) && pins.accepts(got, bound, minted)) {
                 Copy held = own.get(object);
                 if (held == null || held.mintedMs() < answer.copy().mintedMs()) {
                     own.put(object, answer.copy());
@@ -559,7 +560,7 @@
             } else if (bound.strict() || got == null) {
                 to.accept(new Reply(null, -1, false));
             } else {
-                to.accept(new Reply(got, pins.aged(clock(), bound, got.mintedMs() * MS), false));
+                to.accept(new Reply(got, pins.ageMsBeyond(clock(), bound, got.mintedMs() * MS), false));
             }
         }
 
@@ -577,7 +578,7 @@
                         way() + way(),
                         () -> run(() -> {
                             if (mine == life) {
-                                pins.wrote(sent, clock(), copy.mintedMs() * MS);
+                                pins.writeAnswered(sent, clock(), copy.mintedMs() * MS);
                                 to.accept(new Reply(copy, 0, false));
                             }
                         }));
@@ -710,7 +711,7 @@
 
         private void count(ReadHint hint) {
             tally.strict += hint.strict() ? 1 : 0;
-            tally.preferred += hint.bounds() && !hint.strict() ? 1 : 0;
+            tally.preferred += hint.isBounded() && !hint.strict() ? 1 : 0;
         }
 
         private void wrote(int mine, int object, Reply reply) {
@@ -718,7 +719,7 @@
                 return;
             }
             seen.merge(object, reply.copy().version(), Math::max);
-            marks.merge(object, BoundedStalenessReads.mark(reply.copy().mintedMs() * MS, true), Math::max);
+            marks.merge(object, BoundedStalenessReads.markOf(reply.copy().mintedMs() * MS, true), Math::max);
             again(reply);
         }
 
@@ -737,7 +738,7 @@
                     check(object, hint, came, before, reply);
                 }
                 seen.merge(object, reply.copy().version(), Math::max);
-                marks.merge(object, BoundedStalenessReads.mark(reply.copy().mintedMs() * MS, false), Math::max);
+                marks.merge(object, BoundedStalenessReads.markOf(reply.copy().mintedMs() * MS, false), Math::max);
             }
             actions.add(now)
                     .add(id)
@@ -749,7 +750,7 @@
         private void check(int object, ReadHint hint, long came, int before, Reply reply) {
             Copy copy = reply.copy();
             long age = came - copy.mintedMs() * MS;
-            boolean promised = reply.aged() == 0 && hint.bounds();
+            boolean promised = reply.aged() == 0 && hint.isBounded();
             if (promised && hint.atMostUs() > 0 && age > hint.atMostUs()
                     || promised && hint.afterMs() > 0 && copy.mintedMs() < hint.afterMs()) {
                 tally.beyond.add(
