--- a/src/test/java/magpiewheel/routing/DesignWorld.java
+++ b/src/test/java/magpiewheel/routing/DesignWorld.java
@@ -73,18 +73,8 @@
                                 profile(Idempotency.IDEMPOTENT, false),
                                 profile(Idempotency.KEYED, true),
                                 profile(Idempotency.NOT_IDEMPOTENT, true)),
-                        RequestLimits.builder(6)
-                                .mayCancel(true)
-                                .mayMessagePeers(true)
-                                .maySendRetryAfter(true)
-                                .maxInFlight(20_000)
-                                .maxRetryAfterUs(SECOND)
-                                .connectTimeoutUs(400 * MS)
-                                .build(),
-                        new SafetyLimits(
-                                500 * MS,
-                                300 * MS,
-                                6 * SECOND,
+                        SimulatedSite.limits(6).build(),
+                        SimulatedSite.safetyLimits(
                                 new SlowStartProfile(0.2, 17 * SECOND, 2, 2 * SECOND),
                                 new SlowStartProfile(0.1, 20 * SECOND, 2, 2 * SECOND)))
                 .overQuotaPriorityWeight(0)
--- a/src/test/java/magpiewheel/routing/OverloadedLocation.java
+++ b/src/test/java/magpiewheel/routing/OverloadedLocation.java
@@ -248,18 +248,8 @@
                                 .transferKbPerS(FLOW_KB_PER_S)
                                 .build(),
                         profiles,
-                        RequestLimits.builder(8)
-                                .mayCancel(true)
-                                .mayMessagePeers(true)
-                                .maySendRetryAfter(true)
-                                .maxInFlight(20_000)
-                                .maxRetryAfterUs(SECOND)
-                                .connectTimeoutUs(400 * MS)
-                                .build(),
-                        new SafetyLimits(
-                                500 * MS,
-                                300 * MS,
-                                6 * SECOND,
+                        SimulatedSite.limits(8).build(),
+                        SimulatedSite.safetyLimits(
                                 new SlowStartProfile(0.2, 12 * SECOND, 3, SECOND),
                                 new SlowStartProfile(0.1, 12 * SECOND, 2, SECOND)))
                 .overQuotaPriorityWeight(0)
--- a/src/test/java/magpiewheel/routing/RequestRouterFixture.java
+++ b/src/test/java/magpiewheel/routing/RequestRouterFixture.java
@@ -46,19 +46,8 @@
                                 profile(Idempotency.IDEMPOTENT, false, 0), profile(Idempotency.KEYED, true, 0),
                                 profile(Idempotency.NOT_IDEMPOTENT, true, 0),
                                         profile(Idempotency.IDEMPOTENT, false, 8 * SECOND)),
-                        RequestLimits.builder(6)
-                                .mayCancel(true)
-                                .mayHedge(duplicate)
-                                .mayMessagePeers(true)
-                                .maySendRetryAfter(true)
-                                .maxInFlight(20_000)
-                                .maxRetryAfterUs(SECOND)
-                                .connectTimeoutUs(400_000)
-                                .build(),
-                        new SafetyLimits(
-                                500_000,
-                                300_000,
-                                6 * SECOND,
+                        SimulatedSite.limits(6).mayHedge(duplicate).build(),
+                        SimulatedSite.safetyLimits(
                                 new SlowStartProfile(0.2, 17 * SECOND, 2, 2 * SECOND),
                                 new SlowStartProfile(0.1, 20 * SECOND, 2, 2 * SECOND)))
                 .overQuotaPriorityWeight(0)
--- a/src/test/java/magpiewheel/routing/WarmingFleet.java
+++ b/src/test/java/magpiewheel/routing/WarmingFleet.java
@@ -267,18 +267,8 @@
                                 .transferKbPerS(FLOW_KB_PER_S)
                                 .build(),
                         List.of(profile(600 * MS), profile(400 * MS)),
-                        RequestLimits.builder(8)
-                                .mayCancel(true)
-                                .mayMessagePeers(true)
-                                .maySendRetryAfter(true)
-                                .maxInFlight(20_000)
-                                .maxRetryAfterUs(SECOND)
-                                .connectTimeoutUs(400 * MS)
-                                .build(),
-                        new SafetyLimits(
-                                500 * MS,
-                                300 * MS,
-                                6 * SECOND,
+                        SimulatedSite.limits(8).build(),
+                        SimulatedSite.safetyLimits(
                                 new SlowStartProfile(COLD_FROM, WARM_UP_US, MULTIPLE, TIP_AFTER_US),
                                 new SlowStartProfile(PARENT_COLD_FROM, WARM_UP_US, PARENT_MULTIPLE, TIP_AFTER_US)))
                 .overQuotaPriorityWeight(0)
