--- a/src/test/java/magpiewheel/membership/FleetFigures.java
+++ b/src/test/java/magpiewheel/membership/FleetFigures.java
@@ -65,7 +65,7 @@
         switch (name) {
             case "rate" -> rates();
             case "roll" -> rolls();
-            case "settle" -> settling();
+            case "settle" -> convergenceTime();
             case "kill8" -> kills(8, seeds, 1);
             case "half8" -> halves(8, seeds, SimFleet.BEAT);
             case "half100" -> halves(100, Math.max(1, seeds / 10), SimFleet.BEAT);
@@ -93,14 +93,14 @@
                         "front of 8 started again within 0.3 s, 5% loss",
                         LongStream.rangeClosed(1, seeds)
                                 .parallel()
-                                .mapToObj(seed -> FleetScenarios.startedAgain(seed, 8, 0.05))
+                                .mapToObj(seed -> FleetScenarios.quickRestart(seed, 8, 0.05))
                                 .collect(Collectors.toList()));
-            case "knocks" -> knocks();
+            case "knocks" -> probes();
             case "suspects" -> suspicions();
             case "missed" ->
                 times(
                         "goodbye that a side of 20 missed, known to all",
-                        play(seeds, seed -> List.of(FleetScenarios.missedGoodbye(seed, 20))));
+                        play(seeds, seed -> List.of(FleetScenarios.missedLeave(seed, 20))));
             case "upgrade" ->
                 times(
                         "upgrade whose new process ends after 0.1 to 3 s, all alive again",
@@ -125,9 +125,9 @@
     /** The traffic of 100 fronts at rest and while they are restarted in turn, with slow and quick beats. */
     private void rolls() {
         for (long beat : List.of(800 * MS, SimFleet.BEAT)) {
-            List<FleetScenarios.Roll> all = LongStream.rangeClosed(1, seeds)
+            List<FleetScenarios.RollingRestart> all = LongStream.rangeClosed(1, seeds)
                     .parallel()
-                    .mapToObj(seed -> FleetScenarios.roll(seed, 100, beat, 2_500 * MS))
+                    .mapToObj(seed -> FleetScenarios.rollingRestart(seed, 100, beat, 2_500 * MS))
                     .collect(Collectors.toList());
             System.out.printf(
                     "100 fronts, beats of %d ms: at rest %.1f messages/s and %.0f bytes/s, "
@@ -149,21 +149,25 @@
                             .mapToDouble(each -> each.rolling().bytes())
                             .average()
                             .orElseThrow(),
-                    all.stream().mapToLong(FleetScenarios.Roll::knownUs).max().orElseThrow() / 1e3);
+                    all.stream()
+                                    .mapToLong(FleetScenarios.RollingRestart::convergenceUs)
+                                    .max()
+                                    .orElseThrow()
+                            / 1e3);
         }
     }
 
     /** How long fronts that start together take until all know all. */
-    private void settling() {
+    private void convergenceTime() {
         for (int fronts : List.of(8, 100, 1_000)) {
             int most = fronts == 1_000 ? Math.min(4, seeds) : seeds;
             times(
                     "settle after start, " + fronts + " fronts",
-                    play(most, seed -> List.of(FleetScenarios.settling(seed, fronts))));
+                    play(most, seed -> List.of(FleetScenarios.convergenceTime(seed, fronts))));
         }
     }
 
-    /** Running fronts that are said to be dead while datagrams are lost. */
+    /** Running fronts that are reported dead while datagrams are lost. */
     private void losses(List<Double> shares) {
         for (double loss : shares) {
             List<Long> deaths =
@@ -179,18 +183,18 @@
         for (int fronts : List.of(8, 20)) {
             for (boolean deaf : List.of(true, false)) {
                 List<Long> wrong = play(seeds, seed -> {
-                    FleetScenarios.OneWay shown = FleetScenarios.oneWay(seed, fronts, deaf);
+                    FleetScenarios.OneWayCut shown = FleetScenarios.oneWayCut(seed, fronts, deaf);
                     return List.of((shown.falseDeaths() > 0 ? 1L : 0)
-                            + (shown.othersAlone() ? 100_000L : 0)
-                            + (shown.othersWhole() ? 0 : 10_000_000_000L));
+                            + (shown.othersIsolated() ? 100_000L : 0)
+                            + (shown.othersComplete() ? 0 : 10_000_000_000L));
                 });
                 String what = (deaf ? "deaf" : "mute") + " front of " + fronts;
                 times(
                         what + " ALONE",
                         play(
                                 seeds,
-                                seed -> List.of(FleetScenarios.oneWay(seed, fronts, deaf)
-                                        .aloneUs())));
+                                seed -> List.of(FleetScenarios.oneWayCut(seed, fronts, deaf)
+                                        .isolatedUs())));
                 long all = sum(wrong);
                 System.out.printf(
                         "%s: runs with a false death of another %d, with another ALONE %d, with another "
@@ -220,7 +224,7 @@
         }
     }
 
-    /** Splits of 6 s: how long until views are equal, and deaths said within a side. */
+    /** Splits of 6 s: how long until views are equal, and deaths reported within a side. */
     private void splits() {
         for (int fronts : List.of(8, 100, 1_000)) {
             int most = fronts == 1_000 ? Math.min(4, seeds) : seeds;
@@ -248,56 +252,65 @@
     private void massDeaths() {
         for (int fronts : List.of(10, 20, 100)) {
             int most = fronts == 100 ? Math.min(10, seeds) : seeds;
-            List<FleetScenarios.Mass> all = LongStream.rangeClosed(1, most)
+            List<FleetScenarios.MassFailure> all = LongStream.rangeClosed(1, most)
                     .parallel()
-                    .mapToObj(seed -> FleetScenarios.mass(seed, fronts))
+                    .mapToObj(seed -> FleetScenarios.massFailure(seed, fronts))
                     .collect(Collectors.toList());
             System.out.printf(
                     "seven in ten of %d killed, %d runs: share grew %.2f times at least, sum at most %.6f, "
                             + "afterwards %.6f at least%n",
                     fronts,
                     most,
-                    all.stream().mapToDouble(FleetScenarios.Mass::growth).min().orElseThrow(),
-                    all.stream().mapToDouble(FleetScenarios.Mass::most).max().orElseThrow(),
-                    all.stream().mapToDouble(FleetScenarios.Mass::after).min().orElseThrow());
+                    all.stream()
+                            .mapToDouble(FleetScenarios.MassFailure::growth)
+                            .min()
+                            .orElseThrow(),
+                    all.stream()
+                            .mapToDouble(FleetScenarios.MassFailure::highestQuotaSum)
+                            .max()
+                            .orElseThrow(),
+                    all.stream()
+                            .mapToDouble(FleetScenarios.MassFailure::after)
+                            .min()
+                            .orElseThrow());
         }
     }
 
     /** Shares of a limit where refusals are read only after a pause. */
     private void lateRefusals() {
-        List<FleetScenarios.Limits> all = LongStream.rangeClosed(1, seeds)
+        List<FleetScenarios.QuotaWatch> all = LongStream.rangeClosed(1, seeds)
                 .parallel()
                 .mapToObj(seed -> FleetScenarios.lateRefusal(seed, 6, seed % 2 == 0))
                 .collect(Collectors.toList());
         System.out.printf(
                 "old refusals read after a pause, %d runs: sum at most %.9f, %d over 1%n",
                 seeds,
-                all.stream().mapToDouble(each -> each.most).max().orElseThrow(),
-                all.stream().filter(each -> !(each.most <= 1 + 1e-9)).count());
+                all.stream().mapToDouble(each -> each.highest).max().orElseThrow(),
+                all.stream().filter(each -> !(each.highest <= 1 + 1e-9)).count());
     }
 
     /** Filters that answer in the place of a front. */
     private void filtersInBetween() {
         for (int filters : List.of(1, 2)) {
             for (int fronts : List.of(8, 20)) {
-                List<FleetScenarios.Filter> all = LongStream.rangeClosed(1, seeds)
+                List<FleetScenarios.ForgedRefusals> all = LongStream.rangeClosed(1, seeds)
                         .parallel()
-                        .mapToObj(seed -> FleetScenarios.filter(seed, fronts, filters))
+                        .mapToObj(seed -> FleetScenarios.forgedRefusals(seed, fronts, filters))
                         .collect(Collectors.toList());
                 filters(filters + " filters that answer for a front of " + fronts, all);
             }
         }
     }
 
-    /** How often a front knocks at others, by the loss of datagrams. */
-    private void knocks() {
+    /** How often a front probes others, by the loss of datagrams. */
+    private void probes() {
         for (double loss : List.of(0.0, 0.05, 0.2)) {
             System.out.printf(
                     "knocks of a front in a second, 20 fronts, loss %.0f%%: %.3f%n",
                     100 * loss,
                     LongStream.rangeClosed(1, seeds)
                             .parallel()
-                            .mapToDouble(seed -> FleetScenarios.knocks(seed, 20, loss, 20 * SECOND))
+                            .mapToDouble(seed -> FleetScenarios.probesPerSecond(seed, 20, loss, 20 * SECOND))
                             .average()
                             .orElseThrow());
         }
@@ -314,7 +327,7 @@
     /** Messages that a returning front needs until it knows all. */
     private void returns() {
         for (int fronts : List.of(10, 100)) {
-            List<Long> got = play(seeds, seed -> List.of(FleetScenarios.returning(seed, fronts)));
+            List<Long> got = play(seeds, seed -> List.of(FleetScenarios.messagesUntilRejoined(seed, fronts)));
             System.out.printf(
                     "returning front of %d knows all after %d to %d messages, p50 %d, %d allowed, "
                             + "%d of %d runs need more%n",
@@ -330,40 +343,41 @@
 
     /** Many random schedules; the worst is told with its seed. */
     private void limits(boolean refusals) {
-        List<FleetScenarios.Limits> all = LongStream.rangeClosed(1, seeds)
+        List<FleetScenarios.QuotaWatch> all = LongStream.rangeClosed(1, seeds)
                 .parallel()
                 .mapToObj(seed -> {
                     Plan plan = Plan.of(seed, 5 + (int) (seed % 10));
-                    List<FleetScenarios.Blow> blows = schedule(seed);
-                    FleetScenarios.Limits limits =
-                            FleetScenarios.blows(refusals ? plan : plan.withoutRefusals(), blows, 3_000);
-                    if (!(limits.most <= 1 + 1e-9)) {
-                        System.out.println(
-                                "EXCEEDED: seed " + seed + " " + limits.most + " " + limits.where + "\n   " + blows);
+                    List<FleetScenarios.InjectedFault> faults = schedule(seed);
+                    FleetScenarios.QuotaWatch quotas =
+                            FleetScenarios.injectFaults(refusals ? plan : plan.withoutRefusals(), faults, 3_000);
+                    if (!(quotas.highest <= 1 + 1e-9)) {
+                        System.out.println("EXCEEDED: seed " + seed + " " + quotas.highest + " " + quotas.highestAt
+                                + "\n   " + faults);
                     }
-                    return limits;
+                    return quotas;
                 })
                 .collect(Collectors.toList());
         System.out.printf(
                 "limits, refusals %s, %d schedules: sum at most %.9f, %d over 1%n",
                 refusals ? "on" : "off",
                 seeds,
-                all.stream().mapToDouble(each -> each.most).max().orElseThrow(),
-                all.stream().filter(each -> !(each.most <= 1 + 1e-9)).count());
+                all.stream().mapToDouble(each -> each.highest).max().orElseThrow(),
+                all.stream().filter(each -> !(each.highest <= 1 + 1e-9)).count());
     }
 
-    static List<FleetScenarios.Blow> schedule(long seed) {
+    static List<FleetScenarios.InjectedFault> schedule(long seed) {
         SplittableRandom random = new SplittableRandom(seed * 7_919);
-        FleetScenarios.Blow.Kind[] kinds = FleetScenarios.Blow.Kind.values();
-        List<FleetScenarios.Blow> blows = new ArrayList<>();
+        FleetScenarios.InjectedFault.Kind[] kinds = FleetScenarios.InjectedFault.Kind.values();
+        List<FleetScenarios.InjectedFault> faults = new ArrayList<>();
         int many = 2 + random.nextInt(24);
         for (int i = 0; i < many; i++) {
-            FleetScenarios.Blow.Kind kind =
-                    random.nextInt(3) == 0 ? FleetScenarios.Blow.Kind.RESTART : kinds[random.nextInt(kinds.length)];
-            blows.add(new FleetScenarios.Blow(
+            FleetScenarios.InjectedFault.Kind kind = random.nextInt(3) == 0
+                    ? FleetScenarios.InjectedFault.Kind.RESTART
+                    : kinds[random.nextInt(kinds.length)];
+            faults.add(new FleetScenarios.InjectedFault(
                     kind, random.nextLong(20_000), random.nextLong(9_000), random.nextInt(16), random.nextInt(16)));
         }
-        return blows;
+        return faults;
     }
 
     private void kills(int fronts, int runs, int kills) {
@@ -372,22 +386,33 @@
                 times(
                         fronts + " fronts, killed front out of all views, loss " + Math.round(100 * loss)
                                 + "%, refusals " + (refusals ? "on" : "off"),
-                        play(runs, seed -> FleetScenarios.killed(seed, fronts, kills, 150 * MS, loss, refusals)));
+                        play(
+                                runs,
+                                seed -> FleetScenarios.detectionTimes(seed, fronts, kills, 150 * MS, loss, refusals)));
             }
         }
     }
 
-    private static void filters(String what, List<FleetScenarios.Filter> all) {
+    private static void filters(String what, List<FleetScenarios.ForgedRefusals> all) {
         times(
                 what + ", all well",
-                all.stream().map(FleetScenarios.Filter::wellUs).sorted().toList());
+                all.stream()
+                        .map(FleetScenarios.ForgedRefusals::recoveryUs)
+                        .sorted()
+                        .toList());
         System.out.printf(
                 "%s: %d runs, %d with a death said, sum at most %.9f, knocks %d at most%n",
                 what,
                 all.size(),
                 all.stream().filter(each -> each.deaths() > 0).count(),
-                all.stream().mapToDouble(FleetScenarios.Filter::most).max().orElseThrow(),
-                all.stream().mapToInt(FleetScenarios.Filter::knocks).max().orElseThrow());
+                all.stream()
+                        .mapToDouble(FleetScenarios.ForgedRefusals::highestQuotaSum)
+                        .max()
+                        .orElseThrow(),
+                all.stream()
+                        .mapToInt(FleetScenarios.ForgedRefusals::probes)
+                        .max()
+                        .orElseThrow());
     }
 
     private void halves(int fronts, int runs, long beatUs) {
@@ -399,7 +424,7 @@
                                 + (refusals ? "on" : "off"),
                         play(
                                 runs,
-                                seed -> FleetScenarios.killedAtOnce(
+                                seed -> FleetScenarios.simultaneousDetectionTimes(
                                         new Plan(seed, fronts, 3, beatUs, refusals), fronts / 2, loss)));
             }
         }
--- a/src/test/java/magpiewheel/membership/FleetProperties.java
+++ b/src/test/java/magpiewheel/membership/FleetProperties.java
@@ -22,8 +22,8 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * What a fleet must show, in simulated time. Seeds are fixed, so a run has the same verdict every time; the seed and
- * the schedule of a failure are told. {@code -Dmembership.times=N} plays N seeds for each of a usual run's.
+ * Properties of a fleet in simulated time. Seeds are fixed, so a run has the same verdict every time; a failure reports
+ * its seed and schedule. {@code -Dmembership.times=N} plays N seeds for each of a usual run's.
  */
 class FleetProperties {
     private static final long MS = SimFleet.MS;
@@ -40,15 +40,15 @@
     }
 
     @Provide
-    Arbitrary<List<FleetScenarios.Blow>> blows() {
-        Arbitrary<FleetScenarios.Blow> blow = Combinators.combine(
-                        Arbitraries.of(FleetScenarios.Blow.Kind.class),
+    Arbitrary<List<FleetScenarios.InjectedFault>> faults() {
+        Arbitrary<FleetScenarios.InjectedFault> fault = Combinators.combine(
+                        Arbitraries.of(FleetScenarios.InjectedFault.Kind.class),
                         Arbitraries.longs().between(0, 20_000),
                         Arbitraries.longs().between(0, 9_000),
                         Arbitraries.integers().between(0, 15),
                         Arbitraries.integers().between(0, 15))
-                .as(FleetScenarios.Blow::new);
-        return blow.list().ofMinSize(1).ofMaxSize(24);
+                .as(FleetScenarios.InjectedFault::new);
+        return fault.list().ofMinSize(1).ofMaxSize(24);
     }
 
     /** As many seeds as were asked for, from one on. */
@@ -83,9 +83,9 @@
 
     @Example
     void theSameSeedPlaysTheSame() {
-        List<FleetScenarios.Blow> blows = List.of(
-                new FleetScenarios.Blow(FleetScenarios.Blow.Kind.LOSS, 100, 4_000, 1, 2),
-                new FleetScenarios.Blow(FleetScenarios.Blow.Kind.RESTART, 200, 1_000, 3, 2));
+        List<FleetScenarios.InjectedFault> faults = List.of(
+                new FleetScenarios.InjectedFault(FleetScenarios.InjectedFault.Kind.LOSS, 100, 4_000, 1, 2),
+                new FleetScenarios.InjectedFault(FleetScenarios.InjectedFault.Kind.RESTART, 200, 1_000, 3, 2));
         SimFleet[] fleets = new SimFleet[2];
         for (int i = 0; i < 2; i++) {
             fleets[i] = new SimFleet(Plan.of(5, 12));
@@ -96,23 +96,23 @@
         }
         assertEquals(fleets[0].trace(), fleets[1].trace());
         assertEquals(
-                FleetScenarios.blows(Plan.of(5, 12), blows, 500).where,
-                FleetScenarios.blows(Plan.of(5, 12), blows, 500).where);
+                FleetScenarios.injectFaults(Plan.of(5, 12), faults, 500).highestAt,
+                FleetScenarios.injectFaults(Plan.of(5, 12), faults, 500).highestAt);
     }
 
     @Property(tries = 30, seed = "11", shrinking = ShrinkingMode.OFF)
     void aKilledFrontOfEightIsOutWithinHalfASecond(@ForAll("seeds") long seed) {
-        List<Long> took = all(seed, each -> FleetScenarios.killed(each, 8, 1, SECOND, 0, true));
+        List<Long> took = all(seed, each -> FleetScenarios.detectionTimes(each, 8, 1, SECOND, 0, true));
         assertTrue(FleetScenarios.percentile(took, 0.99) <= 500 * MS, () -> took.toString());
     }
 
-    /** With refusals: what the way before took for any number, 240 ms. */
+    /** With refusals: within 240 ms for any number of failures. */
     @Example
     void halfOfEightKilledAtOnceIsOutAsSoonAsOne() {
         for (int kills : List.of(1, 4)) {
             List<Long> took = new ArrayList<>();
             for (long seed = 1; seed <= 50; seed++) {
-                took.addAll(all(seed, each -> FleetScenarios.killedAtOnce(Plan.of(each, 8), kills, 0)));
+                took.addAll(all(seed, each -> FleetScenarios.simultaneousDetectionTimes(Plan.of(each, 8), kills, 0)));
             }
             Collections.sort(took);
             assertTrue(FleetScenarios.percentile(took, 0.99) <= 240 * MS, () -> kills + " killed: " + took);
@@ -121,44 +121,46 @@
 
     @Property(tries = 4, seed = "13", shrinking = ShrinkingMode.OFF)
     void halfOfAHundredKilledAtOnceIsSoonOut(@ForAll("seeds") long seed) {
-        List<Long> took = all(seed, each -> FleetScenarios.killedAtOnce(Plan.of(each, 100), 50, 0));
+        List<Long> took = all(seed, each -> FleetScenarios.simultaneousDetectionTimes(Plan.of(each, 100), 50, 0));
         assertTrue(FleetScenarios.percentile(took, 0.99) <= 260 * MS, () -> took.toString());
     }
 
     @Property(tries = 6, seed = "14", shrinking = ShrinkingMode.OFF)
     void aFilterThatAnswersForAFrontKillsNobody(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            FleetScenarios.Filter shown = FleetScenarios.filter(each, 8 + (int) (each % 9), 1);
+            FleetScenarios.ForgedRefusals shown = FleetScenarios.forgedRefusals(each, 8 + (int) (each % 9), 1);
             String what = shown + ", seed " + each;
             assertEquals(0, shown.deaths(), what);
-            assertTrue(shown.knocks() > 0 && shown.knocks() <= 40, what);
-            assertTrue(shown.wellUs() <= SECOND, what);
+            assertTrue(shown.probes() > 0 && shown.probes() <= 40, what);
+            assertTrue(shown.recoveryUs() <= SECOND, what);
         }
     }
 
-    /** Such filters before two of its neighbours: it is called dead for a moment, and nobody uses its share. */
+    /** Such filters before two of its neighbours: it is reported dead for a moment, and nobody uses its quota. */
     @Property(tries = 10, seed = "15", shrinking = ShrinkingMode.OFF)
     void whatTwoFiltersSayFreesNothing(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            FleetScenarios.Filter shown = FleetScenarios.filter(each, 8 + (int) (each % 9), 2);
-            assertTrue(shown.most() <= 1 + SLACK && shown.wellUs() <= SECOND, () -> shown + ", seed " + each);
+            FleetScenarios.ForgedRefusals shown = FleetScenarios.forgedRefusals(each, 8 + (int) (each % 9), 2);
+            assertTrue(
+                    shown.highestQuotaSum() <= 1 + SLACK && shown.recoveryUs() <= SECOND,
+                    () -> shown + ", seed " + each);
         }
     }
 
     @Property(tries = 12, seed = "16", shrinking = ShrinkingMode.OFF)
     void whoIsStartedAgainWithinTheMomentIsNotDead(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            FleetScenarios.Filter shown = FleetScenarios.startedAgain(each, 8, each % 2 * 0.05);
+            FleetScenarios.ForgedRefusals shown = FleetScenarios.quickRestart(each, 8, each % 2 * 0.05);
             assertTrue(
-                    shown.deaths() == 0 && shown.most() <= 1 + SLACK && shown.wellUs() <= SECOND,
+                    shown.deaths() == 0 && shown.highestQuotaSum() <= 1 + SLACK && shown.recoveryUs() <= SECOND,
                     () -> shown + ", seed " + each);
         }
     }
 
-    /** Asked before its last sign of life, or read late: the machine spoke of what was. */
+    /** A probe sent before the last heartbeat, or an answer read late, is out of date. */
     @Example
     void anAnswerThatLifeOvertookIsNoRefusal() {
-        SimFleet fleet = FleetScenarios.settled(Plan.of(17, 8));
+        SimFleet fleet = FleetScenarios.convergedFleet(Plan.of(17, 8));
         fleet.run(SECOND);
         Process observer = fleet.of(0);
         int neighbour = new ObserverRings(8)
@@ -171,12 +173,13 @@
         }
         observer.membership.probeRefused(observer.clock(), neighbour, observer.clock() - MS / 2);
         observer.membership.probeRefused(observer.clock(), neighbour, observer.clock());
-        assertEquals(MemberStatus.SUSPECT, observer.of(neighbour), "one front's refusals accuse, no more");
+        assertEquals(
+                MemberStatus.SUSPECT, observer.of(neighbour), "refusals seen by one front cause a suspicion, no more");
     }
 
     @Example
     void aKilledFrontOfAThousandIsOutWithinOneAndAHalfSeconds() {
-        List<Long> took = all(21, seed -> FleetScenarios.killed(seed, 1_000, 20, 60 * MS, 0, true));
+        List<Long> took = all(21, seed -> FleetScenarios.detectionTimes(seed, 1_000, 20, 60 * MS, 0, true));
         assertTrue(FleetScenarios.percentile(took, 0.99) <= 1_500 * MS, () -> took.toString());
     }
 
@@ -187,7 +190,7 @@
         }
     }
 
-    /** An accused front that runs says so, and no death comes of it; but each such word costs all fronts messages. */
+    /** A suspected front that runs refutes, so no death follows; but each refutation costs all fronts messages. */
     @Property(tries = 10, seed = "32", shrinking = ShrinkingMode.OFF)
     void lossMakesFewSuspects(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
@@ -199,12 +202,12 @@
     @Property(tries = 10, seed = "41", shrinking = ShrinkingMode.OFF)
     void aFrontCutInOneDirectionIsAlone(@ForAll("seeds") long seed, @ForAll boolean deaf) {
         for (long each : from(seed)) {
-            FleetScenarios.OneWay shown = FleetScenarios.oneWay(each, 12, deaf);
+            FleetScenarios.OneWayCut shown = FleetScenarios.oneWayCut(each, 12, deaf);
             String what = shown + ", seed " + each;
-            assertTrue(shown.aloneUs() <= SECOND, what);
+            assertTrue(shown.isolatedUs() <= SECOND, what);
             assertEquals(0, shown.falseDeaths(), what);
-            assertFalse(shown.othersAlone(), what);
-            assertTrue(shown.othersWhole(), what);
+            assertFalse(shown.othersIsolated(), what);
+            assertTrue(shown.othersComplete(), what);
         }
     }
 
@@ -238,37 +241,41 @@
     @Property(tries = 15, seed = "62", shrinking = ShrinkingMode.OFF)
     void whatOneSideMissedIsMadeGood(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            long took = FleetScenarios.missedGoodbye(each, 20);
+            long took = FleetScenarios.missedLeave(each, 20);
             assertTrue(took <= 2 * SECOND, () -> "all know after " + took / MS + " ms, seed " + each);
         }
     }
 
     @Property(tries = 60, seed = "71", shrinking = ShrinkingMode.BOUNDED)
-    void hardLimitsHoldWhateverHappens(@ForAll("seeds") long seed, @ForAll("blows") List<FleetScenarios.Blow> blows) {
+    void hardLimitsHoldWhateverHappens(
+            @ForAll("seeds") long seed, @ForAll("faults") List<FleetScenarios.InjectedFault> faults) {
         for (long each : from(seed)) {
-            FleetScenarios.Limits limits = FleetScenarios.blows(Plan.of(each, 6 + (int) (each % 9)), blows, 3_000);
+            FleetScenarios.QuotaWatch quotas =
+                    FleetScenarios.injectFaults(Plan.of(each, 6 + (int) (each % 9)), faults, 3_000);
             assertTrue(
-                    limits.most > 0.3 && limits.most <= 1 + SLACK,
-                    () -> limits.most + " of " + limits.where + ", seed " + each);
+                    quotas.highest > 0.3 && quotas.highest <= 1 + SLACK,
+                    () -> quotas.highest + " of " + quotas.highestAt + ", seed " + each);
         }
     }
 
     @Property(tries = 15, seed = "72", shrinking = ShrinkingMode.BOUNDED)
-    void hardLimitsHoldWithoutRefusals(@ForAll("seeds") long seed, @ForAll("blows") List<FleetScenarios.Blow> blows) {
+    void hardLimitsHoldWithoutRefusals(
+            @ForAll("seeds") long seed, @ForAll("faults") List<FleetScenarios.InjectedFault> faults) {
         for (long each : from(seed)) {
-            FleetScenarios.Limits limits =
-                    FleetScenarios.blows(Plan.of(each, 6 + (int) (each % 9)).withoutRefusals(), blows, 3_000);
+            FleetScenarios.QuotaWatch quotas = FleetScenarios.injectFaults(
+                    Plan.of(each, 6 + (int) (each % 9)).withoutRefusals(), faults, 3_000);
             assertTrue(
-                    limits.most > 0.3 && limits.most <= 1 + SLACK,
-                    () -> limits.most + " of " + limits.where + ", seed " + each);
+                    quotas.highest > 0.3 && quotas.highest <= 1 + SLACK,
+                    () -> quotas.highest + " of " + quotas.highestAt + ", seed " + each);
         }
     }
 
     @Property(tries = 20, seed = "73", shrinking = ShrinkingMode.OFF)
     void anOldRefusalProvesNothing(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            FleetScenarios.Limits limits = FleetScenarios.lateRefusal(each, 6, each % 2 == 0);
-            assertTrue(limits.most <= 1 + SLACK, () -> limits.most + " of " + limits.where + ", seed " + each);
+            FleetScenarios.QuotaWatch quotas = FleetScenarios.lateRefusal(each, 6, each % 2 == 0);
+            assertTrue(
+                    quotas.highest <= 1 + SLACK, () -> quotas.highest + " of " + quotas.highestAt + ", seed " + each);
         }
     }
 
@@ -283,9 +290,9 @@
     @Property(tries = 8, seed = "81", shrinking = ShrinkingMode.OFF)
     void whoIsLeftUsesWhatTheDeadCannot(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            FleetScenarios.Mass shown = FleetScenarios.mass(each, 20);
+            FleetScenarios.MassFailure shown = FleetScenarios.massFailure(each, 20);
             String what = shown + ", seed " + each;
-            assertTrue(shown.most() <= 1 + SLACK, what);
+            assertTrue(shown.highestQuotaSum() <= 1 + SLACK, what);
             assertTrue(shown.growth() >= 2, what);
             assertEquals(1, shown.after(), 1e-6, what);
         }
@@ -303,7 +310,7 @@
     void aReturningFrontSoonKnowsAll(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
             for (int fronts : List.of(10, 100)) {
-                long messages = FleetScenarios.returning(each, fronts);
+                long messages = FleetScenarios.messagesUntilRejoined(each, fronts);
                 assertTrue(
                         messages <= (fronts + 13) / 14 + 8,
                         () -> messages + " messages for " + fronts + " fronts, seed " + each);
@@ -313,27 +320,27 @@
 
     @Property(tries = 20, seed = "102", shrinking = ShrinkingMode.OFF)
     void whatIsNotOursChangesNothing(@ForAll("seeds") long seed) {
-        SimFleet fleet = FleetScenarios.settled(Plan.of(seed, 10));
+        SimFleet fleet = FleetScenarios.convergedFleet(Plan.of(seed, 10));
         List<byte[]> real = FleetScenarios.messages(fleet, SECOND);
         assertTrue(real.size() > 100, () -> real.size() + " messages");
         Process process = fleet.of(3);
-        String before = FleetScenarios.all(process);
+        String before = FleetScenarios.describe(process);
         for (byte[] message : real.subList(0, 60)) {
-            for (byte[] off : FleetScenarios.spoilt(message, fleet.random())) {
+            for (byte[] off : FleetScenarios.malformed(message, fleet.random())) {
                 process.membership.messageReceived(
                         process.clock(), fleet.random().nextInt(10), off);
-                assertEquals(before, FleetScenarios.all(process), () -> Arrays.toString(off));
+                assertEquals(before, FleetScenarios.describe(process), () -> Arrays.toString(off));
             }
             for (int stranger : List.of(-1, 10, 1_000_000, Integer.MAX_VALUE, Integer.MIN_VALUE, 3)) {
                 process.membership.messageReceived(process.clock(), stranger, message);
                 process.membership.probeRefused(process.clock(), stranger, process.clock());
-                assertEquals(before, FleetScenarios.all(process), "from " + stranger);
+                assertEquals(before, FleetScenarios.describe(process), "from " + stranger);
             }
         }
-        // What was said before would change nothing in any case: this is news.
+        // A repeated update would change nothing in any case; this one is new.
         MemberUpdate leaves = MemberUpdate.ofSelf(
                 5, MemberStatus.LEFT, process.clock() / 1_000 + 60_000, fleet.zone(5), SimFleet.address(5));
-        byte[] news = new MembershipMessage(
+        byte[] update = new MembershipMessage(
                         MembershipMessage.Kind.UPDATES,
                         leaves,
                         true,
@@ -345,18 +352,18 @@
                         List.of(),
                         new int[0])
                 .encode();
-        for (byte[] off : FleetScenarios.spoilt(news, fleet.random())) {
+        for (byte[] off : FleetScenarios.malformed(update, fleet.random())) {
             process.membership.messageReceived(process.clock(), 5, off);
-            assertEquals(before, FleetScenarios.all(process), () -> Arrays.toString(off));
+            assertEquals(before, FleetScenarios.describe(process), () -> Arrays.toString(off));
         }
-        process.membership.messageReceived(process.clock(), 5, news);
+        process.membership.messageReceived(process.clock(), 5, update);
         assertEquals(MemberStatus.LEFT, process.of(5));
     }
 
-    /** Bits may turn without anybody knowing: what comes of it is not fixed, but it ends nothing. */
+    /** Flipped bits may go unnoticed: the outcome is not fixed, but nothing crashes. */
     @Property(tries = 20, seed = "103", shrinking = ShrinkingMode.OFF)
     void turnedBitsEndNothing(@ForAll("seeds") long seed) {
-        SimFleet fleet = FleetScenarios.settled(Plan.of(seed, 10));
+        SimFleet fleet = FleetScenarios.convergedFleet(Plan.of(seed, 10));
         for (byte[] message : FleetScenarios.messages(fleet, SECOND / 2)) {
             byte[] turned = message.clone();
             turned[fleet.random().nextInt(turned.length)] ^=
--- a/src/test/java/magpiewheel/membership/FleetScenarios.java
+++ b/src/test/java/magpiewheel/membership/FleetScenarios.java
@@ -10,7 +10,7 @@
 import magpiewheel.membership.SimFleet.Plan;
 import magpiewheel.membership.SimFleet.Process;
 
-/** What a fleet in simulated time is seen to do: each method plays one seed and returns a figure, or fails. */
+/** Scenarios of a fleet in simulated time: each method plays one seed and returns a measurement, or fails. */
 final class FleetScenarios {
     static final long MS = SimFleet.MS;
     static final long SECOND = SimFleet.SECOND;
@@ -18,11 +18,11 @@
 
     private FleetScenarios() {}
 
-    /** Messages and bytes that a front sends in a second once all know all. */
+    /** Messages and bytes that a front sends in a second once all views are equal. */
     record Rate(double messages, double bytes) {}
 
     static Rate rate(long seed, int fronts, long us) {
-        SimFleet fleet = settled(Plan.of(seed, fronts));
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts));
         fleet.run(SECOND);
         long messages =
                 fleet.running().stream().mapToLong(process -> process.messages).sum();
@@ -36,13 +36,13 @@
     }
 
     /** Messages and bytes that a front sends in a second at rest, and while all are restarted, a tenth at a time. */
-    record Roll(Rate rest, Rate rolling, long knownUs) {}
+    record RollingRestart(Rate rest, Rate rolling, long convergenceUs) {}
 
-    static Roll roll(long seed, int fronts, long beatUs, long stepUs) {
-        SimFleet fleet = settled(new Plan(seed, fronts, 6, beatUs, false));
+    static RollingRestart rollingRestart(long seed, int fronts, long beatUs, long stepUs) {
+        SimFleet fleet = convergedFleet(new Plan(seed, fronts, 6, beatUs, false));
         fleet.run(10 * SECOND);
         long[] sent = {0, 0};
-        fleet.tap = message -> {
+        fleet.onMessage = message -> {
             sent[0]++;
             sent[1] += message.length;
         };
@@ -60,8 +60,8 @@
         }
         fleet.run(10 * stepUs + 4 * SECOND);
         Rate rolling = rate(sent, fronts, 10 * stepUs + 4 * SECOND);
-        fleet.tap = message -> {};
-        return new Roll(rest, rolling, fleet.until(30 * SECOND, fleet::settled));
+        fleet.onMessage = message -> {};
+        return new RollingRestart(rest, rolling, fleet.until(30 * SECOND, fleet::converged));
     }
 
     private static Rate rate(long[] sent, int fronts, long us) {
@@ -73,25 +73,25 @@
         process.membership.setDraining(process.clock(), true);
     }
 
-    static SimFleet settled(Plan plan) {
+    static SimFleet convergedFleet(Plan plan) {
         SimFleet fleet = new SimFleet(plan);
-        long took = fleet.settle(30 * SECOND);
+        long took = fleet.converge(30 * SECOND);
         if (took < 0) {
-            throw new AssertionError("not all know all 30 s after the start, seed " + plan.seed());
+            throw new AssertionError("views are not equal 30 s after the start, seed " + plan.seed());
         }
         return fleet;
     }
 
-    /** How long it takes until all views are equal and whole after a start within half a second, us. */
-    static long settling(long seed, int fronts) {
-        long took = new SimFleet(Plan.of(seed, fronts)).settle(30 * SECOND);
+    /** How long it takes until all views are equal and complete after a start within half a second, us. */
+    static long convergenceTime(long seed, int fronts) {
+        long took = new SimFleet(Plan.of(seed, fronts)).converge(30 * SECOND);
         return took < 0 ? NEVER : took;
     }
 
     /** Kills fronts, one each so often; for each how long until it is out of every other view, us. */
-    static List<Long> killed(long seed, int fronts, int kills, long everyUs, double loss, boolean refusals) {
+    static List<Long> detectionTimes(long seed, int fronts, int kills, long everyUs, double loss, boolean refusals) {
         Plan plan = Plan.of(seed, fronts);
-        SimFleet fleet = settled(refusals ? plan : plan.withoutRefusals());
+        SimFleet fleet = convergedFleet(refusals ? plan : plan.withoutRefusals());
         fleet.loss = loss;
         fleet.run(SECOND + fleet.random().nextLong(SimFleet.BEAT));
         List<Integer> order = shuffled(fronts, fleet.random());
@@ -125,8 +125,8 @@
     }
 
     /** Kills so many fronts at once; for each how long until it is out of every other view, us. */
-    static List<Long> killedAtOnce(Plan plan, int kills, double loss) {
-        SimFleet fleet = settled(plan);
+    static List<Long> simultaneousDetectionTimes(Plan plan, int kills, double loss) {
+        SimFleet fleet = convergedFleet(plan);
         fleet.run(SECOND + fleet.random().nextLong(plan.beatUs()));
         fleet.loss = loss;
         long at = fleet.now;
@@ -151,54 +151,51 @@
     }
 
     /**
-     * A filter that answers for a front: deaths said of it, the most that hard limits came to, how soon all is well
-     * after, us.
+     * A filter that forges refusals of a front: deaths reported of it, the highest sum of quotas, and the time until
+     * all are alive again, us.
      */
-    record Filter(int deaths, double most, String where, long wellUs, int knocks) {}
+    record ForgedRefusals(int deaths, double highestQuotaSum, String where, long recoveryUs, int probes) {}
 
-    /** For 3 s filters stand between a front and so many of its neighbours, and refuse their knocks in its name. */
-    static Filter filter(long seed, int fronts, int filters) {
-        SimFleet fleet = settled(Plan.of(seed, fronts));
+    /** For 3 s filters stand between a front and so many of its neighbours, and refuse their probes in its name. */
+    static ForgedRefusals forgedRefusals(long seed, int fronts, int filters) {
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts));
         fleet.run(8 * SECOND);
         int front = fleet.random().nextInt(fronts);
         List<Integer> neighbours =
                 List.copyOf(new ObserverRings(fronts).observersOf(front, other -> true, other -> false));
-        Limits limits = new Limits(fleet);
+        QuotaWatch quotas = new QuotaWatch(fleet);
         int[] deaths = {0};
-        boolean[][] said = new boolean[fronts][fronts];
-        Consumer<Process> look = fleet.after;
-        fleet.after = process -> {
-            look.accept(process);
-            deaths[0] += newlyDead(process, said[process.front]);
+        boolean[][] reportedDead = new boolean[fronts][fronts];
+        Consumer<Process> previous = fleet.onEvent;
+        fleet.onEvent = process -> {
+            previous.accept(process);
+            deaths[0] += newlyDead(process, reportedDead[process.front]);
         };
-        long knocks =
-                fleet.running().stream().mapToLong(process -> process.knocks).sum();
+        long probes =
+                fleet.running().stream().mapToLong(process -> process.probes).sum();
         neighbours.stream().filter(other -> other != front).limit(filters).forEach(other -> fleet.filter(other, front));
         fleet.run(3 * SECOND);
-        knocks = fleet.running().stream().mapToLong(process -> process.knocks).sum() - knocks;
+        probes = fleet.running().stream().mapToLong(process -> process.probes).sum() - probes;
         fleet.heal();
         long took = fleet.until(20 * SECOND, () -> allAlive(fleet));
-        return new Filter(deaths[0], limits.most, limits.where, took < 0 ? NEVER : took, (int) knocks);
+        return new ForgedRefusals(deaths[0], quotas.highest, quotas.highestAt, took < 0 ? NEVER : took, (int) probes);
     }
 
-    /**
-     * A front is killed and started again within a moment: the most that hard limits came to, and until all are alive,
-     * us.
-     */
-    static Filter startedAgain(long seed, int fronts, double loss) {
-        SimFleet fleet = settled(Plan.of(seed, fronts));
+    /** A front is killed and started again at once: the highest sum of quotas, and the time until all are alive, us. */
+    static ForgedRefusals quickRestart(long seed, int fronts, double loss) {
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts));
         fleet.run(8 * SECOND);
         fleet.loss = loss;
-        Limits limits = new Limits(fleet);
+        QuotaWatch quotas = new QuotaWatch(fleet);
         int front = fleet.random().nextInt(fronts);
         fleet.kill(front);
         fleet.run(fleet.random().nextLong(300 * MS));
         Process again = fleet.start(front, 20 * MS);
         int[] deaths = {0};
         boolean[] knew = new boolean[fronts];
-        Consumer<Process> look = fleet.after;
-        fleet.after = process -> {
-            look.accept(process);
+        Consumer<Process> previous = fleet.onEvent;
+        fleet.onEvent = process -> {
+            previous.accept(process);
             boolean alive = process != again
                     && process.of(front) == MemberStatus.ALIVE
                     && process.membership.incarnation(front) >= again.startedMs;
@@ -207,28 +204,28 @@
         };
         long took = fleet.until(20 * SECOND, () -> allAlive(fleet));
         fleet.run(8 * SECOND);
-        return new Filter(deaths[0], limits.most, limits.where, took < 0 ? NEVER : took, 0);
+        return new ForgedRefusals(deaths[0], quotas.highest, quotas.highestAt, took < 0 ? NEVER : took, 0);
     }
 
-    /** Knocks of a front in a second, with none dead. */
-    static double knocks(long seed, int fronts, double loss, long us) {
-        SimFleet fleet = settled(Plan.of(seed, fronts));
+    /** Probes that a front sends in a second while none is dead. */
+    static double probesPerSecond(long seed, int fronts, double loss, long us) {
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts));
         fleet.run(SECOND);
         fleet.loss = loss;
-        long knocks =
-                fleet.running().stream().mapToLong(process -> process.knocks).sum();
+        long probes =
+                fleet.running().stream().mapToLong(process -> process.probes).sum();
         fleet.run(us);
-        return (fleet.running().stream().mapToLong(process -> process.knocks).sum() - knocks)
+        return (fleet.running().stream().mapToLong(process -> process.probes).sum() - probes)
                 * (double) SECOND
                 / us
                 / fronts;
     }
 
-    /** Looks on from the front that still named it last time. */
+    /** Continues with the front that still listed it last time. */
     private static boolean outOfAll(SimFleet fleet, int[] one) {
         for (int looked = 0; looked < fleet.plan.fronts(); looked++) {
             Process viewer = fleet.of((one[2] + looked) % fleet.plan.fronts());
-            if (viewer != null && named(viewer, one[0])) {
+            if (viewer != null && listed(viewer, one[0])) {
                 one[2] = viewer.front;
                 return false;
             }
@@ -236,39 +233,39 @@
         return true;
     }
 
-    static boolean named(Process viewer, int front) {
+    static boolean listed(Process viewer, int front) {
         MemberStatus status = viewer.of(front);
         return status != MemberStatus.DEAD
                 && status != MemberStatus.LEFT
                 && viewer.membership.runningMembers().contains(front);
     }
 
-    /** Deaths said of fronts that all run and are all connected. */
+    /** Deaths reported of fronts that all run and are all connected. */
     static int falseDeaths(long seed, int fronts, double loss, long us) {
-        SimFleet fleet = settled(Plan.of(seed, fronts));
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts));
         fleet.loss = loss;
-        fleet.doubled = 0.01;
+        fleet.duplicated = 0.01;
         fleet.reordered = 0.02;
         int[] deaths = {0};
-        boolean[][] said = new boolean[fronts][fronts];
-        fleet.after = process -> deaths[0] += newlyDead(process, said[process.front]);
+        boolean[][] reportedDead = new boolean[fronts][fronts];
+        fleet.onEvent = process -> deaths[0] += newlyDead(process, reportedDead[process.front]);
         fleet.run(us);
         return deaths[0];
     }
 
     /** How often a front came to be suspected, of fronts that all run and are all connected. */
     static int suspicions(long seed, int fronts, double loss, long us) {
-        SimFleet fleet = settled(Plan.of(seed, fronts));
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts));
         fleet.run(SECOND);
         fleet.loss = loss;
         int[] suspicions = {0};
         int[] suspecters = new int[fronts];
-        boolean[][] said = new boolean[fronts][fronts];
-        fleet.after = process -> {
+        boolean[][] reportedDead = new boolean[fronts][fronts];
+        fleet.onEvent = process -> {
             for (int front = 0; front < fronts; front++) {
                 boolean suspect = front != process.front && process.of(front) == MemberStatus.SUSPECT;
-                if (suspect != said[process.front][front]) {
-                    said[process.front][front] = suspect;
+                if (suspect != reportedDead[process.front][front]) {
+                    reportedDead[process.front][front] = suspect;
                     suspicions[0] += suspect && suspecters[front] == 0 ? 1 : 0;
                     suspecters[front] += suspect ? 1 : -1;
                 }
@@ -278,37 +275,37 @@
         return suspicions[0];
     }
 
-    private static int newlyDead(Process viewer, boolean[] said) {
+    private static int newlyDead(Process viewer, boolean[] reportedDead) {
         int more = 0;
-        for (int front = 0; front < said.length; front++) {
+        for (int front = 0; front < reportedDead.length; front++) {
             boolean dead = front != viewer.front && viewer.of(front) == MemberStatus.DEAD;
-            if (dead && !said[front]) {
+            if (dead && !reportedDead[front]) {
                 more++;
             }
-            said[front] = dead;
+            reportedDead[front] = dead;
         }
         return more;
     }
 
-    /** What a cut of one direction did: how long until ALONE, and what went wrong elsewhere. */
-    record OneWay(long aloneUs, int falseDeaths, boolean othersAlone, boolean othersWhole) {}
+    /** A cut of one direction: how long until the front knows that it is isolated, and the effect on others. */
+    record OneWayCut(long isolatedUs, int falseDeaths, boolean othersIsolated, boolean othersComplete) {}
 
-    static OneWay oneWay(long seed, int fronts, boolean deaf) {
-        SimFleet fleet = settled(Plan.of(seed, fronts));
+    static OneWayCut oneWayCut(long seed, int fronts, boolean deaf) {
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts));
         fleet.run(2 * SECOND + fleet.random().nextLong(SECOND));
         int cut = fleet.random().nextInt(fronts);
         int[] deaths = {0};
-        boolean[] alone = {false};
-        boolean[][] said = new boolean[fronts][fronts];
-        fleet.after = process -> {
+        boolean[] othersIsolated = {false};
+        boolean[][] reportedDead = new boolean[fronts][fronts];
+        fleet.onEvent = process -> {
             if (process.front != cut) {
-                said[process.front][cut] = true;
-                boolean[] before = said[process.front].clone();
-                newlyDead(process, said[process.front]);
+                reportedDead[process.front][cut] = true;
+                boolean[] before = reportedDead[process.front].clone();
+                newlyDead(process, reportedDead[process.front]);
                 for (int front = 0; front < fronts; front++) {
-                    deaths[0] += front != cut && said[process.front][front] && !before[front] ? 1 : 0;
+                    deaths[0] += front != cut && reportedDead[process.front][front] && !before[front] ? 1 : 0;
                 }
-                alone[0] |= process.membership.verdict() == PartitionVerdict.ISOLATED;
+                othersIsolated[0] |= process.membership.verdict() == PartitionVerdict.ISOLATED;
             }
         };
         if (deaf) {
@@ -318,22 +315,22 @@
         }
         long took = fleet.until(5 * SECOND, () -> fleet.of(cut).membership.verdict() == PartitionVerdict.ISOLATED);
         fleet.run(5 * SECOND);
-        boolean whole = fleet.running().stream()
+        boolean othersComplete = fleet.running().stream()
                 .allMatch(process -> process.front == cut || process.membership.verdict() == PartitionVerdict.COMPLETE);
         boolean stays = fleet.of(cut).membership.verdict() == PartitionVerdict.ISOLATED;
-        return new OneWay(took < 0 || !stays ? NEVER : took, deaths[0], alone[0], whole);
+        return new OneWayCut(took < 0 || !stays ? NEVER : took, deaths[0], othersIsolated[0], othersComplete);
     }
 
-    /** A pause: deaths said of the paused front, or by it of others, and how long after it all is alive again, us. */
+    /** A pause: deaths reported of the paused front, or by it of others, and the time until all are alive again, us. */
     record Pause(int falseDeaths, long aliveUs) {}
 
     static Pause pause(long seed, int fronts, long us, double loss) {
-        SimFleet fleet = settled(Plan.of(seed, fronts));
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts));
         fleet.loss = loss;
         fleet.run(SECOND + fleet.random().nextLong(SECOND));
         int[] deaths = {0};
-        boolean[][] said = new boolean[fronts][fronts];
-        fleet.after = process -> deaths[0] += newlyDead(process, said[process.front]);
+        boolean[][] reportedDead = new boolean[fronts][fronts];
+        fleet.onEvent = process -> deaths[0] += newlyDead(process, reportedDead[process.front]);
         int paused = fleet.random().nextInt(fronts);
         fleet.pause(paused, us);
         fleet.run(us);
@@ -354,24 +351,24 @@
         return true;
     }
 
-    /** A split: how long after healing all views are equal and all alive, us; deaths said within a side. */
+    /** A split: how long after healing all views are equal and all alive, us; deaths reported within a side. */
     record Split(long equalUs, long aliveUs, int deathsWithin) {}
 
     static Split split(long seed, int fronts, int sides, long us) {
-        SimFleet fleet = settled(Plan.of(seed, fronts));
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts));
         fleet.run(SECOND + fleet.random().nextLong(SECOND));
         int[] side = new int[fronts];
         for (int front = 0; front < fronts; front++) {
             side[front] = front < sides ? front : fleet.random().nextInt(sides);
         }
         int[] deaths = {0};
-        boolean[][] said = new boolean[fronts][fronts];
+        boolean[][] reportedDead = new boolean[fronts][fronts];
         if (fronts <= 100) {
-            fleet.after = process -> {
-                boolean[] before = said[process.front].clone();
-                newlyDead(process, said[process.front]);
+            fleet.onEvent = process -> {
+                boolean[] before = reportedDead[process.front].clone();
+                newlyDead(process, reportedDead[process.front]);
                 for (int front = 0; front < fronts; front++) {
-                    boolean fresh = said[process.front][front] && !before[front];
+                    boolean fresh = reportedDead[process.front][front] && !before[front];
                     deaths[0] += fresh && side[front] == side[process.front] ? 1 : 0;
                 }
             };
@@ -383,56 +380,56 @@
         long[] equal = {-1};
         long alive = fleet.until(20 * SECOND, () -> {
             equal[0] = !fleet.digestsEqual() ? -1 : equal[0] < 0 ? fleet.now - healed : equal[0];
-            return equal[0] >= 0 && fleet.settled();
+            return equal[0] >= 0 && fleet.converged();
         });
         return new Split(equal[0] < 0 ? NEVER : equal[0], alive < 0 ? NEVER : alive, deaths[0]);
     }
 
     /**
-     * A front says goodbye and ends. As soon as one other knows, the fleet is split for a moment too short for a death,
-     * so that one side is told as often as it is told, and the other is not; how long after the split all know, us.
+     * A front announces that it leaves, and ends. As soon as one other knows, the fleet is split for a moment too short
+     * for a death, so that only one side receives the repeated announcement; the time until all know, us.
      */
-    static long missedGoodbye(long seed, int fronts) {
-        SimFleet fleet = settled(Plan.of(seed, fronts).withoutRefusals());
+    static long missedLeave(long seed, int fronts) {
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts).withoutRefusals());
         fleet.run(6 * SECOND + fleet.random().nextLong(SECOND));
-        int gone = fleet.random().nextInt(fronts);
-        Process process = fleet.of(gone);
+        int departed = fleet.random().nextInt(fronts);
+        Process process = fleet.of(departed);
         process.membership.setDraining(process.clock(), true);
         fleet.until(
                 SECOND,
                 () -> fleet.running().stream()
-                        .anyMatch(viewer -> viewer != process && viewer.of(gone) == MemberStatus.LEFT));
+                        .anyMatch(viewer -> viewer != process && viewer.of(departed) == MemberStatus.LEFT));
         int[] side = new int[fronts];
         for (int front : shuffled(fronts, fleet.random()).subList(0, fronts / 2)) {
-            side[front] = fleet.of(front).of(gone) == MemberStatus.LEFT ? 0 : 1;
+            side[front] = fleet.of(front).of(departed) == MemberStatus.LEFT ? 0 : 1;
         }
         fleet.split(side);
-        fleet.kill(gone);
+        fleet.kill(departed);
         fleet.run(200 * MS);
         fleet.heal();
         long took = fleet.until(
                 20 * SECOND,
                 () -> fleet.digestsEqual()
-                        && fleet.running().stream().allMatch(viewer -> viewer.of(gone) == MemberStatus.LEFT));
+                        && fleet.running().stream().allMatch(viewer -> viewer.of(departed) == MemberStatus.LEFT));
         return took < 0 ? NEVER : took;
     }
 
-    /** Most that the sums of the hard limits' parts came to, and how much the share of those left grew in 4 s. */
-    record Mass(double most, double growth, double after) {}
+    /** The highest sum of quotas, how much the quota of the survivors grew in 4 s, and the sum after the recovery. */
+    record MassFailure(double highestQuotaSum, double growth, double after) {}
 
-    static Mass mass(long seed, int fronts) {
-        SimFleet fleet = settled(Plan.of(seed, fronts));
+    static MassFailure massFailure(long seed, int fronts) {
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts));
         fleet.run(8 * SECOND);
-        Limits limits = new Limits(fleet);
+        QuotaWatch quotas = new QuotaWatch(fleet);
         List<Integer> order = shuffled(fronts, fleet.random());
         int dead = fronts * 7 / 10;
-        double before = fleet.of(order.get(dead)).share();
+        double before = fleet.of(order.get(dead)).quota();
         for (int front : order.subList(0, dead)) {
             fleet.kill(front);
         }
         fleet.run(4 * SECOND);
         double least = order.subList(dead, fronts).stream()
-                .mapToDouble(front -> fleet.of(front).share())
+                .mapToDouble(front -> fleet.of(front).quota())
                 .min()
                 .orElse(0);
         fleet.run(fleet.random().nextLong(4 * SECOND));
@@ -443,32 +440,32 @@
                     () -> fleet.start(front, 100 * MS));
         }
         fleet.run(18 * SECOND);
-        return new Mass(limits.most, least / before, fleet.sum());
+        return new MassFailure(quotas.highest, least / before, fleet.quotaSum());
     }
 
-    /** Watches the hard limits at every event. */
-    static final class Limits {
-        double most;
-        String where = "";
+    /** Checks the sums of all quotas after every event. */
+    static final class QuotaWatch {
+        double highest;
+        String highestAt = "";
 
         private long next;
 
-        Limits(SimFleet fleet) {
-            fleet.after = process -> {
+        QuotaWatch(SimFleet fleet) {
+            fleet.onEvent = process -> {
                 if (fleet.now >= next) {
                     // Every event of a small fleet, every 10 ms of a large one.
                     next = fleet.plan.fronts() > 24 ? fleet.now + 10 * MS : fleet.now;
-                    look(fleet);
+                    check(fleet);
                 }
             };
         }
 
-        void look(SimFleet fleet) {
+        void check(SimFleet fleet) {
             for (int zone = -1; zone < fleet.plan.zones(); zone++) {
-                double sum = fleet.sum(zone);
-                if (!(sum <= most)) {
-                    most = sum;
-                    where = (zone < 0 ? "all" : "branch " + zone) + " at " + fleet.now / MS + " ms: "
+                double sum = fleet.quotaSum(zone);
+                if (!(sum <= highest)) {
+                    highest = sum;
+                    highestAt = (zone < 0 ? "all" : "zone " + zone) + " at " + fleet.now / MS + " ms: "
                             + parts(fleet, zone);
                 }
             }
@@ -481,7 +478,7 @@
                     parts.append(process.front)
                             .append(process.paused ? " (paused)" : "")
                             .append(" 1/")
-                            .append(Math.round(1000 / (zone < 0 ? process.share() : process.shareIn())) / 1000.0)
+                            .append(Math.round(1000 / (zone < 0 ? process.quota() : process.zoneQuota())) / 1000.0)
                             .append(", ");
                 }
             }
@@ -489,8 +486,8 @@
         }
     }
 
-    /** Something that happens to a fleet. */
-    record Blow(Kind kind, long atMs, long forMs, int front, int other) {
+    /** A fault that a schedule injects into a fleet. */
+    record InjectedFault(Kind kind, long atMs, long forMs, int front, int other) {
         enum Kind {
             KILL,
             VANISH,
@@ -508,102 +505,102 @@
         }
     }
 
-    /** Plays blows, each at its time, over a fleet; returns the watch over its limits. */
-    static Limits blows(Plan plan, List<Blow> blows, long restMs) {
+    /** Injects each fault at its time; returns the watch over the quotas. */
+    static QuotaWatch injectFaults(Plan plan, List<InjectedFault> faults, long restMs) {
         SimFleet fleet = new SimFleet(plan);
-        Limits limits = new Limits(fleet);
+        QuotaWatch quotas = new QuotaWatch(fleet);
         fleet.startAll();
         fleet.run(6 * SECOND);
         long last = 0;
-        for (Blow blow : blows) {
-            fleet.in(blow.atMs * MS, () -> strike(fleet, blow));
-            last = Math.max(last, blow.atMs + blow.forMs);
+        for (InjectedFault fault : faults) {
+            fleet.in(fault.atMs * MS, () -> inject(fleet, fault));
+            last = Math.max(last, fault.atMs + fault.forMs);
         }
         fleet.run((last + restMs) * MS);
-        return limits;
+        return quotas;
     }
 
     /**
-     * An observer is paused between its knock (the first after the death, or a later one) and the answer, the dead
+     * An observer is paused between its probe (the first after the death, or a later one) and the answer, the dead
      * front returns, and the observer hears nothing for a while after it went on: what it reads then is an old refusal.
      */
-    static Limits lateRefusal(long seed, int fronts, boolean early) {
-        SimFleet fleet = settled(Plan.of(seed, fronts));
+    static QuotaWatch lateRefusal(long seed, int fronts, boolean early) {
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts));
         fleet.run(6 * SECOND);
-        int gone = fleet.random().nextInt(fronts);
+        int departed = fleet.random().nextInt(fronts);
         long pause = fleet.random().nextLong(500 * MS, 5 * SECOND);
-        fleet.kill(gone);
+        fleet.kill(departed);
         fleet.run(early ? 0 : 2 * SECOND + fleet.random().nextLong(SECOND));
-        Limits limits = new Limits(fleet);
-        fleet.knocked = (observer, at) -> {
-            fleet.knocked = (other, another) -> {};
+        QuotaWatch quotas = new QuotaWatch(fleet);
+        fleet.onProbe = (observer, at) -> {
+            fleet.onProbe = (other, another) -> {};
             fleet.in(0, () -> fleet.pause(observer.front, pause));
             fleet.in(40 * MS, () -> {
                 fleet.deaf(observer.front, true);
-                fleet.start(gone, 50 * MS);
+                fleet.start(departed, 50 * MS);
             });
         };
         fleet.run(12 * SECOND);
         fleet.heal();
         fleet.run(SECOND);
-        return limits;
+        return quotas;
     }
 
-    /** Of an upgrade whose new process ends: how long until all that run know each other as alive, us. */
-    static long failedUpgrade(long seed, int fronts, long youngUs) {
-        SimFleet fleet = settled(Plan.of(seed, fronts));
+    /** An upgrade whose new process ends: the time until all that run list each other as alive, us. */
+    static long failedUpgrade(long seed, int fronts, long successorRunsUs) {
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts));
         fleet.run(6 * SECOND + fleet.random().nextLong(SECOND));
         int front = fleet.random().nextInt(fronts);
-        Process young = fleet.start(front, 20 * MS);
-        fleet.run(youngUs);
-        fleet.end(young);
+        Process successor = fleet.start(front, 20 * MS);
+        fleet.run(successorRunsUs);
+        fleet.end(successor);
         long took = fleet.until(20 * SECOND, () -> allAlive(fleet) && fleet.digestsEqual());
         return took < 0 ? NEVER : took;
     }
 
-    private static void strike(SimFleet fleet, Blow blow) {
-        int front = Math.floorMod(blow.front, fleet.plan.fronts());
-        int other = Math.floorMod(blow.other, fleet.plan.fronts());
+    private static void inject(SimFleet fleet, InjectedFault fault) {
+        int front = Math.floorMod(fault.front, fleet.plan.fronts());
+        int other = Math.floorMod(fault.other, fleet.plan.fronts());
         Process process = fleet.of(front);
-        switch (blow.kind) {
+        switch (fault.kind) {
             case KILL -> fleet.kill(front);
             case VANISH -> fleet.vanish(front);
-            case RESTART -> restart(fleet, front, blow.forMs * MS);
+            case RESTART -> restart(fleet, front, fault.forMs * MS);
             case SECOND -> {
                 if (process != null) {
                     fleet.start(front, 50 * MS);
-                    fleet.in(blow.forMs * MS, () -> fleet.end(process));
+                    fleet.in(fault.forMs * MS, () -> fleet.end(process));
                 }
             }
-            case PAUSE -> fleet.pause(front, blow.forMs * MS);
-            case SPLIT -> splitForAWhile(fleet, blow);
+            case PAUSE -> fleet.pause(front, fault.forMs * MS);
+            case SPLIT -> splitTemporarily(fleet, fault);
             case HEAL -> fleet.heal();
             case MUTE -> {
                 fleet.mute(front, true);
-                fleet.in(blow.forMs * MS, () -> fleet.mute(front, false));
+                fleet.in(fault.forMs * MS, () -> fleet.mute(front, false));
             }
             case DEAF -> {
                 fleet.deaf(front, true);
-                fleet.in(blow.forMs * MS, () -> fleet.deaf(front, false));
+                fleet.in(fault.forMs * MS, () -> fleet.deaf(front, false));
             }
             case ONE_WAY -> {
                 fleet.oneWay(front, other, true);
-                fleet.in(blow.forMs * MS, () -> fleet.oneWay(front, other, false));
+                fleet.in(fault.forMs * MS, () -> fleet.oneWay(front, other, false));
             }
             case LOSS -> {
                 fleet.loss = 0.3;
-                fleet.doubled = 0.05;
+                fleet.duplicated = 0.05;
                 fleet.reordered = 0.1;
-                fleet.in(blow.forMs * MS, () -> fleet.loss = 0);
+                fleet.in(fault.forMs * MS, () -> fleet.loss = 0);
             }
             case HOLD -> {
-                fleet.held = 0.05;
-                fleet.heldUs = Math.max(300, blow.forMs) * MS;
-                fleet.in(blow.forMs * MS, () -> fleet.held = 0);
+                fleet.delayed = 0.05;
+                fleet.longestDelayUs = Math.max(300, fault.forMs) * MS;
+                fleet.in(fault.forMs * MS, () -> fleet.delayed = 0);
             }
             case LEAVE -> {
                 if (process != null && !process.paused) {
-                    process.membership.setDraining(process.clock(), blow.forMs % 2 == 0);
+                    process.membership.setDraining(process.clock(), fault.forMs % 2 == 0);
                 }
             }
             default -> throw new IllegalStateException();
@@ -621,19 +618,19 @@
     }
 
     /** Splits the fleet into two to four sides for a while. */
-    private static void splitForAWhile(SimFleet fleet, Blow blow) {
+    private static void splitTemporarily(SimFleet fleet, InjectedFault fault) {
         int[] side = new int[fleet.plan.fronts()];
-        SplittableRandom random = new SplittableRandom(31L * blow.front + blow.other);
+        SplittableRandom random = new SplittableRandom(31L * fault.front + fault.other);
         for (int i = 0; i < side.length; i++) {
-            side[i] = random.nextInt(2 + Math.floorMod(blow.other, 3));
+            side[i] = random.nextInt(2 + Math.floorMod(fault.other, 3));
         }
         fleet.split(side);
-        fleet.in(blow.forMs * MS, () -> fleet.split(new int[side.length]));
+        fleet.in(fault.forMs * MS, () -> fleet.split(new int[side.length]));
     }
 
-    /** Most changes of any verdict within 2 s, over a front whose ways are cut and opened faster than once a second. */
+    /** Most changes of any verdict within 2 s, while a front's links are cut and opened faster than once a second. */
     static int flapping(long seed, int fronts) {
-        SimFleet fleet = settled(Plan.of(seed, fronts));
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts));
         fleet.run(3 * SECOND);
         PartitionVerdict[] last = new PartitionVerdict[fronts];
         List<ArrayDeque<Long>> changes = new ArrayList<>();
@@ -642,7 +639,7 @@
             changes.add(new ArrayDeque<>());
         }
         int[] most = {0};
-        fleet.after = process -> {
+        fleet.onEvent = process -> {
             PartitionVerdict verdict = process.membership.verdict();
             if (verdict != last[process.front]) {
                 last[process.front] = verdict;
@@ -667,16 +664,16 @@
         return most[0];
     }
 
-    /** Messages that a returning front has got when it first knows all others. */
-    static long returning(long seed, int fronts) {
-        SimFleet fleet = settled(Plan.of(seed, fronts));
+    /** Messages that a returning front has received when it first knows all others. */
+    static long messagesUntilRejoined(long seed, int fronts) {
+        SimFleet fleet = convergedFleet(Plan.of(seed, fronts));
         fleet.run(SECOND + fleet.random().nextLong(SECOND));
-        int gone = fleet.random().nextInt(fronts);
-        fleet.kill(gone);
+        int departed = fleet.random().nextInt(fronts);
+        fleet.kill(departed);
         fleet.run(3 * SECOND);
-        Process back = fleet.start(gone, 50 * MS);
+        Process back = fleet.start(departed, 50 * MS);
         long[] got = {-1};
-        fleet.after = process -> {
+        fleet.onEvent = process -> {
             if (process == back && got[0] < 0) {
                 for (Process other : fleet.running()) {
                     if (other != back
@@ -695,36 +692,36 @@
     /** What the fleet's members send, each message once. */
     static List<byte[]> messages(SimFleet fleet, long us) {
         List<byte[]> messages = new ArrayList<>();
-        fleet.tap = message -> messages.add(message.clone());
+        fleet.onMessage = message -> messages.add(message.clone());
         fleet.kill(9);
         fleet.run(us);
         fleet.start(9, 20 * MS);
         fleet.run(us);
-        fleet.tap = message -> {};
+        fleet.onMessage = message -> {};
         return messages;
     }
 
-    /** Other marks and versions, garbage, parts of a message, and what is longer than it says. */
-    static List<byte[]> spoilt(byte[] message, SplittableRandom random) {
-        List<byte[]> spoilt = new ArrayList<>();
-        spoilt.add(new byte[0]);
+    /** Other magic bytes and versions, garbage, truncated messages, and messages with trailing bytes. */
+    static List<byte[]> malformed(byte[] message, SplittableRandom random) {
+        List<byte[]> malformed = new ArrayList<>();
+        malformed.add(new byte[0]);
         for (int at = 0; at < 2; at++) {
             byte[] another = message.clone();
             another[at] += (byte) (1 + random.nextInt(255));
-            spoilt.add(another);
+            malformed.add(another);
         }
         for (int i = 0; i < 6; i++) {
-            spoilt.add(Arrays.copyOf(message, random.nextInt(message.length)));
-            spoilt.add(Arrays.copyOf(message, message.length + 1 + random.nextInt(40)));
+            malformed.add(Arrays.copyOf(message, random.nextInt(message.length)));
+            malformed.add(Arrays.copyOf(message, message.length + 1 + random.nextInt(40)));
             byte[] garbage = new byte[1 + random.nextInt(300)];
             random.nextBytes(garbage);
-            spoilt.add(garbage);
+            malformed.add(garbage);
         }
-        return spoilt;
+        return malformed;
     }
 
-    /** All that a view says. */
-    static String all(Process process) {
+    /** The complete state of a view as text. */
+    static String describe(Process process) {
         StringBuilder all = new StringBuilder();
         MembershipProtocol view = process.membership;
         for (int front = 0; front < 10; front++) {
--- a/src/test/java/magpiewheel/membership/MembershipFingerprintTest.java
+++ b/src/test/java/magpiewheel/membership/MembershipFingerprintTest.java
@@ -21,11 +21,11 @@
     })
     void fleetUnderFaults(long seed, int fronts, boolean refusals, String fingerprint) {
         Plan plan = Plan.of(seed, fronts);
-        SimFleet fleet = FleetScenarios.settled(refusals ? plan : plan.withoutRefusals());
+        SimFleet fleet = FleetScenarios.convergedFleet(refusals ? plan : plan.withoutRefusals());
         fleet.loss = 0.05;
-        fleet.doubled = 0.02;
+        fleet.duplicated = 0.02;
         fleet.reordered = 0.05;
-        fleet.held = 0.01;
+        fleet.delayed = 0.01;
         fleet.run(SECOND);
         fleet.kill(1);
         fleet.run(SECOND);
--- a/src/test/java/magpiewheel/membership/SimFleet.java
+++ b/src/test/java/magpiewheel/membership/SimFleet.java
@@ -13,7 +13,7 @@
 
 /**
  * Memberships of a whole fleet on a clock of their own: one thread, one queue of events, and a network between them
- * that delays, loses, doubles, reorders, holds back and cuts as its seed says. Equal seeds and equal calls give equal
+ * that delays, loses, duplicates, reorders and partitions as its seed says. Equal seeds and equal calls give equal
  * runs.
  */
 final class SimFleet {
@@ -27,7 +27,7 @@
 
     private static final int LARGEST = 256;
 
-    /** What a run is made of: fronts by turns in so many branches. */
+    /** The parameters of a run; fronts are assigned to zones in turn. */
     record Plan(long seed, int fronts, int zones, long beatUs, boolean refusals) {
         static Plan of(long seed, int fronts) {
             return new Plan(seed, fronts, 3, BEAT, true);
@@ -38,46 +38,46 @@
         }
     }
 
-    private enum What {
+    private enum EventType {
         ARRIVE,
-        KNOCK,
+        PROBE,
         REFUSED,
         WAKE,
-        GO_ON,
-        DO
+        RESUME,
+        ACTION
     }
 
     private static final class Event implements Comparable<Event> {
         final long at;
         final long order;
-        final What what;
+        final EventType type;
         final Process process;
         final int from;
         final int to;
         final byte[] message;
-        final boolean held;
+        final boolean delayed;
         final Runnable action;
-        /** Of a knock and its answer: the time that the process gave. */
-        long asked;
+        /** Of a probe and its answer: when the process sent the probe, us. */
+        long probedAt;
 
         Event(
                 long at,
                 long order,
-                What what,
+                EventType type,
                 Process process,
                 int from,
                 int to,
                 byte[] message,
-                boolean held,
+                boolean delayed,
                 Runnable action) {
             this.at = at;
             this.order = order;
-            this.what = what;
+            this.type = type;
             this.process = process;
             this.from = from;
             this.to = to;
             this.message = message;
-            this.held = held;
+            this.delayed = delayed;
             this.action = action;
         }
 
@@ -95,13 +95,13 @@
         final MembershipProtocol membership;
         boolean running = true;
         boolean paused;
-        boolean serves;
+        boolean serving;
         long messages;
         long bytes;
         long received;
-        long knocks;
+        long probes;
         private final ArrayDeque<Event> socket = new ArrayDeque<>();
-        private long goesOnAt;
+        private long resumesAt;
         private long wakeAt = Long.MAX_VALUE;
 
         Process(int front) {
@@ -134,22 +134,23 @@
             messages++;
             bytes += message.length;
             actions.add(now).add((long) front).add((long) to).add(message);
-            tap.accept(message);
+            onMessage.accept(message);
             post(this, to, message);
         }
 
         @Override
-        public void probe(int to, long asked) {
+        public void probe(int to, long probedAt) {
             if (!plan.refusals || to == front || to < 0 || to >= plan.fronts) {
-                throw new AssertionError("knock from " + front + " to " + to);
+                throw new AssertionError("probe from " + front + " to " + to);
             }
-            knocks++;
-            actions.add(now).add((long) front).add((long) to).add(asked);
-            knocked.accept(this, to);
-            int copies = chance(doubled) ? 2 : 1;
+            probes++;
+            actions.add(now).add((long) front).add((long) to).add(probedAt);
+            onProbe.accept(this, to);
+            int copies = chance(duplicated) ? 2 : 1;
             for (int i = 0; i < copies; i++) {
-                if ((lies(front, to) || !cut(front, to)) && !chance(loss)) {
-                    push(now + halfKnock(), What.KNOCK, this, front, to, null, false, null).asked = asked;
+                if ((forgesRefusals(front, to) || !cut(front, to)) && !chance(loss)) {
+                    push(now + halfProbeDelay(), EventType.PROBE, this, front, to, null, false, null).probedAt =
+                            probedAt;
                 }
             }
         }
@@ -158,11 +159,11 @@
             return membership.status(other);
         }
 
-        double share() {
+        double quota() {
             return 1 / membership.quotaDivisor(clock());
         }
 
-        double shareIn() {
+        double zoneQuota() {
             return 1 / membership.quotaDivisorIn(clock(), zone(front));
         }
 
@@ -173,23 +174,24 @@
     }
 
     final Plan plan;
-    /** Of all messages and knocks, with their times. */
+    /** Of all messages and probes, with their times. */
     final Fingerprint actions = new Fingerprint();
     /**
-     * Shares of datagrams that are lost, doubled, overtaken (up to 60 ms late) and held back (up to {@link #heldUs}).
+     * Shares of datagrams that are lost, duplicated, reordered (up to 60 ms late) and delayed (up to
+     * {@link #longestDelayUs}).
      */
     double loss;
 
-    double doubled;
+    double duplicated;
     double reordered;
-    double held;
-    long heldUs = 5 * SECOND;
+    double delayed;
+    long longestDelayUs = 5 * SECOND;
     /** Sees each message that is sent. */
-    Consumer<byte[]> tap = message -> {};
-    /** Sees each knock, by whom and at whom. */
-    BiConsumer<Process, Integer> knocked = (process, at) -> {};
+    Consumer<byte[]> onMessage = message -> {};
+    /** Sees each probe: its sender and its target. */
+    BiConsumer<Process, Integer> onProbe = (process, at) -> {};
     /** Called after everything that a process handled. */
-    Consumer<Process> after = process -> {};
+    Consumer<Process> onEvent = process -> {};
 
     long now;
     private final SplittableRandom random;
@@ -249,21 +251,21 @@
         return all;
     }
 
-    /** Starts a process of a front, beside the one it may have; it serves after a while. */
+    /** Starts a process of a front, beside the one it may have; it starts serving after a delay. */
     Process start(int front, long readyUs) {
         vanished[front] = false;
         Process process = new Process(front);
         processes.get(front).add(process);
         handled(process);
-        in(readyUs, () -> serve(process));
+        in(readyUs, () -> startServing(process));
         return process;
     }
 
-    private void serve(Process process) {
+    private void startServing(Process process) {
         if (process.running && process.paused) {
-            in(10 * MS, () -> serve(process));
+            in(10 * MS, () -> startServing(process));
         } else if (process.running) {
-            process.serves = true;
+            process.serving = true;
             process.membership.startServing(process.clock());
             handled(process);
         }
@@ -280,9 +282,9 @@
     }
 
     /** Starts every front and waits until all views are the same and whole; how long that took, us. */
-    long settle(long mostUs) {
+    long converge(long mostUs) {
         startAll();
-        return until(mostUs, this::settled);
+        return until(mostUs, this::converged);
     }
 
     /** Runs until something holds, looking every 5 ms; how long that took, or -1. */
@@ -297,7 +299,7 @@
         return now - from;
     }
 
-    boolean settled() {
+    boolean converged() {
         if (!digestsEqual()) {
             return false;
         }
@@ -318,7 +320,7 @@
         return running.stream().allMatch(process -> process.membership.digest() == first);
     }
 
-    /** Ends all processes of a front; its machine goes on, and says that nobody listens. */
+    /** Ends all processes of a front; its machine goes on and refuses probes. */
     void kill(int front) {
         for (Process process : processes.get(front)) {
             process.running = false;
@@ -334,18 +336,18 @@
         processes.get(process.front).remove(process);
     }
 
-    /** The whole machine goes, without a word. */
+    /** The whole machine fails: nothing refuses probes in its name. */
     void vanish(int front) {
         kill(front);
         vanished[front] = true;
     }
 
-    /** The processes of a front handle nothing for a while; what comes waits in their sockets. */
+    /** The processes of a front handle nothing for a while; datagrams wait in their sockets. */
     void pause(int front, long us) {
         for (Process process : processes.get(front)) {
             process.paused = true;
-            process.goesOnAt = Math.max(process.goesOnAt, now + us);
-            push(process.goesOnAt, What.GO_ON, process, front, front, null, false, null);
+            process.resumesAt = Math.max(process.resumesAt, now + us);
+            push(process.resumesAt, EventType.RESUME, process, front, front, null, false, null);
         }
     }
 
@@ -359,7 +361,7 @@
         deaf[front] = yes;
     }
 
-    /** Whether nothing of a front arrives at another. */
+    /** Blocks or opens one direction between two fronts. */
     void oneWay(int from, int to, boolean yes) {
         if (oneWay[from] == null) {
             oneWay[from] = new boolean[plan.fronts];
@@ -368,7 +370,7 @@
     }
 
     /**
-     * Between two fronts stands a filter: nothing passes, and knocks of the first are refused, whether the other runs
+     * Places a filter between two fronts: nothing passes, and probes of the first are refused, whether the other runs
      * or not.
      */
     void filter(int from, int to) {
@@ -380,7 +382,7 @@
         filtered[from][to] = true;
     }
 
-    private boolean lies(int from, int to) {
+    private boolean forgesRefusals(int from, int to) {
         return filtered[from] != null && filtered[from][to];
     }
 
@@ -389,7 +391,7 @@
         System.arraycopy(sides, 0, side, 0, side.length);
     }
 
-    /** All ways are open again; who is gone stays gone. */
+    /** All links are open again; a killed process stays dead. */
     void heal() {
         Arrays.fill(side, 0);
         Arrays.fill(mute, false);
@@ -403,7 +405,7 @@
     }
 
     void in(long us, Runnable action) {
-        push(now + us, What.DO, null, 0, 0, null, false, action);
+        push(now + us, EventType.ACTION, null, 0, 0, null, false, action);
     }
 
     void run(long us) {
@@ -411,8 +413,8 @@
         while (!events.isEmpty() && events.peek().at <= end) {
             Event event = events.poll();
             now = event.at;
-            trace = trace * 31 + event.at + event.what.ordinal();
-            happen(event);
+            trace = trace * 31 + event.at + event.type.ordinal();
+            dispatch(event);
         }
         now = end;
     }
@@ -423,12 +425,12 @@
     }
 
     /** What all running processes may use of a limit of one together; of two processes of a front the larger share. */
-    double sum() {
-        return sum(-1);
+    double quotaSum() {
+        return quotaSum(-1);
     }
 
-    /** Likewise of a branch's limit; of the whole fleet's for -1. */
-    double sum(int zone) {
+    /** Likewise of a zone's limit; of the whole fleet's for -1. */
+    double quotaSum(int zone) {
         double sum = 0;
         for (int front = 0; front < plan.fronts; front++) {
             if (zone >= 0 && zone != zone(front)) {
@@ -436,7 +438,7 @@
             }
             double most = 0;
             for (Process process : processes.get(front)) {
-                most = Math.max(most, zone < 0 ? process.share() : process.shareIn());
+                most = Math.max(most, zone < 0 ? process.quota() : process.zoneQuota());
             }
             sum += most;
         }
@@ -451,13 +453,13 @@
         return share > 0 && random.nextDouble() < share;
     }
 
-    private long halfKnock() {
+    private long halfProbeDelay() {
         return random.nextLong(MS / 2, 15 * MS);
     }
 
     private Event push(
-            long at, What what, Process process, int from, int to, byte[] message, boolean late, Runnable action) {
-        Event event = new Event(at, pushed++, what, process, from, to, message, late, action);
+            long at, EventType type, Process process, int from, int to, byte[] message, boolean late, Runnable action) {
+        Event event = new Event(at, pushed++, type, process, from, to, message, late, action);
         events.add(event);
         return event;
     }
@@ -466,39 +468,47 @@
         if (cut(from.front, to) || chance(loss)) {
             return;
         }
-        int copies = chance(doubled) ? 2 : 1;
+        int copies = chance(duplicated) ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            boolean late = chance(held);
+            boolean late = chance(delayed);
             long delay = random.nextLong(1_400, 23_001);
             if (late) {
-                delay = random.nextLong(200 * MS, heldUs);
+                delay = random.nextLong(200 * MS, longestDelayUs);
             } else if (chance(reordered)) {
                 delay += random.nextLong(37 * MS);
             }
-            push(now + delay, What.ARRIVE, from, from.front, to, message, late, null);
+            push(now + delay, EventType.ARRIVE, from, from.front, to, message, late, null);
         }
     }
 
-    private void happen(Event event) {
-        switch (event.what) {
+    private void dispatch(Event event) {
+        switch (event.type) {
             case ARRIVE -> {
                 Process process = of(event.to);
-                if (process != null && (event.held || !cut(event.from, event.to))) {
+                if (process != null && (event.delayed || !cut(event.from, event.to))) {
                     deliver(process, event);
                 }
             }
-            case KNOCK -> {
+            case PROBE -> {
                 boolean answers = !vanished[event.to]
                         && of(event.to) == null
                         && !cut(event.from, event.to)
                         && !cut(event.to, event.from);
-                if ((answers || lies(event.from, event.to)) && !chance(loss)) {
-                    push(now + halfKnock(), What.REFUSED, event.process, event.to, event.from, null, false, null)
-                            .asked = event.asked;
+                if ((answers || forgesRefusals(event.from, event.to)) && !chance(loss)) {
+                    push(
+                                    now + halfProbeDelay(),
+                                    EventType.REFUSED,
+                                    event.process,
+                                    event.to,
+                                    event.from,
+                                    null,
+                                    false,
+                                    null)
+                            .probedAt = event.probedAt;
                 }
             }
             case REFUSED -> {
-                if (lies(event.to, event.from) || !cut(event.from, event.to)) {
+                if (forgesRefusals(event.to, event.from) || !cut(event.from, event.to)) {
                     deliver(event.process, event);
                 }
             }
@@ -512,8 +522,8 @@
                     handled(process);
                 }
             }
-            case GO_ON -> goOn(event.process);
-            case DO -> event.action.run();
+            case RESUME -> resume(event.process);
+            case ACTION -> event.action.run();
             default -> throw new IllegalStateException();
         }
     }
@@ -528,8 +538,8 @@
             }
             return;
         }
-        if (event.what == What.REFUSED) {
-            process.membership.probeRefused(process.clock(), event.from, event.asked);
+        if (event.type == EventType.REFUSED) {
+            process.membership.probeRefused(process.clock(), event.from, event.probedAt);
         } else {
             process.received++;
             process.membership.messageReceived(process.clock(), event.from, event.message);
@@ -538,15 +548,15 @@
     }
 
     /** What waited is handled before or after what is due: either may come first. */
-    private void goOn(Process process) {
-        if (!process.running || !process.paused || process.goesOnAt > now) {
+    private void resume(Process process) {
+        if (!process.running || !process.paused || process.resumesAt > now) {
             return;
         }
         process.paused = false;
         boolean first = random.nextBoolean();
         if (first) {
             process.membership.tick(process.clock());
-            after.accept(process);
+            onEvent.accept(process);
         }
         while (!process.socket.isEmpty()) {
             deliver(process, process.socket.poll());
@@ -563,8 +573,8 @@
         long at = Math.max(due, now) + random.nextLong(50, 1_500);
         if (at < process.wakeAt) {
             process.wakeAt = at;
-            push(at, What.WAKE, process, process.front, process.front, null, false, null);
+            push(at, EventType.WAKE, process, process.front, process.front, null, false, null);
         }
-        after.accept(process);
+        onEvent.accept(process);
     }
 }
