--- a/src/test/java/magpiewheel/membership/FleetFigures.java
+++ b/src/test/java/magpiewheel/membership/FleetFigures.java
@@ -85,7 +85,7 @@
             case "flap" ->
                 times(
                         "verdict's changes within 2 s (x 1 ms)",
-                        play(seeds, seed -> List.of(MS * FleetScenarios.flapping(seed, 10))));
+                        play(seeds, seed -> List.of(MS * PartitionScenarios.flapping(seed, 10))));
             case "refusal" -> lateRefusals();
             case "filter" -> filtersInBetween();
             case "again" ->
@@ -93,21 +93,21 @@
                         "front of 8 started again within 0.3 s, 5% loss",
                         LongStream.rangeClosed(1, seeds)
                                 .parallel()
-                                .mapToObj(seed -> FleetScenarios.quickRestart(seed, 8, 0.05))
+                                .mapToObj(seed -> FailureDetectionScenarios.quickRestart(seed, 8, 0.05))
                                 .collect(Collectors.toList()));
             case "knocks" -> probes();
             case "suspects" -> suspicions();
             case "missed" ->
                 times(
                         "goodbye that a side of 20 missed, known to all",
-                        play(seeds, seed -> List.of(FleetScenarios.missedLeave(seed, 20))));
+                        play(seeds, seed -> List.of(PartitionScenarios.missedLeave(seed, 20))));
             case "upgrade" ->
                 times(
                         "upgrade whose new process ends after 0.1 to 3 s, all alive again",
                         play(
                                 seeds,
-                                seed -> List.of(
-                                        FleetScenarios.failedUpgrade(seed, 8, seed * 377 % 2_900 * MS + 100 * MS))));
+                                seed -> List.of(FailureDetectionScenarios.failedUpgrade(
+                                        seed, 8, seed * 377 % 2_900 * MS + 100 * MS))));
             case "return" -> returns();
             default -> throw new IllegalArgumentException(name + " is none of " + NAMES);
         }
@@ -116,7 +116,7 @@
     /** Messages and bytes of a front a second, by the size of the fleet. */
     private void rates() {
         for (int fronts : List.of(10, 100, 1_000)) {
-            FleetScenarios.Rate rate = FleetScenarios.rate(1, fronts, 5 * SECOND);
+            TrafficScenarios.Rate rate = TrafficScenarios.rate(1, fronts, 5 * SECOND);
             System.out.printf(
                     "rate, %d fronts: %.1f messages/s, %.0f bytes/s%n", fronts, rate.messages(), rate.bytes());
         }
@@ -125,9 +125,9 @@
     /** The traffic of 100 fronts at rest and while they are restarted in turn, with slow and quick beats. */
     private void rolls() {
         for (long beat : List.of(800 * MS, SimFleet.BEAT)) {
-            List<FleetScenarios.RollingRestart> all = LongStream.rangeClosed(1, seeds)
+            List<TrafficScenarios.RollingRestart> all = LongStream.rangeClosed(1, seeds)
                     .parallel()
-                    .mapToObj(seed -> FleetScenarios.rollingRestart(seed, 100, beat, 2_500 * MS))
+                    .mapToObj(seed -> TrafficScenarios.rollingRestart(seed, 100, beat, 2_500 * MS))
                     .collect(Collectors.toList());
             System.out.printf(
                     "100 fronts, beats of %d ms: at rest %.1f messages/s and %.0f bytes/s, "
@@ -150,7 +150,7 @@
                             .average()
                             .orElseThrow(),
                     all.stream()
-                                    .mapToLong(FleetScenarios.RollingRestart::convergenceUs)
+                                    .mapToLong(TrafficScenarios.RollingRestart::convergenceUs)
                                     .max()
                                     .orElseThrow()
                             / 1e3);
@@ -163,15 +163,15 @@
             int most = fronts == 1_000 ? Math.min(4, seeds) : seeds;
             times(
                     "settle after start, " + fronts + " fronts",
-                    play(most, seed -> List.of(FleetScenarios.convergenceTime(seed, fronts))));
+                    play(most, seed -> List.of(FailureDetectionScenarios.convergenceTime(seed, fronts))));
         }
     }
 
     /** Running fronts that are reported dead while datagrams are lost. */
     private void losses(List<Double> shares) {
         for (double loss : shares) {
-            List<Long> deaths =
-                    play(seeds, seed -> List.of((long) FleetScenarios.falseDeaths(seed, 20, loss, 20 * SECOND)));
+            List<Long> deaths = play(
+                    seeds, seed -> List.of((long) FailureDetectionScenarios.falseDeaths(seed, 20, loss, 20 * SECOND)));
             System.out.printf(
                     "loss %.0f%%, 20 fronts, 20 s: %d runs, %d with a false death, %d deaths said%n",
                     100 * loss, seeds, deaths.stream().filter(each -> each > 0).count(), sum(deaths));
@@ -183,7 +183,7 @@
         for (int fronts : List.of(8, 20)) {
             for (boolean deaf : List.of(true, false)) {
                 List<Long> wrong = play(seeds, seed -> {
-                    FleetScenarios.OneWayCut shown = FleetScenarios.oneWayCut(seed, fronts, deaf);
+                    PartitionScenarios.OneWayCut shown = PartitionScenarios.oneWayCut(seed, fronts, deaf);
                     return List.of((shown.falseDeaths() > 0 ? 1L : 0)
                             + (shown.othersIsolated() ? 100_000L : 0)
                             + (shown.othersComplete() ? 0 : 10_000_000_000L));
@@ -193,7 +193,7 @@
                         what + " ALONE",
                         play(
                                 seeds,
-                                seed -> List.of(FleetScenarios.oneWayCut(seed, fronts, deaf)
+                                seed -> List.of(PartitionScenarios.oneWayCut(seed, fronts, deaf)
                                         .isolatedUs())));
                 long all = sum(wrong);
                 System.out.printf(
@@ -209,7 +209,7 @@
         for (int fronts : List.of(8, 20, 100)) {
             List<Long> alive = new ArrayList<>();
             List<Long> deaths = play(seeds, seed -> {
-                FleetScenarios.Pause shown = FleetScenarios.pause(seed, fronts, 300 * MS, 0);
+                FailureDetectionScenarios.Pause shown = FailureDetectionScenarios.pause(seed, fronts, 300 * MS, 0);
                 synchronized (alive) {
                     alive.add(shown.aliveUs());
                 }
@@ -231,7 +231,8 @@
             List<Long> alive = new ArrayList<>();
             List<Long> within = new ArrayList<>();
             List<Long> equal = play(most, seed -> {
-                FleetScenarios.Split shown = FleetScenarios.split(seed, fronts, 2 + (int) (seed % 3), 6 * SECOND);
+                PartitionScenarios.Split shown =
+                        PartitionScenarios.split(seed, fronts, 2 + (int) (seed % 3), 6 * SECOND);
                 synchronized (alive) {
                     alive.add(shown.aliveUs());
                     within.add((long) shown.deathsWithin());
@@ -252,9 +253,9 @@
     private void massDeaths() {
         for (int fronts : List.of(10, 20, 100)) {
             int most = fronts == 100 ? Math.min(10, seeds) : seeds;
-            List<FleetScenarios.MassFailure> all = LongStream.rangeClosed(1, most)
+            List<QuotaScenarios.MassFailure> all = LongStream.rangeClosed(1, most)
                     .parallel()
-                    .mapToObj(seed -> FleetScenarios.massFailure(seed, fronts))
+                    .mapToObj(seed -> QuotaScenarios.massFailure(seed, fronts))
                     .collect(Collectors.toList());
             System.out.printf(
                     "seven in ten of %d killed, %d runs: share grew %.2f times at least, sum at most %.6f, "
@@ -262,15 +263,15 @@
                     fronts,
                     most,
                     all.stream()
-                            .mapToDouble(FleetScenarios.MassFailure::growth)
+                            .mapToDouble(QuotaScenarios.MassFailure::growth)
                             .min()
                             .orElseThrow(),
                     all.stream()
-                            .mapToDouble(FleetScenarios.MassFailure::highestQuotaSum)
+                            .mapToDouble(QuotaScenarios.MassFailure::highestQuotaSum)
                             .max()
                             .orElseThrow(),
                     all.stream()
-                            .mapToDouble(FleetScenarios.MassFailure::after)
+                            .mapToDouble(QuotaScenarios.MassFailure::after)
                             .min()
                             .orElseThrow());
         }
@@ -278,9 +279,9 @@
 
     /** Shares of a limit where refusals are read only after a pause. */
     private void lateRefusals() {
-        List<FleetScenarios.QuotaWatch> all = LongStream.rangeClosed(1, seeds)
+        List<QuotaWatch> all = LongStream.rangeClosed(1, seeds)
                 .parallel()
-                .mapToObj(seed -> FleetScenarios.lateRefusal(seed, 6, seed % 2 == 0))
+                .mapToObj(seed -> QuotaScenarios.lateRefusal(seed, 6, seed % 2 == 0))
                 .collect(Collectors.toList());
         System.out.printf(
                 "old refusals read after a pause, %d runs: sum at most %.9f, %d over 1%n",
@@ -293,9 +294,9 @@
     private void filtersInBetween() {
         for (int filters : List.of(1, 2)) {
             for (int fronts : List.of(8, 20)) {
-                List<FleetScenarios.ForgedRefusals> all = LongStream.rangeClosed(1, seeds)
+                List<FailureDetectionScenarios.ForgedRefusals> all = LongStream.rangeClosed(1, seeds)
                         .parallel()
-                        .mapToObj(seed -> FleetScenarios.forgedRefusals(seed, fronts, filters))
+                        .mapToObj(seed -> FailureDetectionScenarios.forgedRefusals(seed, fronts, filters))
                         .collect(Collectors.toList());
                 filters(filters + " filters that answer for a front of " + fronts, all);
             }
@@ -310,7 +311,7 @@
                     100 * loss,
                     LongStream.rangeClosed(1, seeds)
                             .parallel()
-                            .mapToDouble(seed -> FleetScenarios.probesPerSecond(seed, 20, loss, 20 * SECOND))
+                            .mapToDouble(seed -> TrafficScenarios.probesPerSecond(seed, 20, loss, 20 * SECOND))
                             .average()
                             .orElseThrow());
         }
@@ -318,23 +319,24 @@
 
     /** Suspicions in 20 s while 5% of all datagrams are lost. */
     private void suspicions() {
-        List<Long> got = play(seeds, seed -> List.of((long) FleetScenarios.suspicions(seed, 20, 0.05, 20 * SECOND)));
+        List<Long> got =
+                play(seeds, seed -> List.of((long) FailureDetectionScenarios.suspicions(seed, 20, 0.05, 20 * SECOND)));
         System.out.printf(
                 "loss 5%%, 20 fronts, 20 s: %d runs, p50 %d suspicions, most %d%n",
-                seeds, FleetScenarios.percentile(got, 0.5), got.get(got.size() - 1));
+                seeds, SimulationHelpers.percentile(got, 0.5), got.get(got.size() - 1));
     }
 
     /** Messages that a returning front needs until it knows all. */
     private void returns() {
         for (int fronts : List.of(10, 100)) {
-            List<Long> got = play(seeds, seed -> List.of(FleetScenarios.messagesUntilRejoined(seed, fronts)));
+            List<Long> got = play(seeds, seed -> List.of(TrafficScenarios.messagesUntilRejoined(seed, fronts)));
             System.out.printf(
                     "returning front of %d knows all after %d to %d messages, p50 %d, %d allowed, "
                             + "%d of %d runs need more%n",
                     fronts,
                     got.get(0),
                     got.get(got.size() - 1),
-                    FleetScenarios.percentile(got, 0.5),
+                    SimulationHelpers.percentile(got, 0.5),
                     (fronts + 13) / 14 + 8,
                     got.stream().filter(each -> each > (fronts + 13) / 14 + 8).count(),
                     seeds);
@@ -343,13 +345,13 @@
 
     /** Many random schedules; the worst is told with its seed. */
     private void limits(boolean refusals) {
-        List<FleetScenarios.QuotaWatch> all = LongStream.rangeClosed(1, seeds)
+        List<QuotaWatch> all = LongStream.rangeClosed(1, seeds)
                 .parallel()
                 .mapToObj(seed -> {
                     Plan plan = Plan.of(seed, 5 + (int) (seed % 10));
-                    List<FleetScenarios.InjectedFault> faults = schedule(seed);
-                    FleetScenarios.QuotaWatch quotas =
-                            FleetScenarios.injectFaults(refusals ? plan : plan.withoutRefusals(), faults, 3_000);
+                    List<InjectedFault> faults = schedule(seed);
+                    QuotaWatch quotas =
+                            FaultSchedule.injectFaults(refusals ? plan : plan.withoutRefusals(), faults, 3_000);
                     if (!(quotas.highest <= 1 + 1e-9)) {
                         System.out.println("EXCEEDED: seed " + seed + " " + quotas.highest + " " + quotas.highestAt
                                 + "\n   " + faults);
@@ -365,16 +367,15 @@
                 all.stream().filter(each -> !(each.highest <= 1 + 1e-9)).count());
     }
 
-    static List<FleetScenarios.InjectedFault> schedule(long seed) {
+    static List<InjectedFault> schedule(long seed) {
         SplittableRandom random = new SplittableRandom(seed * 7_919);
-        FleetScenarios.InjectedFault.Kind[] kinds = FleetScenarios.InjectedFault.Kind.values();
-        List<FleetScenarios.InjectedFault> faults = new ArrayList<>();
+        InjectedFault.Kind[] kinds = InjectedFault.Kind.values();
+        List<InjectedFault> faults = new ArrayList<>();
         int many = 2 + random.nextInt(24);
         for (int i = 0; i < many; i++) {
-            FleetScenarios.InjectedFault.Kind kind = random.nextInt(3) == 0
-                    ? FleetScenarios.InjectedFault.Kind.RESTART
-                    : kinds[random.nextInt(kinds.length)];
-            faults.add(new FleetScenarios.InjectedFault(
+            InjectedFault.Kind kind =
+                    random.nextInt(3) == 0 ? InjectedFault.Kind.RESTART : kinds[random.nextInt(kinds.length)];
+            faults.add(new InjectedFault(
                     kind, random.nextLong(20_000), random.nextLong(9_000), random.nextInt(16), random.nextInt(16)));
         }
         return faults;
@@ -388,16 +389,17 @@
                                 + "%, refusals " + (refusals ? "on" : "off"),
                         play(
                                 runs,
-                                seed -> FleetScenarios.detectionTimes(seed, fronts, kills, 150 * MS, loss, refusals)));
+                                seed -> FailureDetectionScenarios.detectionTimes(
+                                        seed, fronts, kills, 150 * MS, loss, refusals)));
             }
         }
     }
 
-    private static void filters(String what, List<FleetScenarios.ForgedRefusals> all) {
+    private static void filters(String what, List<FailureDetectionScenarios.ForgedRefusals> all) {
         times(
                 what + ", all well",
                 all.stream()
-                        .map(FleetScenarios.ForgedRefusals::recoveryUs)
+                        .map(FailureDetectionScenarios.ForgedRefusals::recoveryUs)
                         .sorted()
                         .toList());
         System.out.printf(
@@ -406,11 +408,11 @@
                 all.size(),
                 all.stream().filter(each -> each.deaths() > 0).count(),
                 all.stream()
-                        .mapToDouble(FleetScenarios.ForgedRefusals::highestQuotaSum)
+                        .mapToDouble(FailureDetectionScenarios.ForgedRefusals::highestQuotaSum)
                         .max()
                         .orElseThrow(),
                 all.stream()
-                        .mapToInt(FleetScenarios.ForgedRefusals::probes)
+                        .mapToInt(FailureDetectionScenarios.ForgedRefusals::probes)
                         .max()
                         .orElseThrow());
     }
@@ -424,7 +426,7 @@
                                 + (refusals ? "on" : "off"),
                         play(
                                 runs,
-                                seed -> FleetScenarios.simultaneousDetectionTimes(
+                                seed -> FailureDetectionScenarios.simultaneousDetectionTimes(
                                         new Plan(seed, fronts, 3, beatUs, refusals), fronts / 2, loss)));
             }
         }
@@ -448,9 +450,9 @@
                 "%s: %d, p50 %.0f ms, p99 %.0f ms, most %.0f ms%s%n",
                 what,
                 sorted.size(),
-                FleetScenarios.percentile(sorted, 0.5) / 1e3,
-                FleetScenarios.percentile(sorted, 0.99) / 1e3,
+                SimulationHelpers.percentile(sorted, 0.5) / 1e3,
+                SimulationHelpers.percentile(sorted, 0.99) / 1e3,
                 sorted.get(sorted.size() - 1) / 1e3,
-                new TreeSet<>(sorted).last() >= FleetScenarios.NEVER ? " (NEVER in some)" : "");
+                new TreeSet<>(sorted).last() >= SimulationHelpers.NEVER ? " (NEVER in some)" : "");
     }
 }
--- a/src/test/java/magpiewheel/membership/FleetProperties.java
+++ b/src/test/java/magpiewheel/membership/FleetProperties.java
@@ -40,14 +40,14 @@
     }
 
     @Provide
-    Arbitrary<List<FleetScenarios.InjectedFault>> faults() {
-        Arbitrary<FleetScenarios.InjectedFault> fault = Combinators.combine(
-                        Arbitraries.of(FleetScenarios.InjectedFault.Kind.class),
+    Arbitrary<List<InjectedFault>> faults() {
+        Arbitrary<InjectedFault> fault = Combinators.combine(
+                        Arbitraries.of(InjectedFault.Kind.class),
                         Arbitraries.longs().between(0, 20_000),
                         Arbitraries.longs().between(0, 9_000),
                         Arbitraries.integers().between(0, 15),
                         Arbitraries.integers().between(0, 15))
-                .as(FleetScenarios.InjectedFault::new);
+                .as(InjectedFault::new);
         return fault.list().ofMinSize(1).ofMaxSize(24);
     }
 
@@ -69,11 +69,11 @@
 
     @Example
     void aMessageCostsTheSameAtAnySize() {
-        List<FleetScenarios.Rate> rates = new ArrayList<>();
+        List<TrafficScenarios.Rate> rates = new ArrayList<>();
         for (int fronts : List.of(10, 100, 1_000)) {
-            rates.add(FleetScenarios.rate(1, fronts, fronts == 1_000 ? SECOND : 4 * SECOND));
-            for (ToDoubleFunction<FleetScenarios.Rate> of : List.<ToDoubleFunction<FleetScenarios.Rate>>of(
-                    FleetScenarios.Rate::messages, FleetScenarios.Rate::bytes)) {
+            rates.add(TrafficScenarios.rate(1, fronts, fronts == 1_000 ? SECOND : 4 * SECOND));
+            for (ToDoubleFunction<TrafficScenarios.Rate> of : List.<ToDoubleFunction<TrafficScenarios.Rate>>of(
+                    TrafficScenarios.Rate::messages, TrafficScenarios.Rate::bytes)) {
                 double most = rates.stream().mapToDouble(of).max().orElseThrow();
                 double least = rates.stream().mapToDouble(of).min().orElseThrow();
                 assertTrue(least > 1 && most <= 1.1 * least, () -> rates.toString());
@@ -83,9 +83,9 @@
 
     @Example
     void theSameSeedPlaysTheSame() {
-        List<FleetScenarios.InjectedFault> faults = List.of(
-                new FleetScenarios.InjectedFault(FleetScenarios.InjectedFault.Kind.LOSS, 100, 4_000, 1, 2),
-                new FleetScenarios.InjectedFault(FleetScenarios.InjectedFault.Kind.RESTART, 200, 1_000, 3, 2));
+        List<InjectedFault> faults = List.of(
+                new InjectedFault(InjectedFault.Kind.LOSS, 100, 4_000, 1, 2),
+                new InjectedFault(InjectedFault.Kind.RESTART, 200, 1_000, 3, 2));
         SimFleet[] fleets = new SimFleet[2];
         for (int i = 0; i < 2; i++) {
             fleets[i] = new SimFleet(Plan.of(5, 12));
@@ -96,14 +96,14 @@
         }
         assertEquals(fleets[0].trace(), fleets[1].trace());
         assertEquals(
-                FleetScenarios.injectFaults(Plan.of(5, 12), faults, 500).highestAt,
-                FleetScenarios.injectFaults(Plan.of(5, 12), faults, 500).highestAt);
+                FaultSchedule.injectFaults(Plan.of(5, 12), faults, 500).highestAt,
+                FaultSchedule.injectFaults(Plan.of(5, 12), faults, 500).highestAt);
     }
 
     @Property(tries = 30, seed = "11", shrinking = ShrinkingMode.OFF)
     void aKilledFrontOfEightIsOutWithinHalfASecond(@ForAll("seeds") long seed) {
-        List<Long> took = all(seed, each -> FleetScenarios.detectionTimes(each, 8, 1, SECOND, 0, true));
-        assertTrue(FleetScenarios.percentile(took, 0.99) <= 500 * MS, () -> took.toString());
+        List<Long> took = all(seed, each -> FailureDetectionScenarios.detectionTimes(each, 8, 1, SECOND, 0, true));
+        assertTrue(SimulationHelpers.percentile(took, 0.99) <= 500 * MS, () -> took.toString());
     }
 
     /** With refusals: within 240 ms for any number of failures. */
@@ -112,23 +112,27 @@
         for (int kills : List.of(1, 4)) {
             List<Long> took = new ArrayList<>();
             for (long seed = 1; seed <= 50; seed++) {
-                took.addAll(all(seed, each -> FleetScenarios.simultaneousDetectionTimes(Plan.of(each, 8), kills, 0)));
+                took.addAll(all(
+                        seed,
+                        each -> FailureDetectionScenarios.simultaneousDetectionTimes(Plan.of(each, 8), kills, 0)));
             }
             Collections.sort(took);
-            assertTrue(FleetScenarios.percentile(took, 0.99) <= 240 * MS, () -> kills + " killed: " + took);
+            assertTrue(SimulationHelpers.percentile(took, 0.99) <= 240 * MS, () -> kills + " killed: " + took);
         }
     }
 
     @Property(tries = 4, seed = "13", shrinking = ShrinkingMode.OFF)
     void halfOfAHundredKilledAtOnceIsSoonOut(@ForAll("seeds") long seed) {
-        List<Long> took = all(seed, each -> FleetScenarios.simultaneousDetectionTimes(Plan.of(each, 100), 50, 0));
-        assertTrue(FleetScenarios.percentile(took, 0.99) <= 260 * MS, () -> took.toString());
+        List<Long> took =
+                all(seed, each -> FailureDetectionScenarios.simultaneousDetectionTimes(Plan.of(each, 100), 50, 0));
+        assertTrue(SimulationHelpers.percentile(took, 0.99) <= 260 * MS, () -> took.toString());
     }
 
     @Property(tries = 6, seed = "14", shrinking = ShrinkingMode.OFF)
     void aFilterThatAnswersForAFrontKillsNobody(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            FleetScenarios.ForgedRefusals shown = FleetScenarios.forgedRefusals(each, 8 + (int) (each % 9), 1);
+            FailureDetectionScenarios.ForgedRefusals shown =
+                    FailureDetectionScenarios.forgedRefusals(each, 8 + (int) (each % 9), 1);
             String what = shown + ", seed " + each;
             assertEquals(0, shown.deaths(), what);
             assertTrue(shown.probes() > 0 && shown.probes() <= 40, what);
@@ -140,7 +144,8 @@
     @Property(tries = 10, seed = "15", shrinking = ShrinkingMode.OFF)
     void whatTwoFiltersSayFreesNothing(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            FleetScenarios.ForgedRefusals shown = FleetScenarios.forgedRefusals(each, 8 + (int) (each % 9), 2);
+            FailureDetectionScenarios.ForgedRefusals shown =
+                    FailureDetectionScenarios.forgedRefusals(each, 8 + (int) (each % 9), 2);
             assertTrue(
                     shown.highestQuotaSum() <= 1 + SLACK && shown.recoveryUs() <= SECOND,
                     () -> shown + ", seed " + each);
@@ -150,7 +155,8 @@
     @Property(tries = 12, seed = "16", shrinking = ShrinkingMode.OFF)
     void whoIsStartedAgainWithinTheMomentIsNotDead(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            FleetScenarios.ForgedRefusals shown = FleetScenarios.quickRestart(each, 8, each % 2 * 0.05);
+            FailureDetectionScenarios.ForgedRefusals shown =
+                    FailureDetectionScenarios.quickRestart(each, 8, each % 2 * 0.05);
             assertTrue(
                     shown.deaths() == 0 && shown.highestQuotaSum() <= 1 + SLACK && shown.recoveryUs() <= SECOND,
                     () -> shown + ", seed " + each);
@@ -160,7 +166,7 @@
     /** A probe sent before the last heartbeat, or an answer read late, is out of date. */
     @Example
     void anAnswerThatLifeOvertookIsNoRefusal() {
-        SimFleet fleet = FleetScenarios.convergedFleet(Plan.of(17, 8));
+        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(17, 8));
         fleet.run(SECOND);
         Process observer = fleet.of(0);
         int neighbour = new ObserverRings(8)
@@ -179,14 +185,14 @@
 
     @Example
     void aKilledFrontOfAThousandIsOutWithinOneAndAHalfSeconds() {
-        List<Long> took = all(21, seed -> FleetScenarios.detectionTimes(seed, 1_000, 20, 60 * MS, 0, true));
-        assertTrue(FleetScenarios.percentile(took, 0.99) <= 1_500 * MS, () -> took.toString());
+        List<Long> took = all(21, seed -> FailureDetectionScenarios.detectionTimes(seed, 1_000, 20, 60 * MS, 0, true));
+        assertTrue(SimulationHelpers.percentile(took, 0.99) <= 1_500 * MS, () -> took.toString());
     }
 
     @Property(tries = 25, seed = "31", shrinking = ShrinkingMode.OFF)
     void lossKillsNobody(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            assertEquals(0, FleetScenarios.falseDeaths(each, 20, 0.05, 20 * SECOND), () -> "seed " + each);
+            assertEquals(0, FailureDetectionScenarios.falseDeaths(each, 20, 0.05, 20 * SECOND), () -> "seed " + each);
         }
     }
 
@@ -194,7 +200,7 @@
     @Property(tries = 10, seed = "32", shrinking = ShrinkingMode.OFF)
     void lossMakesFewSuspects(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            int suspicions = FleetScenarios.suspicions(each, 20, 0.05, 20 * SECOND);
+            int suspicions = FailureDetectionScenarios.suspicions(each, 20, 0.05, 20 * SECOND);
             assertTrue(suspicions <= 20, () -> suspicions + " suspicions, seed " + each);
         }
     }
@@ -202,7 +208,7 @@
     @Property(tries = 10, seed = "41", shrinking = ShrinkingMode.OFF)
     void aFrontCutInOneDirectionIsAlone(@ForAll("seeds") long seed, @ForAll boolean deaf) {
         for (long each : from(seed)) {
-            FleetScenarios.OneWayCut shown = FleetScenarios.oneWayCut(each, 12, deaf);
+            PartitionScenarios.OneWayCut shown = PartitionScenarios.oneWayCut(each, 12, deaf);
             String what = shown + ", seed " + each;
             assertTrue(shown.isolatedUs() <= SECOND, what);
             assertEquals(0, shown.falseDeaths(), what);
@@ -215,7 +221,7 @@
     void aPauseIsNoDeath(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
             int fronts = List.of(8, 20, 60).get((int) (each % 3));
-            FleetScenarios.Pause shown = FleetScenarios.pause(each, fronts, 300 * MS, 0);
+            FailureDetectionScenarios.Pause shown = FailureDetectionScenarios.pause(each, fronts, 300 * MS, 0);
             String what = shown + ", " + fronts + " fronts, seed " + each;
             assertEquals(0, shown.falseDeaths(), what);
             assertTrue(shown.aliveUs() <= SECOND, what);
@@ -233,7 +239,7 @@
     }
 
     private static void splitHeals(long seed, int fronts) {
-        FleetScenarios.Split shown = FleetScenarios.split(seed, fronts, 2 + (int) (seed % 3), 6 * SECOND);
+        PartitionScenarios.Split shown = PartitionScenarios.split(seed, fronts, 2 + (int) (seed % 3), 6 * SECOND);
         String what = shown + ", " + fronts + " fronts, seed " + seed;
         assertTrue(shown.equalUs() <= 2 * SECOND && shown.aliveUs() <= 2 * SECOND, what);
     }
@@ -241,17 +247,15 @@
     @Property(tries = 15, seed = "62", shrinking = ShrinkingMode.OFF)
     void whatOneSideMissedIsMadeGood(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            long took = FleetScenarios.missedLeave(each, 20);
+            long took = PartitionScenarios.missedLeave(each, 20);
             assertTrue(took <= 2 * SECOND, () -> "all know after " + took / MS + " ms, seed " + each);
         }
     }
 
     @Property(tries = 60, seed = "71", shrinking = ShrinkingMode.BOUNDED)
-    void hardLimitsHoldWhateverHappens(
-            @ForAll("seeds") long seed, @ForAll("faults") List<FleetScenarios.InjectedFault> faults) {
+    void hardLimitsHoldWhateverHappens(@ForAll("seeds") long seed, @ForAll("faults") List<InjectedFault> faults) {
         for (long each : from(seed)) {
-            FleetScenarios.QuotaWatch quotas =
-                    FleetScenarios.injectFaults(Plan.of(each, 6 + (int) (each % 9)), faults, 3_000);
+            QuotaWatch quotas = FaultSchedule.injectFaults(Plan.of(each, 6 + (int) (each % 9)), faults, 3_000);
             assertTrue(
                     quotas.highest > 0.3 && quotas.highest <= 1 + SLACK,
                     () -> quotas.highest + " of " + quotas.highestAt + ", seed " + each);
@@ -259,10 +263,9 @@
     }
 
     @Property(tries = 15, seed = "72", shrinking = ShrinkingMode.BOUNDED)
-    void hardLimitsHoldWithoutRefusals(
-            @ForAll("seeds") long seed, @ForAll("faults") List<FleetScenarios.InjectedFault> faults) {
+    void hardLimitsHoldWithoutRefusals(@ForAll("seeds") long seed, @ForAll("faults") List<InjectedFault> faults) {
         for (long each : from(seed)) {
-            FleetScenarios.QuotaWatch quotas = FleetScenarios.injectFaults(
+            QuotaWatch quotas = FaultSchedule.injectFaults(
                     Plan.of(each, 6 + (int) (each % 9)).withoutRefusals(), faults, 3_000);
             assertTrue(
                     quotas.highest > 0.3 && quotas.highest <= 1 + SLACK,
@@ -273,7 +276,7 @@
     @Property(tries = 20, seed = "73", shrinking = ShrinkingMode.OFF)
     void anOldRefusalProvesNothing(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            FleetScenarios.QuotaWatch quotas = FleetScenarios.lateRefusal(each, 6, each % 2 == 0);
+            QuotaWatch quotas = QuotaScenarios.lateRefusal(each, 6, each % 2 == 0);
             assertTrue(
                     quotas.highest <= 1 + SLACK, () -> quotas.highest + " of " + quotas.highestAt + ", seed " + each);
         }
@@ -282,7 +285,7 @@
     @Property(tries = 8, seed = "111", shrinking = ShrinkingMode.OFF)
     void anUpgradeThatFailsLeavesTheOldProcess(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            long took = FleetScenarios.failedUpgrade(each, 8, each % 3_000 * MS + 50 * MS);
+            long took = FailureDetectionScenarios.failedUpgrade(each, 8, each % 3_000 * MS + 50 * MS);
             assertTrue(took <= 3 * SECOND, () -> "all alive after " + took / MS + " ms, seed " + each);
         }
     }
@@ -290,7 +293,7 @@
     @Property(tries = 8, seed = "81", shrinking = ShrinkingMode.OFF)
     void whoIsLeftUsesWhatTheDeadCannot(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            FleetScenarios.MassFailure shown = FleetScenarios.massFailure(each, 20);
+            QuotaScenarios.MassFailure shown = QuotaScenarios.massFailure(each, 20);
             String what = shown + ", seed " + each;
             assertTrue(shown.highestQuotaSum() <= 1 + SLACK, what);
             assertTrue(shown.growth() >= 2, what);
@@ -301,7 +304,7 @@
     @Property(tries = 15, seed = "91", shrinking = ShrinkingMode.OFF)
     void aVerdictDoesNotFlap(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
-            int changes = FleetScenarios.flapping(each, 10);
+            int changes = PartitionScenarios.flapping(each, 10);
             assertTrue(changes <= 1, () -> changes + " changes in 2 s, seed " + each);
         }
     }
@@ -310,7 +313,7 @@
     void aReturningFrontSoonKnowsAll(@ForAll("seeds") long seed) {
         for (long each : from(seed)) {
             for (int fronts : List.of(10, 100)) {
-                long messages = FleetScenarios.messagesUntilRejoined(each, fronts);
+                long messages = TrafficScenarios.messagesUntilRejoined(each, fronts);
                 assertTrue(
                         messages <= (fronts + 13) / 14 + 8,
                         () -> messages + " messages for " + fronts + " fronts, seed " + each);
@@ -320,21 +323,21 @@
 
     @Property(tries = 20, seed = "102", shrinking = ShrinkingMode.OFF)
     void whatIsNotOursChangesNothing(@ForAll("seeds") long seed) {
-        SimFleet fleet = FleetScenarios.convergedFleet(Plan.of(seed, 10));
-        List<byte[]> real = FleetScenarios.messages(fleet, SECOND);
+        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, 10));
+        List<byte[]> real = MessageSamples.messages(fleet, SECOND);
         assertTrue(real.size() > 100, () -> real.size() + " messages");
         Process process = fleet.of(3);
-        String before = FleetScenarios.describe(process);
+        String before = MessageSamples.describe(process);
         for (byte[] message : real.subList(0, 60)) {
-            for (byte[] off : FleetScenarios.malformed(message, fleet.random())) {
+            for (byte[] off : MessageSamples.malformed(message, fleet.random())) {
                 process.membership.messageReceived(
                         process.clock(), fleet.random().nextInt(10), off);
-                assertEquals(before, FleetScenarios.describe(process), () -> Arrays.toString(off));
+                assertEquals(before, MessageSamples.describe(process), () -> Arrays.toString(off));
             }
             for (int stranger : List.of(-1, 10, 1_000_000, Integer.MAX_VALUE, Integer.MIN_VALUE, 3)) {
                 process.membership.messageReceived(process.clock(), stranger, message);
                 process.membership.probeRefused(process.clock(), stranger, process.clock());
-                assertEquals(before, FleetScenarios.describe(process), "from " + stranger);
+                assertEquals(before, MessageSamples.describe(process), "from " + stranger);
             }
         }
         // A repeated update would change nothing in any case; this one is new.
@@ -352,9 +355,9 @@
                         List.of(),
                         new int[0])
                 .encode();
-        for (byte[] off : FleetScenarios.malformed(update, fleet.random())) {
+        for (byte[] off : MessageSamples.malformed(update, fleet.random())) {
             process.membership.messageReceived(process.clock(), 5, off);
-            assertEquals(before, FleetScenarios.describe(process), () -> Arrays.toString(off));
+            assertEquals(before, MessageSamples.describe(process), () -> Arrays.toString(off));
         }
         process.membership.messageReceived(process.clock(), 5, update);
         assertEquals(MemberStatus.LEFT, process.of(5));
@@ -363,8 +366,8 @@
     /** Flipped bits may go unnoticed: the outcome is not fixed, but nothing crashes. */
     @Property(tries = 20, seed = "103", shrinking = ShrinkingMode.OFF)
     void turnedBitsEndNothing(@ForAll("seeds") long seed) {
-        SimFleet fleet = FleetScenarios.convergedFleet(Plan.of(seed, 10));
-        for (byte[] message : FleetScenarios.messages(fleet, SECOND / 2)) {
+        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, 10));
+        for (byte[] message : MessageSamples.messages(fleet, SECOND / 2)) {
             byte[] turned = message.clone();
             turned[fleet.random().nextInt(turned.length)] ^=
                     (byte) (1 << fleet.random().nextInt(8));
--- a/src/test/java/magpiewheel/membership/MembershipFingerprintTest.java
+++ b/src/test/java/magpiewheel/membership/MembershipFingerprintTest.java
@@ -21,7 +21,7 @@
     })
     void fleetUnderFaults(long seed, int fronts, boolean refusals, String fingerprint) {
         Plan plan = Plan.of(seed, fronts);
-        SimFleet fleet = FleetScenarios.convergedFleet(refusals ? plan : plan.withoutRefusals());
+        SimFleet fleet = SimulationHelpers.convergedFleet(refusals ? plan : plan.withoutRefusals());
         fleet.loss = 0.05;
         fleet.duplicated = 0.02;
         fleet.reordered = 0.05;
--- a/src/test/java/magpiewheel/membership/SimFleet.java
+++ b/src/test/java/magpiewheel/membership/SimFleet.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
@@ -148,7 +147,7 @@
             onProbe.accept(this, to);
             int copies = chance(duplicated) ? 2 : 1;
             for (int i = 0; i < copies; i++) {
-                if ((forgesRefusals(front, to) || !cut(front, to)) && !chance(loss)) {
+                if ((links.forgesRefusals(front, to) || !links.cut(front, to)) && !chance(loss)) {
                     push(now + halfProbeDelay(), EventType.PROBE, this, front, to, null, false, null).probedAt =
                             probedAt;
                 }
@@ -200,11 +199,7 @@
     private final int[] sizes;
     private final long[] skew;
     private final boolean[] vanished;
-    private final boolean[] mute;
-    private final boolean[] deaf;
-    private final int[] side;
-    private final boolean[][] oneWay;
-    private final boolean[][] filtered;
+    private final SimulatedLinks links;
     private long pushed;
     private long trace = 17;
 
@@ -214,11 +209,7 @@
         sizes = new int[plan.zones];
         skew = new long[plan.fronts];
         vanished = new boolean[plan.fronts];
-        mute = new boolean[plan.fronts];
-        deaf = new boolean[plan.fronts];
-        side = new int[plan.fronts];
-        oneWay = new boolean[plan.fronts][];
-        filtered = new boolean[plan.fronts][];
+        links = new SimulatedLinks(plan.fronts);
         for (int front = 0; front < plan.fronts; front++) {
             processes.add(new ArrayList<>(1));
             sizes[zone(front)]++;
@@ -351,57 +342,9 @@
         }
     }
 
-    /** Nothing that the front sends arrives. */
-    void mute(int front, boolean yes) {
-        mute[front] = yes;
-    }
-
-    /** Nothing arrives at the front. */
-    void deaf(int front, boolean yes) {
-        deaf[front] = yes;
-    }
-
-    /** Blocks or opens one direction between two fronts. */
-    void oneWay(int from, int to, boolean yes) {
-        if (oneWay[from] == null) {
-            oneWay[from] = new boolean[plan.fronts];
-        }
-        oneWay[from][to] = yes;
-    }
-
-    /**
-     * Places a filter between two fronts: nothing passes, and probes of the first are refused, whether the other runs
-     * or not.
-     */
-    void filter(int from, int to) {
-        oneWay(from, to, true);
-        oneWay(to, from, true);
-        if (filtered[from] == null) {
-            filtered[from] = new boolean[plan.fronts];
-        }
-        filtered[from][to] = true;
-    }
-
-    private boolean forgesRefusals(int from, int to) {
-        return filtered[from] != null && filtered[from][to];
-    }
-
-    /** Splits the fleet by the side of each front. */
-    void split(int... sides) {
-        System.arraycopy(sides, 0, side, 0, side.length);
-    }
-
-    /** All links are open again; a killed process stays dead. */
-    void heal() {
-        Arrays.fill(side, 0);
-        Arrays.fill(mute, false);
-        Arrays.fill(deaf, false);
-        Arrays.fill(oneWay, null);
-        Arrays.fill(filtered, null);
-    }
-
-    boolean cut(int from, int to) {
-        return side[from] != side[to] || mute[from] || deaf[to] || oneWay[from] != null && oneWay[from][to];
+    /** The links between the fronts, which scenarios cut and heal. */
+    SimulatedLinks links() {
+        return links;
     }
 
     void in(long us, Runnable action) {
@@ -465,7 +408,7 @@
     }
 
     private void post(Process from, int to, byte[] message) {
-        if (cut(from.front, to) || chance(loss)) {
+        if (links.cut(from.front, to) || chance(loss)) {
             return;
         }
         int copies = chance(duplicated) ? 2 : 1;
@@ -485,16 +428,16 @@
         switch (event.type) {
             case ARRIVE -> {
                 Process process = of(event.to);
-                if (process != null && (event.delayed || !cut(event.from, event.to))) {
+                if (process != null && (event.delayed || !links.cut(event.from, event.to))) {
                     deliver(process, event);
                 }
             }
             case PROBE -> {
                 boolean answers = !vanished[event.to]
                         && of(event.to) == null
-                        && !cut(event.from, event.to)
-                        && !cut(event.to, event.from);
-                if ((answers || forgesRefusals(event.from, event.to)) && !chance(loss)) {
+                        && !links.cut(event.from, event.to)
+                        && !links.cut(event.to, event.from);
+                if ((answers || links.forgesRefusals(event.from, event.to)) && !chance(loss)) {
                     push(
                                     now + halfProbeDelay(),
                                     EventType.REFUSED,
@@ -508,7 +451,7 @@
                 }
             }
             case REFUSED -> {
-                if (forgesRefusals(event.to, event.from) || !cut(event.from, event.to)) {
+                if (links.forgesRefusals(event.to, event.from) || !links.cut(event.from, event.to)) {
                     deliver(event.process, event);
                 }
             }
