--- a/src/test/java/magpiewheel/fabric/Fills.java
+++ b/src/test/java/magpiewheel/fabric/Fills.java
@@ -31,6 +31,12 @@
         return open.containsKey(part);
     }
 
+    /** How many callers wait for a part now. */
+    synchronized int waiting(Part part) {
+        Fill fill = open.get(part);
+        return fill == null ? 0 : fill.waiting;
+    }
+
     /** Waits for a part, which is fetched unless that is under way; no longer than the limit. */
     Given await(Part part, long limitMs, Callable<Given> fetch) throws Withheld, InterruptedException {
         Fill fill = join(part, fetch);
--- a/src/test/java/magpiewheel/fabric/StandInOrigin.java
+++ b/src/test/java/magpiewheel/fabric/StandInOrigin.java
@@ -12,6 +12,7 @@
     private static final int MOST_MS = 40;
     private final Map<Part, Integer> fetches = new ConcurrentHashMap<>();
     private final Random random;
+    private boolean hangs;
 
     StandInOrigin(long seed) {
         random = new Random(seed);
@@ -21,10 +22,23 @@
     public Given give(Asked asked) throws InterruptedException {
         fetches.merge(asked.part(), 1, Integer::sum);
         Copy copy = new Copy(Long.toHexString(asked.part().object()), System.currentTimeMillis());
+        awaitRelease();
         Thread.sleep(LEAST_MS + random.nextInt(MOST_MS - LEAST_MS));
         return new Given(copy, true);
     }
 
+    private synchronized void awaitRelease() throws InterruptedException {
+        while (hangs) {
+            wait();
+        }
+    }
+
+    /** From now on it takes requests and withholds the answers, or sends them. */
+    synchronized void hang(boolean on) {
+        hangs = on;
+        notifyAll();
+    }
+
     /** How often an object's first part left it. */
     int fetches(long object) {
         return fetches.getOrDefault(new Part(object, 0), 0);
--- a/src/test/java/magpiewheel/fabric/StandInParent.java
+++ b/src/test/java/magpiewheel/fabric/StandInParent.java
@@ -110,6 +110,11 @@
         most = 0;
     }
 
+    /** How many callers wait for its fetch of an object's first part. */
+    int waiting(long object) {
+        return fills.waiting(new Part(object, 0));
+    }
+
     /** The most that it had of what it bears while it was cold; above 1 it has fallen. */
     synchronized double most() {
         return most;
--- a/src/test/java/magpiewheel/fabric/StandInsTest.java
+++ b/src/test/java/magpiewheel/fabric/StandInsTest.java
@@ -37,17 +37,22 @@
         }
     }
 
-    /** At once, each at a cache of its own: front i fills from the i-th of the names, gone through again. */
+    /**
+     * At once, each at a cache of its own: front i fills from the i-th of the names, gone through again. The origin
+     * answers once all callers wait at the parents.
+     */
     private List<String> atOnce(long object, String... names) {
         ConcurrentLinkedQueue<String> all = new ConcurrentLinkedQueue<>();
-        CompletableFuture.allOf(IntStream.range(0, CALLS)
-                        .mapToObj(i -> CompletableFuture.runAsync(
-                                () -> all.add(answer(
-                                        new StandInCache(sources),
-                                        asked(i, object, ",via=" + names[i % names.length]))),
-                                work -> new Thread(work).start()))
-                        .toArray(CompletableFuture[]::new))
-                .join();
+        origin.hang(true);
+        CompletableFuture<Void> calls = CompletableFuture.allOf(IntStream.range(0, CALLS)
+                .mapToObj(i -> CompletableFuture.runAsync(
+                        () -> all.add(
+                                answer(new StandInCache(sources), asked(i, object, ",via=" + names[i % names.length]))),
+                        work -> new Thread(work).start()))
+                .toArray(CompletableFuture[]::new));
+        await().until(() -> one.waiting(object) + two.waiting(object) == CALLS);
+        origin.hang(false);
+        calls.join();
         return List.copyOf(all);
     }
 
