--- a/src/test/java/magpiewheel/conformance/Report.java
+++ b/src/test/java/magpiewheel/conformance/Report.java
@@ -19,13 +19,13 @@
             # Conformance
 
             What the program keeps of the page of its design, and what not, row by row. \
-            The suites `module.DesignTest` and
+            The suites `routing.DesignTest` and
             `wire.DesignFromOutsideTest` make this page from what the rows of \
             `src/test/resources/conformance/design.md` came
             to, and fail where it says anything else; with `-Dconformance.write=true` they write it anew. \
             A paragraph goes by
             its number and first words. The section on pinned reads is made likewise, \
-            by `pins.CasesTest` from `docs/design/pins.md`.
+            by `staleness.CasesTest` from `docs/design/pins.md`.
             """;
     /** The sections in their order. */
     static final List<String> SECTIONS = List.of("## In the module", "## From outside", "## Pinned reads");
