--- a/src/test/java/magpiewheel/staleness/StalenessMutationsTest.java
+++ b/src/test/java/magpiewheel/staleness/StalenessMutationsTest.java
@@ -169,7 +169,7 @@
                         "what is not known of the pinned cache frees the session",
                         "BoundedStalenessReads",
                         "if (minted == 0 || minted > 0 && accepts",
-                        "if (originTimeOf > 0 && accepts",
+                        "if (minted > 0 && accepts",
                         "theCaseIsKept"),
                 new Mistake(
                         "a cache takes any number of pins",
