--- a/src/main/java/magpiewheel/flows/Metering.java
+++ b/src/main/java/magpiewheel/flows/Metering.java
@@ -88,7 +88,7 @@
         if (target == null) {
             return;
         }
-        boolean filled = note == CacheStatus.FILLED || note == CacheStatus.FILLED_BY_ORIGIN;
+        boolean filled = note.isFilled();
         boolean past = kind(target) != FlowRecord.SourceKind.CACHE;
         if (result == AttemptResult.OK) {
             // Past the caches the bytes come over the same link, only into the front itself.
--- a/src/main/java/magpiewheel/region/Election.java
+++ b/src/main/java/magpiewheel/region/Election.java
@@ -403,9 +403,4 @@
         leaseHeardAt = now;
         lease = new Lease(term, leader, until, leadingSince, delegate.placement(now, leader));
     }
-
-    /** The routers that this one lets use a leader now. */
-    Set<Integer> grantedRouters(long now) {
-        return grants.routers(now);
-    }
 }
--- a/src/main/java/magpiewheel/region/LeaseGrants.java
+++ b/src/main/java/magpiewheel/region/LeaseGrants.java
@@ -1,9 +1,7 @@
 package magpiewheel.region;
 
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.Map;
-import java.util.Set;
 
 /** Which routers the lease's holder let use a leader, and until when. */
 final class LeaseGrants {
@@ -36,15 +34,4 @@
         }
         return until;
     }
-
-    /** The routers that may use a leader now. */
-    Set<Integer> routers(long now) {
-        Set<Integer> routers = new HashSet<>();
-        grants.forEach((router, grant) -> {
-            if (now < grant.until()) {
-                routers.add(router);
-            }
-        });
-        return routers;
-    }
 }
--- a/src/main/java/magpiewheel/routing/CacheStatus.java
+++ b/src/main/java/magpiewheel/routing/CacheStatus.java
@@ -18,4 +18,9 @@
     boolean isHit() {
         return this == HIT || this == STALE;
     }
+
+    /** Whether the response came from a fill of its own, from a parent or the origin. */
+    public boolean isFilled() {
+        return this == FILLED || this == FILLED_BY_ORIGIN;
+    }
 }
--- a/src/main/java/magpiewheel/routing/OutcomeProcessor.java
+++ b/src/main/java/magpiewheel/routing/OutcomeProcessor.java
@@ -64,7 +64,7 @@
         }
         boolean hit = outcome.cacheStatus().isHit() && attempt.target.isCache();
         measure(now, request, attempt, outcome, hit);
-        if (isFilled(outcome.cacheStatus())) {
+        if (outcome.cacheStatus().isFilled()) {
             attempt.source.lastAnsweredAt = now;
             outliers.succeeded(attempt.source);
             attempt.source.fillLatency.add(now, outcome.waitUs(transfers.transferUs(request.request)));
@@ -74,10 +74,6 @@
         }
     }
 
-    private static boolean isFilled(CacheStatus status) {
-        return status == CacheStatus.FILLED || status == CacheStatus.FILLED_BY_ORIGIN;
-    }
-
     /** Another endpoint served what failed here; where no status tells whose fault it was, the source may be it. */
     private void atFault(long now, Attempt failed) {
         outliers.failed(now, failed.target);
--- a/src/main/java/magpiewheel/routing/RegionBridge.java
+++ b/src/main/java/magpiewheel/routing/RegionBridge.java
@@ -153,9 +153,7 @@
         CacheStatus status = outcome.cacheStatus();
         boolean ok = bypassed
                 ? outcome.result() == AttemptResult.OK
-                : status == CacheStatus.FILLED
-                        || status == CacheStatus.FILLED_BY_ORIGIN
-                        || status == CacheStatus.SOURCE_MISS;
+                : status.isFilled() || status == CacheStatus.SOURCE_MISS;
         boolean rejected = bypassed
                 ? outcome.result() == AttemptResult.ERROR || outcome.result() == AttemptResult.REJECTED
                 : status == CacheStatus.SOURCE_REJECTED;
--- a/src/main/java/magpiewheel/routing/StalenessBridge.java
+++ b/src/main/java/magpiewheel/routing/StalenessBridge.java
@@ -190,7 +190,7 @@
             return;
         }
         boolean bypassed = !attempt.target.isCache();
-        boolean fromOrigin = attempt.source.isOrigin() && (bypassed || filled(status));
+        boolean fromOrigin = attempt.source.isOrigin() && (bypassed || status.isFilled());
         reads.responseReceived(
                 attempt.sentAt,
                 at,
@@ -198,10 +198,6 @@
                 fromOrigin && (!bypassed || attempt.source == attempt.target));
     }
 
-    private static boolean filled(CacheStatus status) {
-        return status == CacheStatus.FILLED || status == CacheStatus.FILLED_BY_ORIGIN;
-    }
-
     /** An attempt ended; a copy that came with a miss was not acceptable, and proves only who holds it. */
     void attemptEnded(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome) {
         if (reads == null || outcome.originTimeMs() <= 0 || request.requestClass.write()) {
@@ -213,7 +209,7 @@
             reads.responseServed(
                     now, hint, request.request.objectId(), request.request.part(), attempt.target.id, originTimeUs);
         }
-        if (filled(outcome.cacheStatus()) && attempt.source.isParent()) {
+        if (outcome.cacheStatus().isFilled() && attempt.source.isParent()) {
             reads.responseServed(
                     now,
                     ReadHint.NONE,
@@ -235,11 +231,11 @@
     }
 
     /** The list changed; only the caches of the router's own zone matter. */
-    void endpointsChanged(long now, Collection<Endpoint> statistics) {
+    void endpointsChanged(long now, Collection<Endpoint> endpoints) {
         if (reads != null) {
             reads.replicasChanged(
                     now,
-                    statistics.stream()
+                    endpoints.stream()
                             .filter(endpoint -> endpoint.state != EndpointState.REMOVED
                                     && endpoint.isCache()
                                     && endpoint.info.zone() == topology.zone())
--- a/src/main/java/magpiewheel/staleness/SetAssociativeTable.java
+++ b/src/main/java/magpiewheel/staleness/SetAssociativeTable.java
@@ -74,11 +74,6 @@
         return lastUsedAt[at] != 0;
     }
 
-    /** Whether an entry has gone unused for too long. */
-    boolean isExpired(long now, int at) {
-        return lastUsedAt[at] != 0 && lastUsedAt[at] <= now - maxAgeUs;
-    }
-
     long keyOf(int at) {
         return keys[at];
     }
--- a/src/test/java/magpiewheel/routing/OverloadedLocation.java
+++ b/src/test/java/magpiewheel/routing/OverloadedLocation.java
@@ -71,7 +71,7 @@
             if (cache && !hit && plan.fillSource() == node) {
                 net.at(
                         net.now + 2 * MS,
-                        () -> sendToPeer(request, index, node, AttemptResult.MISS, CacheStatus.UNKNOWN, 2 * MS));
+                        () -> endAttempt(request, index, node, AttemptResult.MISS, CacheStatus.UNKNOWN, 2 * MS));
                 return;
             }
             CacheStatus note = hit ? CacheStatus.HIT : CacheStatus.FILLED;
@@ -86,7 +86,7 @@
                 if (result == AttemptResult.OK && cache) {
                     held.add(spot(node, request.objectId()));
                 }
-                sendToPeer(
+                endAttempt(
                         request,
                         index,
                         node,
@@ -96,7 +96,7 @@
             });
         }
 
-        private void sendToPeer(
+        private void endAttempt(
                 RoutingRequest request, int index, long node, AttemptResult result, CacheStatus note, long took) {
             boolean served = result == AttemptResult.OK;
             if (served) {
