--- a/src/main/java/magpiewheel/routing/Attempt.java
+++ b/src/main/java/magpiewheel/routing/Attempt.java
@@ -23,8 +23,8 @@
     }
 
     /** Counts it at its endpoints: so many in flight, and its work wherever that will be done. */
-    void start(long now, double workUs, int count) {
-        target.ownInFlight += count;
+    void start(long now, double workUs, int inFlightCount) {
+        target.ownInFlight += inFlightCount;
         target.recentWork.add(now, workUs);
         if (source != target) {
             source.fillsInFlight++;
@@ -33,10 +33,10 @@
     }
 
     /** Takes back what was counted for it. */
-    void end(AttemptResult attemptResult, int count) {
+    void end(AttemptResult attemptResult, int inFlightCount) {
         open = false;
         result = attemptResult;
-        target.ownInFlight -= count;
+        target.ownInFlight -= inFlightCount;
         if (source != target) {
             source.fillsInFlight--;
         }
--- a/src/main/java/magpiewheel/routing/CacheSelector.java
+++ b/src/main/java/magpiewheel/routing/CacheSelector.java
@@ -34,11 +34,11 @@
      * The cache for a read; null where none has capacity. The holder that the staleness bound or a fresh hint names
      * comes first.
      *
-     * @param evenUnhealthy whether ejected caches are taken where no others are left
+     * @param includeUnhealthy whether ejected caches are taken where no others are left
      */
-    Endpoint forRead(long now, InFlightRequest request, RetryPolicy.Permit permit, boolean evenUnhealthy) {
+    Endpoint forRead(long now, InFlightRequest request, RetryPolicy.Permit permit, boolean includeUnhealthy) {
         ObjectRecord object = holders.record(request.request.objectId());
-        List<Endpoint> candidates = candidates(now, request, permit, evenUnhealthy);
+        List<Endpoint> candidates = candidates(now, request, permit, includeUnhealthy);
         if (candidates.isEmpty()) {
             return null;
         }
@@ -66,7 +66,7 @@
     /** Where a write passes through: the origin itself where routers reach it, else the least loaded cache, or null. */
     Endpoint forWrite(long now, InFlightRequest request, RetryPolicy.Permit permit) {
         Endpoint origin = endpoints.origin();
-        if (settings.mayBypassCaches() && origin != null && request.isInKeyScope(permit.keyScopeOf(), origin)) {
+        if (settings.mayBypassCaches() && origin != null && request.isInKeyScope(permit.keyScopeEndpoint(), origin)) {
             return origin;
         }
         List<Endpoint> candidates = candidates(now, request, permit, true);
@@ -75,14 +75,14 @@
 
     /** Caches that may be sent the request, without those that already failed it. */
     private List<Endpoint> candidates(
-            long now, InFlightRequest request, RetryPolicy.Permit permit, boolean evenUnhealthy) {
+            long now, InFlightRequest request, RetryPolicy.Permit permit, boolean includeUnhealthy) {
         double workUs = transfers.carefulUs(request.request.requestClass());
         List<Endpoint> allowed = new ArrayList<>(endpoints.caches());
-        allowed.removeIf(
-                cache -> !request.isInKeyScope(permit.keyScopeOf(), cache) || !slowStart.hasBudget(now, cache, workUs));
+        allowed.removeIf(cache ->
+                !request.isInKeyScope(permit.keyScopeEndpoint(), cache) || !slowStart.hasBudget(now, cache, workUs));
         List<Endpoint> healthy = new ArrayList<>(allowed);
         healthy.removeIf(cache -> !outliers.isUsable(now, cache) || request.failedAt(cache));
-        return evenUnhealthy && healthy.isEmpty() ? allowed : healthy;
+        return includeUnhealthy && healthy.isEmpty() ? allowed : healthy;
     }
 
     /** Whether a cache is known to hold an acceptable copy of the requested part. */
--- a/src/main/java/magpiewheel/routing/CachedOnlyPolicy.java
+++ b/src/main/java/magpiewheel/routing/CachedOnlyPolicy.java
@@ -27,13 +27,13 @@
     }
 
     /** The cache that a read first asks for what it holds, where its part is filled or would be; null for none. */
-    Endpoint firstCache(long now, InFlightRequest request, Endpoint target) {
+    Endpoint lookupTarget(long now, InFlightRequest request, Endpoint target) {
         if (!applies(request)) {
             return null;
         }
         boolean first = request.attempts.isEmpty();
-        Endpoint filled = whereFilled(now, request, target);
-        Endpoint cache = first ? filled : request.lastAttempt().target;
+        Endpoint fillingCache = cacheFillingPart(now, request, target);
+        Endpoint cache = first ? fillingCache : request.lastAttempt().target;
         if (cache != null && isUsable(now, request, cache)) {
             return cache;
         }
@@ -42,20 +42,20 @@
 
     private boolean applies(InFlightRequest request) {
         boolean attemptsRemain = request.attempts.size() + 2 < settings.limits().maxAttempts();
-        boolean noneScheduled = request.nextLookupAt == Long.MAX_VALUE;
+        boolean noLookupScheduled = request.nextLookupAt == Long.MAX_VALUE;
         return !settings.cachesJoinFills()
                 && request.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                && !noneScheduled
+                && !noLookupScheduled
                 && attemptsRemain;
     }
 
     /** The cache that the part was sent to lately, unless the staleness bound itself names the target. */
-    private Endpoint whereFilled(long now, InFlightRequest request, Endpoint target) {
-        FillCoalescer.Fill fill = fills.of(request.request);
-        boolean inFlight = fill != null
-                && now - fill.since() < HolderTable.HINT_LIFETIME_US
+    private Endpoint cacheFillingPart(long now, InFlightRequest request, Endpoint target) {
+        FillCoalescer.Fill fill = fills.newestFill(request.request);
+        boolean fillInFlight = fill != null
+                && now - fill.startedAt() < HolderTable.HINT_LIFETIME_US
                 && !staleness.prefers(now, request, target);
-        return inFlight ? fill.cache() : target;
+        return fillInFlight ? fill.cache() : target;
     }
 
     private boolean isUsable(long now, InFlightRequest request, Endpoint cache) {
@@ -70,13 +70,13 @@
      *
      * @param fillInFlight whether the cache said that the part is on its way there
      */
-    boolean waitsAfterMiss(long now, InFlightRequest request, boolean fillInFlight) {
+    boolean scheduleLookupAfterMiss(long now, InFlightRequest request, boolean fillInFlight) {
         double objectiveUs = transfers.latencyObjectiveUs(request);
         long remainingUs = (long) (request.arrivedAt + objectiveUs - transfers.transferUs(request.request)) - now;
         boolean waits = fillInFlight
                 && remainingUs > 0
                 && request.cachedOnlyAttempts < MAX_LOOKUPS
-                && fills.waiting() < MAX_WAITING;
+                && fills.waitingRequests() < MAX_WAITING;
         request.nextLookupAt = waits ? now + remainingUs / (MAX_LOOKUPS - request.cachedOnlyAttempts) : Long.MAX_VALUE;
         return waits;
     }
--- a/src/main/java/magpiewheel/routing/ConcurrencyLimiter.java
+++ b/src/main/java/magpiewheel/routing/ConcurrencyLimiter.java
@@ -83,9 +83,9 @@
     }
 
     /** Each response counts for the whole zone: its routers see a part each and average their limits. */
-    private double adapted(double limit, double least, double inUse, boolean late) {
+    private double adapted(double limit, double minimum, double inUse, boolean late) {
         double increase = inUse + 1 > limit / 2 ? INCREASE : 0;
-        return Math.max(least, limit + (late ? -DECREASE : increase) * (1 + peers.size()));
+        return Math.max(minimum, limit + (late ? -DECREASE : increase) * (1 + peers.size()));
     }
 
     /** A peer reported its limits: each router's word has the weight of one. */
--- a/src/main/java/magpiewheel/routing/FillCoalescer.java
+++ b/src/main/java/magpiewheel/routing/FillCoalescer.java
@@ -14,7 +14,7 @@
     private record Part(long objectId, int part) {}
 
     /** A fill of a part was started at a cache. */
-    record Fill(long objectId, int part, int group, Endpoint cache, long since) {}
+    record Fill(long objectId, int part, int group, Endpoint cache, long startedAt) {}
 
     /** Fills remembered: some seconds' worth. */
     private static final int MAX_FILLS = 4_096;
@@ -24,19 +24,19 @@
     private final List<Fill> unreported = new ArrayList<>();
 
     /** This router starts a fill; its peers are to hear of it. */
-    void started(RoutingRequest request, Endpoint cache, long now) {
+    void fillStarted(RoutingRequest request, Endpoint cache, long now) {
         Fill fill = new Fill(request.objectId(), request.part(), request.group(), cache, now);
-        reported(fill);
+        recordFill(fill);
         if (unreported.size() < MAX_FILLS) {
             unreported.add(fill);
         }
     }
 
     /** A fill was started by some router; the newest counts. */
-    void reported(Fill fill) {
+    void recordFill(Fill fill) {
         Part part = new Part(fill.objectId(), fill.part());
         Fill newest = fills.get(part);
-        if (newest == null || newest.since() < fill.since()) {
+        if (newest == null || newest.startedAt() < fill.startedAt()) {
             fills.remove(part);
             fills.put(part, fill);
         }
@@ -46,62 +46,62 @@
     }
 
     /** The newest fill of a part, or null. */
-    Fill of(RoutingRequest request) {
+    Fill newestFill(RoutingRequest request) {
         return fills.get(new Part(request.objectId(), request.part()));
     }
 
     /** A cache lacks a part, and no fill of it is in flight there. */
-    void missed(RoutingRequest request, Endpoint cache) {
+    void partMissing(RoutingRequest request, Endpoint cache) {
         fills.computeIfPresent(
                 new Part(request.objectId(), request.part()), (part, fill) -> fill.cache() == cache ? null : fill);
-        ended(request, cache);
+        fillEnded(request, cache);
     }
 
     /** A fill of this router ended: that it was started need not be reported any more. */
-    void ended(RoutingRequest request, Endpoint cache) {
+    void fillEnded(RoutingRequest request, Endpoint cache) {
         unreported.removeIf(fill ->
                 fill.objectId() == request.objectId() && fill.part() == request.part() && fill.cache() == cache);
     }
 
     /** Forgets the fills that match. */
-    void forget(Predicate<Fill> which) {
-        fills.values().removeIf(which);
-        unreported.removeIf(which);
+    void forget(Predicate<Fill> filter) {
+        fills.values().removeIf(filter);
+        unreported.removeIf(filter);
     }
 
     /** The fills in flight that were not reported to peers yet; each is reported once. */
     List<HolderHint> takeUnreported(long now) {
         List<HolderHint> taken = unreported.stream()
                 .map(fill -> new HolderHint(fill.objectId(), fill.part(), fill.cache().id, fill.group(), (int)
-                        ((now - fill.since()) / 1_000)))
+                        ((now - fill.startedAt()) / 1_000)))
                 .toList();
         unreported.clear();
         return taken;
     }
 
     /** How many requests wait. */
-    int waiting() {
+    int waitingRequests() {
         return waiting.size();
     }
 
     /** A request waits for a fill at a cache; it counts as in flight there. */
-    void await(InFlightRequest flight, Endpoint cache) {
-        flight.awaitedCache = cache;
+    void await(InFlightRequest request, Endpoint cache) {
+        request.awaitedCache = cache;
         cache.ownInFlight++;
-        waiting.add(flight);
+        waiting.add(request);
     }
 
     /** It waits no longer. */
-    void release(InFlightRequest flight) {
-        if (waiting.remove(flight)) {
-            flight.awaitedCache.ownInFlight--;
-            flight.awaitedCache = null;
+    void release(InFlightRequest request) {
+        if (waiting.remove(request)) {
+            request.awaitedCache.ownInFlight--;
+            request.awaitedCache = null;
         }
     }
 
     /** Ends the waiting of the requests that match, and returns them. */
-    List<InFlightRequest> released(Predicate<InFlightRequest> which) {
-        List<InFlightRequest> released = waiting.stream().filter(which).toList();
+    List<InFlightRequest> releaseMatching(Predicate<InFlightRequest> filter) {
+        List<InFlightRequest> released = waiting.stream().filter(filter).toList();
         released.forEach(this::release);
         return released;
     }
--- a/src/main/java/magpiewheel/routing/FillSourceSelector.java
+++ b/src/main/java/magpiewheel/routing/FillSourceSelector.java
@@ -6,7 +6,7 @@
 /** Where a cache fills a miss from: a parent, or the origin itself. */
 final class FillSourceSelector {
     /** Share of a class's latency objective by which parents' latencies must differ to count as different. */
-    private static final double EQUAL_LATENCY = 0.25;
+    private static final double LATENCY_TOLERANCE = 0.25;
 
     private final EndpointTable endpoints;
     private final OutlierDetector outliers;
@@ -28,18 +28,18 @@
 
     /** A usable parent unless the origin is faster, else the origin while it has capacity, else any parent, or null. */
     Endpoint select(long now, InFlightRequest request) {
-        Endpoint parent = request.unproven ? null : parent(now, request, false);
+        Endpoint parent = request.boundUnproven ? null : parent(now, request, false);
         Endpoint origin = endpoints.origin();
         boolean originHasCapacity =
                 origin != null && (endpoints.parents().isEmpty() || origin.fillsInFlight < origin.concurrencyLimit);
-        if (parent != null && !(originHasCapacity && isSlower(now, parent, origin, request))) {
+        if (parent != null && !(originHasCapacity && isSlowerThanOrigin(now, parent, origin, request))) {
             return parent;
         }
         return originHasCapacity ? origin : parent(now, request, true);
     }
 
     /** Whether a parent is later than the objective allows, and later than an origin that is not degraded. */
-    private boolean isSlower(long now, Endpoint parent, Endpoint origin, InFlightRequest request) {
+    private boolean isSlowerThanOrigin(long now, Endpoint parent, Endpoint origin, InFlightRequest request) {
         double latencyUs = parent.fillLatency.or(now, 0);
         return latencyUs > request.requestClass.latencyObjectiveUs()
                 && latencyUs > origin.fillLatency.or(now, 0)
@@ -50,17 +50,17 @@
      * The usable parent that leads the region; else the one of two with the lower latency, those not measured lately
      * being average.
      *
-     * @param evenUnhealthy whether ejected parents, and those that already failed the request, are taken as well
+     * @param includeUnhealthy whether ejected parents, and those that already failed the request, are taken as well
      */
-    Endpoint parent(long now, InFlightRequest request, boolean evenUnhealthy) {
+    Endpoint parent(long now, InFlightRequest request, boolean includeUnhealthy) {
         long objectId = request.request.objectId();
         double workUs = transfers.carefulUs(request.request.requestClass());
         List<Endpoint> usable = new ArrayList<>(endpoints.parents());
         usable.removeIf(parent -> !slowStart.hasBudget(now, parent, workUs));
-        usable.removeIf(parent -> !evenUnhealthy && (!outliers.isUsable(now, parent) || request.failedFrom(parent)));
+        usable.removeIf(parent -> !includeUnhealthy && (!outliers.isUsable(now, parent) || request.failedVia(parent)));
         Endpoint leader = usable.isEmpty() ? null : regions.leaderAmong(now, usable, objectId, workUs);
         if (usable.isEmpty() || leader != null) {
-            return evenUnhealthy || staleness.mayHoldAcceptableCopy(now, request, leader) ? leader : null;
+            return includeUnhealthy || staleness.mayHoldAcceptableCopy(now, request, leader) ? leader : null;
         }
         return fasterOfTwo(now, request, usable);
     }
@@ -72,10 +72,10 @@
                 .filter(parent -> parent.fillLatency.isFresh(now))
                 .toList();
         double average = Endpoint.mean(measured, parent -> parent.fillLatency.or(now, 0));
-        Endpoint one = RendezvousHash.first(usable, objectId);
-        usable.remove(one);
-        Endpoint two = usable.isEmpty() ? one : RendezvousHash.first(usable, objectId);
-        double gainUs = one.fillLatency.or(now, average) - two.fillLatency.or(now, average);
-        return gainUs > EQUAL_LATENCY * request.requestClass.latencyObjectiveUs() ? two : one;
+        Endpoint first = RendezvousHash.first(usable, objectId);
+        usable.remove(first);
+        Endpoint second = usable.isEmpty() ? first : RendezvousHash.first(usable, objectId);
+        double differenceUs = first.fillLatency.or(now, average) - second.fillLatency.or(now, average);
+        return differenceUs > LATENCY_TOLERANCE * request.requestClass.latencyObjectiveUs() ? second : first;
     }
 }
--- a/src/main/java/magpiewheel/routing/HolderTable.java
+++ b/src/main/java/magpiewheel/routing/HolderTable.java
@@ -28,17 +28,17 @@
     /** The cache that a record names, unless it drains, restarted, or its group was purged since; else null. */
     Endpoint holder(long now, ObjectRecord object) {
         Endpoint holder = object.holder;
-        if (holder == null || !holder.isReady() || object.holderSince < holder.info.startedUs()) {
+        if (holder == null || !holder.isReady() || object.holderSeenAt < holder.info.startedUs()) {
             return null;
         }
-        boolean fresh =
-                now - object.holderSince < HINT_LIFETIME_US && object.holderSince > purges.lastGroupPurge(object.group);
+        boolean fresh = now - object.holderSeenAt < HINT_LIFETIME_US
+                && object.holderSeenAt > purges.lastGroupPurge(object.group);
         return fresh ? holder : null;
     }
 
     /** A peer reported at a time that a cache holds an object. */
-    void reportedByPeer(long at, Endpoint cache, HolderHint hint) {
-        record(hint.objectId()).reportedByPeer(cache, at, hint.group());
+    void reportedByPeer(long reportedAt, Endpoint cache, HolderHint hint) {
+        record(hint.objectId()).reportedByPeer(cache, reportedAt, hint.group());
     }
 
     /** An object was purged. */
--- a/src/main/java/magpiewheel/routing/InFlightRequest.java
+++ b/src/main/java/magpiewheel/routing/InFlightRequest.java
@@ -23,24 +23,24 @@
 
     final LocalCopy localCopy;
     /** When the origin gave out the router's own copy, by this router's clock. */
-    final long localCopyFrom;
+    final long localCopyIssuedAt;
     /** The staleness bound of the response. */
     StalenessBound bound = StalenessBound.NONE;
     /** Whether the bound can't be proven, or a copy came that violates it. */
-    boolean unproven;
+    boolean boundUnproven;
 
     /** A request that arrived now; the copy is null where the router has none. */
     InFlightRequest(RoutingRequest request, RequestClass requestClass, long now, long deadline, LocalCopy localCopy) {
         this.localCopy = localCopy;
         this.arrivedAt = now;
-        this.localCopyFrom = localCopy == null ? 0 : now - localCopy.ageUs();
+        this.localCopyIssuedAt = localCopy == null ? 0 : now - localCopy.ageUs();
         this.request = request;
         this.requestClass = requestClass;
         this.deadline = deadline;
     }
 
     /** An attempt starts; the next one that asks only for what a cache holds has to be scheduled anew. */
-    void started(Attempt attempt, boolean cachedOnly) {
+    void attemptStarted(Attempt attempt, boolean cachedOnly) {
         attempts.add(attempt);
         cachedOnlyAttempts += cachedOnly ? 1 : 0;
         nextLookupAt = Long.MAX_VALUE;
@@ -49,16 +49,16 @@
     /** Sets the staleness bound. A strict read whose bound can't be proven is not attempted. */
     void setBound(StalenessBound newBound) {
         bound = newBound;
-        unproven = newBound.strict() && !newBound.provable();
-        noMoreAttempts = unproven;
+        boundUnproven = newBound.strict() && !newBound.provable();
+        noMoreAttempts = boundUnproven;
     }
 
     /** Whether an endpoint recognises the idempotency keys of another; every endpoint does where that is null. */
-    boolean isInKeyScope(Endpoint of, Endpoint endpoint) {
-        return of == null
+    boolean isInKeyScope(Endpoint keyOwner, Endpoint endpoint) {
+        return keyOwner == null
                 || (requestClass.keyScope() == IdempotencyKeyScope.CELL
-                        ? of.info.cell() == endpoint.info.cell()
-                        : of.info.zone() == endpoint.info.zone());
+                        ? keyOwner.info.cell() == endpoint.info.cell()
+                        : keyOwner.info.zone() == endpoint.info.zone());
     }
 
     /** Whether another request is for the same part. */
@@ -81,7 +81,7 @@
     }
 
     /** The first attempt that is open, or whose result does not prove that it never ran; null if there is none. */
-    Attempt firstThatMayHaveRun() {
+    Attempt firstAttemptThatMayHaveRun() {
         return attempts.stream()
                 .filter(attempt -> attempt.open || !attempt.result.neverRan)
                 .findFirst()
@@ -99,7 +99,7 @@
     }
 
     /** Whether an attempt that the endpoint was to fill, or to serve past the caches, already failed. */
-    boolean failedFrom(Endpoint endpoint) {
+    boolean failedVia(Endpoint endpoint) {
         return attempts.stream().anyMatch(attempt -> attempt.source == endpoint || attempt.target == endpoint);
     }
 
--- a/src/main/java/magpiewheel/routing/LoadShedder.java
+++ b/src/main/java/magpiewheel/routing/LoadShedder.java
@@ -6,13 +6,13 @@
  */
 final class LoadShedder {
     /** Multiple of a limit at which the least valuable requests are shed, and the most: 1, the limit, in the mean. */
-    private static final double FIRST_SHED_AT = 0.5;
+    private static final double MIN_LIMIT_FACTOR = 0.5;
 
-    private static final double LAST_SHED_AT = 1.5;
+    private static final double MAX_LIMIT_FACTOR = 1.5;
     /** Answered share of the largest requests, over their class's, below which they get at least the rank below. */
     private static final double SIZE_FAIRNESS_FLOOR = 0.7;
 
-    private static final double UNDERSERVED_RANK = 0.75;
+    private static final double MIN_UNDERSERVED_RANK = 0.75;
 
     private final TransferTimes transfers;
     private final DemandDistribution demand = new DemandDistribution();
@@ -30,8 +30,8 @@
     double limitFactor(InFlightRequest request) {
         double rank = demand.below(valueDensity(request));
         boolean underserved = transfers.fallsShort(request.request, SIZE_FAIRNESS_FLOOR);
-        double fairRank = underserved ? Math.max(UNDERSERVED_RANK, rank) : rank;
-        return FIRST_SHED_AT + (LAST_SHED_AT - FIRST_SHED_AT) * fairRank;
+        double fairRank = underserved ? Math.max(MIN_UNDERSERVED_RANK, rank) : rank;
+        return MIN_LIMIT_FACTOR + (MAX_LIMIT_FACTOR - MIN_LIMIT_FACTOR) * fairRank;
     }
 
     /** Priority weight by transfer time; writes are shed last. */
--- a/src/main/java/magpiewheel/routing/LocalCopy.java
+++ b/src/main/java/magpiewheel/routing/LocalCopy.java
@@ -5,6 +5,6 @@
  *
  * @param ageUs its age since the origin gave it out
  * @param transferUs how long its transfer to the client takes
- * @param linkUs for how much of that the router's own link is busy
+ * @param linkBusyUs for how much of that the router's own link is busy
  */
-public record LocalCopy(long ageUs, long transferUs, long linkUs) {}
+public record LocalCopy(long ageUs, long transferUs, long linkBusyUs) {}
--- a/src/main/java/magpiewheel/routing/LocalCopyPolicy.java
+++ b/src/main/java/magpiewheel/routing/LocalCopyPolicy.java
@@ -21,27 +21,27 @@
 
     /** Whether the copy is served first, as no cache is known to hold one: a fill costs more and comes later. */
     boolean servesBeforeFill(long now, InFlightRequest request) {
-        long latest = now + (long) (TRANSFER_SHARE * transfers.latencyObjectiveUs(request));
-        return serves(now, request, latest, 0, false);
+        long mustEndBy = now + (long) (TRANSFER_SHARE * transfers.latencyObjectiveUs(request));
+        return serves(now, request, mustEndBy, 0, false);
     }
 
     /** Whether the copy is served at last, as nobody else can answer; one within the class's grace will do, too. */
-    boolean servesAtLast(long now, InFlightRequest request) {
-        boolean anyBound = !request.bound.strict();
-        return serves(now, request, request.deadline - MARGIN_US, request.requestClass.staleGraceUs(), anyBound);
+    boolean servesAsLastResort(long now, InFlightRequest request) {
+        boolean ignoreBound = !request.bound.strict();
+        return serves(now, request, request.deadline - MARGIN_US, request.requestClass.staleGraceUs(), ignoreBound);
     }
 
     /** Whether the copy is acceptable and through in time; if so the link is taken for it. */
-    private boolean serves(long now, InFlightRequest request, long latest, long graceUs, boolean anyBound) {
+    private boolean serves(long now, InFlightRequest request, long mustEndBy, long graceUs, boolean ignoreBound) {
         if (request.localCopy == null || request.openAttempts() > 0) {
             return false;
         }
-        long linkFree = Math.max(now, linkFreeAt) + request.localCopy.linkUs();
-        boolean withinBound = anyBound || staleness.accepts(now, request, request.localCopyFrom);
+        long linkFree = Math.max(now, linkFreeAt) + request.localCopy.linkBusyUs();
+        boolean withinBound = ignoreBound || staleness.accepts(now, request, request.localCopyIssuedAt);
         if (isPurged(request)
                 || isStale(now, request, graceUs)
                 || !withinBound
-                || Math.max(linkFree, now + request.localCopy.transferUs()) > latest) {
+                || Math.max(linkFree, now + request.localCopy.transferUs()) > mustEndBy) {
             return false;
         }
         linkFreeAt = linkFree;
@@ -51,11 +51,11 @@
     /** Caches drop older copies some time after a purge; the router's own stays, so every purge counts. */
     private boolean isPurged(InFlightRequest request) {
         long purgedAt = purges.lastPurge(request.request.objectId(), request.request.group());
-        return request.localCopyFrom - MARGIN_US <= purgedAt;
+        return request.localCopyIssuedAt - MARGIN_US <= purgedAt;
     }
 
     private static boolean isStale(long now, InFlightRequest request, long graceUs) {
         long freshUs = request.requestClass.freshUs();
-        return freshUs > 0 && now - request.localCopyFrom > freshUs + graceUs - MARGIN_US;
+        return freshUs > 0 && now - request.localCopyIssuedAt > freshUs + graceUs - MARGIN_US;
     }
 }
--- a/src/main/java/magpiewheel/routing/ObjectRecord.java
+++ b/src/main/java/magpiewheel/routing/ObjectRecord.java
@@ -3,7 +3,7 @@
 /** What is known of an object: the cache that is thought to hold it, and which of its parts were requested. */
 final class ObjectRecord {
     Endpoint holder;
-    long holderSince;
+    long holderSeenAt;
     int requests;
     int group;
     int highestPartRequested = -1;
@@ -22,15 +22,15 @@
     void cached(Endpoint cache, long now, int part) {
         highestPartCached = Math.max(holder == cache ? highestPartCached : -1, part);
         holder = cache;
-        holderSince = now;
+        holderSeenAt = now;
     }
 
     /** A peer reported at a time that a cache holds it; the newer report counts. */
-    void reportedByPeer(Endpoint cache, long at, int objectGroup) {
+    void reportedByPeer(Endpoint cache, long reportedAt, int objectGroup) {
         group = objectGroup;
-        if (at > holderSince) {
+        if (reportedAt > holderSeenAt) {
             holder = cache;
-            holderSince = at;
+            holderSeenAt = reportedAt;
         }
     }
 }
--- a/src/main/java/magpiewheel/routing/OriginHealth.java
+++ b/src/main/java/magpiewheel/routing/OriginHealth.java
@@ -8,7 +8,7 @@
     /** Share of late fills from which the origin counts as degraded. */
     private static final double DEGRADED_RATIO = 0.5;
     /** Share of fills that still try a degraded origin, of all routers together. */
-    private static final double TRIAL_SHARE = 0.15;
+    private static final double PROBE_SHARE = 0.15;
 
     private final MembershipView membership;
     private final SplittableRandom random;
@@ -26,17 +26,17 @@
     }
 
     /** Whether a fill is kept from a degraded origin; a share of all routers' fills still tries it. */
-    boolean sparesFill(long now) {
-        return isDegraded(now) && random.nextDouble() >= TRIAL_SHARE / membership.quotaDivisor(now);
+    boolean suppressesFill(long now) {
+        return isDegraded(now) && random.nextDouble() >= PROBE_SHARE / membership.quotaDivisor(now);
     }
 
     /** A response that was no hit came from the origin, or from what a parent held. */
-    void filled(long now, boolean byOrigin, boolean late) {
+    void fillEnded(long now, boolean byOrigin, boolean late) {
         (byOrigin ? originLate : parentLate).add(now, late);
     }
 
     /** The origin failed or did not answer in time. */
-    void failed(long now) {
+    void originFailed(long now) {
         originLate.add(now, true);
     }
 
--- a/src/main/java/magpiewheel/routing/OutcomeProcessor.java
+++ b/src/main/java/magpiewheel/routing/OutcomeProcessor.java
@@ -15,7 +15,7 @@
     private final PeerExchange peerExchange;
 
     /** The parts that learn from outcomes, besides the shared state. */
-    record Learners(
+    record Collaborators(
             OutlierDetector outliers,
             OriginHealth originHealth,
             ConcurrencyLimiter limiter,
@@ -23,18 +23,18 @@
             CachedOnlyPolicy cachedOnly,
             PeerExchange peerExchange) {}
 
-    OutcomeProcessor(RoutingSettings settings, RoutingState state, Learners learners) {
+    OutcomeProcessor(RoutingSettings settings, RoutingState state, Collaborators collaborators) {
         this.settings = settings;
         this.holders = state.holders();
         this.transfers = state.transfers();
         this.fills = state.fills();
         this.staleness = state.staleness();
-        this.outliers = learners.outliers();
-        this.originHealth = learners.originHealth();
-        this.limiter = learners.limiter();
-        this.misses = learners.misses();
-        this.cachedOnly = learners.cachedOnly();
-        this.peerExchange = learners.peerExchange();
+        this.outliers = collaborators.outliers();
+        this.originHealth = collaborators.originHealth();
+        this.limiter = collaborators.limiter();
+        this.misses = collaborators.misses();
+        this.cachedOnly = collaborators.cachedOnly();
+        this.peerExchange = collaborators.peerExchange();
     }
 
     /** An attempt of a request has ended. */
@@ -57,25 +57,25 @@
 
     private void served(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome) {
         outliers.succeeded(attempt.target);
-        request.attempts.stream().filter(other -> other.ambiguousError).forEach(other -> atFault(now, other));
+        request.attempts.stream().filter(other -> other.ambiguousError).forEach(other -> countFailure(now, other));
         transfers.ended(request.request, true);
         if (request.requestClass.write()) {
             return;
         }
         boolean hit = outcome.cacheStatus().isHit() && attempt.target.isCache();
-        measure(now, request, attempt, outcome, hit);
+        recordDuration(now, request, attempt, outcome, hit);
         if (outcome.cacheStatus().isFilled()) {
             attempt.source.lastAnsweredAt = now;
             outliers.succeeded(attempt.source);
             attempt.source.fillLatency.add(now, outcome.waitUs(transfers.transferUs(request.request)));
         }
         if (attempt.retentionRank > 0 && attempt.target.isCache()) {
-            noteHolder(now, request, attempt.target, hit);
+            recordHolder(now, request, attempt.target, hit);
         }
     }
 
     /** Another endpoint served what failed here; where no status tells whose fault it was, the source may be it. */
-    private void atFault(long now, Attempt failed) {
+    private void countFailure(long now, Attempt failed) {
         outliers.failed(now, failed.target);
         if (!settings.detailedCacheStatus() && failed.source != failed.target) {
             outliers.failed(now, failed.source);
@@ -83,7 +83,7 @@
     }
 
     /** A holder stays one while its hint is fresh: else the other parts follow whoever took a spilled request. */
-    private void noteHolder(long now, InFlightRequest request, Endpoint cache, boolean hit) {
+    private void recordHolder(long now, InFlightRequest request, Endpoint cache, boolean hit) {
         ObjectRecord object = holders.record(request.request.objectId());
         Endpoint holder = holders.holder(now, object);
         if (holder == null || holder == cache) {
@@ -95,7 +95,8 @@
     }
 
     /** The time of a hit speaks of its cache, any other of the fills. */
-    private void measure(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome, boolean hit) {
+    private void recordDuration(
+            long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome, boolean hit) {
         if (hit) {
             boolean lowLoad = attempt.target.inFlight() < ConcurrencyLimiter.MIN_LIMIT;
             transfers.measured(request.request, outcome.durationUs(), lowLoad);
@@ -105,7 +106,7 @@
             misses.responded(hit);
         }
         if (!hit && outcome.cacheStatus() != CacheStatus.UNKNOWN) {
-            originHealth.filled(now, outcome.cacheStatus() == CacheStatus.FILLED_BY_ORIGIN, late);
+            originHealth.fillEnded(now, outcome.cacheStatus() == CacheStatus.FILLED_BY_ORIGIN, late);
         }
         limiter.adapt(now, attempt, hit, late);
     }
@@ -117,16 +118,16 @@
         boolean coalesced = outcome.cacheStatus() == CacheStatus.COALESCED;
         boolean unacceptable = outcome.originTimeMs() != 0;
         attempt.sourceAtFault = !unacceptable || !outcome.cacheStatus().isHit();
-        boolean lacks = attempt.source == attempt.target && !unacceptable;
-        boolean waits = cachedOnly.waitsAfterMiss(now, request, lacks && coalesced);
-        request.noMoreAttempts = !waits && (request.noMoreAttempts || unacceptable && request.unproven);
-        request.unproven |= unacceptable;
+        boolean missingPart = attempt.source == attempt.target && !unacceptable;
+        boolean waits = cachedOnly.scheduleLookupAfterMiss(now, request, missingPart && coalesced);
+        request.noMoreAttempts = !waits && (request.noMoreAttempts || unacceptable && request.boundUnproven);
+        request.boundUnproven |= unacceptable;
         if (unacceptable || !coalesced) {
             // Parts follow the holder of the first part, which need not hold those behind it.
             ObjectRecord object = holders.record(request.request.objectId());
-            boolean partBehind = lacks && request.request.part() > object.highestPartCached;
-            object.holder = partBehind ? object.holder : null;
-            fills.missed(request.request, attempt.target);
+            boolean beyondCachedParts = missingPart && request.request.part() > object.highestPartCached;
+            object.holder = beyondCachedParts ? object.holder : null;
+            fills.partMissing(request.request, attempt.target);
         }
     }
 
@@ -142,7 +143,7 @@
             return;
         }
         if (status == CacheStatus.ORIGIN_FAILED || outcome.result() == AttemptResult.TIMEOUT && write) {
-            originHealth.failed(now);
+            originHealth.originFailed(now);
         }
         if (status == CacheStatus.ORIGIN_FAILED || status == CacheStatus.NO_CAPACITY) {
             limiter.adapt(now, attempt, false, true);
--- a/src/main/java/magpiewheel/routing/OutlierDetector.java
+++ b/src/main/java/magpiewheel/routing/OutlierDetector.java
@@ -17,11 +17,11 @@
     /** Share of a tier that stays in use whatever its health, so that no tier is ejected as a whole. */
     private static final double MIN_SHARE_IN_USE = 0.5;
     /** us; first and longest ejection, doubling between: short against the seconds that faults last. */
-    private static final long FIRST_EJECTION_US = 1_000_000;
+    private static final long MIN_EJECTION_US = 1_000_000;
 
-    private static final long LONGEST_EJECTION_US = 8_000_000;
+    private static final long MAX_EJECTION_US = 8_000_000;
     /** us, attempts: an endpoint silent for so long while so many attempts are overdue is unresponsive. */
-    private static final long SILENCE_US = 400_000;
+    private static final long UNRESPONSIVE_AFTER_US = 400_000;
 
     private static final int OVERDUE_ATTEMPTS = 3;
 
@@ -85,10 +85,10 @@
     private void eject(long now, Endpoint endpoint, boolean proven) {
         List<Endpoint> tier = endpoints.tierOf(endpoint);
         Predicate<Endpoint> inUse = other -> other != endpoint && now >= other.ejectedUntil;
-        boolean enough = tier.stream().filter(inUse).count() >= MIN_SHARE_IN_USE * tier.size();
-        if (now >= endpoint.ejectedUntil && (enough || proven && mayBypassCaches)) {
-            long ejectionUs = Math.max(FIRST_EJECTION_US, 2 * endpoint.ejectionUs);
-            endpoint.eject(now, Math.min(LONGEST_EJECTION_US, ejectionUs));
+        boolean enoughInUse = tier.stream().filter(inUse).count() >= MIN_SHARE_IN_USE * tier.size();
+        if (now >= endpoint.ejectedUntil && (enoughInUse || proven && mayBypassCaches)) {
+            long ejectionUs = Math.max(MIN_EJECTION_US, 2 * endpoint.ejectionUs);
+            endpoint.eject(now, Math.min(MAX_EJECTION_US, ejectionUs));
         }
     }
 
@@ -115,11 +115,11 @@
     private Endpoint unresponsive(long now, InFlightRequest request) {
         Attempt last = request.lastAttempt();
         boolean open = last != null && last.open && !request.requestClass.write();
-        if (!open || now - last.sentAt < 2 * transfers.transferUs(request.request) + SILENCE_US) {
+        if (!open || now - last.sentAt < 2 * transfers.transferUs(request.request) + UNRESPONSIVE_AFTER_US) {
             return null;
         }
-        Endpoint suspect = now - last.target.lastAnsweredAt > SILENCE_US ? last.target : last.source;
-        long silenceUs = SILENCE_US * (suspect.isParent() ? 2 : 1);
+        Endpoint suspect = now - last.target.lastAnsweredAt > UNRESPONSIVE_AFTER_US ? last.target : last.source;
+        long silenceUs = UNRESPONSIVE_AFTER_US * (suspect.isParent() ? 2 : 1);
         return suspect.isOrigin() || now - suspect.lastAnsweredAt < silenceUs ? null : suspect;
     }
 }
--- a/src/main/java/magpiewheel/routing/PeerExchange.java
+++ b/src/main/java/magpiewheel/routing/PeerExchange.java
@@ -45,7 +45,7 @@
     /** Called once a tick; sends messages with every so many. */
     void tick(long now) {
         if (mayMessagePeers && topology.routers() > 1) {
-            long silentUs = SILENT_MESSAGES * ticksPerMessage() * RequestRouter.TICK_US;
+            long silentUs = SILENT_MESSAGES * ticksPerMessage() * RequestRouter.TICK_INTERVAL_US;
             peers.updatePeers(now, fleet.membershipView().runningMembersIn(topology.zone()), silentUs);
             if (ticks % ticksPerMessage() == 0) {
                 sendReports(now);
@@ -101,7 +101,7 @@
         boolean ours = cache != null && cache.isReady() && cache.isCacheOf(topology.zone());
         boolean counts = ours && at > state.purges().lastPurge(hint.objectId(), hint.group());
         if (counts && hint.part() != PeerMessageCodec.NO_PART) {
-            state.fills().reported(new FillCoalescer.Fill(hint.objectId(), hint.part(), hint.group(), cache, at));
+            state.fills().recordFill(new FillCoalescer.Fill(hint.objectId(), hint.part(), hint.group(), cache, at));
         }
         return counts;
     }
--- a/src/main/java/magpiewheel/routing/PurgeLog.java
+++ b/src/main/java/magpiewheel/routing/PurgeLog.java
@@ -11,11 +11,11 @@
     private final LruMap<Long> groups = new LruMap<>(MAX_PURGES);
 
     /** A purge was made at a time. */
-    void add(long at, Purge purge) {
+    void add(long purgedAt, Purge purge) {
         if (purge.objectId() == 0) {
-            groups.merge((long) purge.group(), at, Math::max);
+            groups.merge((long) purge.group(), purgedAt, Math::max);
         } else {
-            objects.merge(purge.objectId(), at, Math::max);
+            objects.merge(purge.objectId(), purgedAt, Math::max);
         }
     }
 
--- a/src/main/java/magpiewheel/routing/RendezvousHash.java
+++ b/src/main/java/magpiewheel/routing/RendezvousHash.java
@@ -17,17 +17,17 @@
     }
 
     /** A number from 0 to 1 (never 1 itself) that seems drawn at random but is the same for the same value. */
-    static double part(long value) {
+    static double toUnitInterval(long value) {
         return (mix(value) >>> 11) * 0x1.0p-53;
     }
 
     /** From the first to the last for an object. */
-    static Comparator<Endpoint> order(long object) {
-        return Comparator.comparingLong(endpoint -> mix(object ^ endpoint.hash));
+    static Comparator<Endpoint> order(long objectId) {
+        return Comparator.comparingLong(endpoint -> mix(objectId ^ endpoint.hash));
     }
 
     /** The first for an object. */
-    static Endpoint first(List<Endpoint> from, long object) {
-        return Collections.min(from, order(object));
+    static Endpoint first(List<Endpoint> endpoints, long objectId) {
+        return Collections.min(endpoints, order(objectId));
     }
 }
--- a/src/main/java/magpiewheel/routing/RequestRouter.java
+++ b/src/main/java/magpiewheel/routing/RequestRouter.java
@@ -24,11 +24,11 @@
  */
 public final class RequestRouter implements RoutingPolicy {
     /** us; from one tick to the next: short against a transfer. */
-    static final long TICK_US = 100_000;
+    static final long TICK_INTERVAL_US = 100_000;
     /** us; least advice to a rejected client: long enough for a queue to drain, short against its patience. */
-    private static final long BACKOFF_US = 300_000;
+    private static final long MIN_RETRY_AFTER_US = 300_000;
     /** us; time until discovery is asked again after a failure. */
-    private static final long RESUBSCRIBE_US = 500_000;
+    private static final long RESUBSCRIBE_DELAY_US = 500_000;
     /** Handles of the timers. */
     private static final long TICK_TIMER = 0;
 
@@ -38,7 +38,7 @@
     /** Peers remembered: a bound against senders that make up numbers. */
     private static final int MAX_PEERS = 1_024;
     /** us; a silent peer is remembered for so long: a message that comes then is known to be late. */
-    private static final long PEER_MEMORY_US = 10_000_000;
+    private static final long PEER_EXPIRY_US = 10_000_000;
 
     private final RoutingSettings settings;
     private final RoutingActions actions;
@@ -102,7 +102,7 @@
         fills = state.fills();
         EndpointTable endpoints = state.endpoints();
         MembershipView membership = fleet.membershipView();
-        PeerReports peers = new PeerReports(topology.zone(), MAX_PEERS, PEER_MEMORY_US, endpoints.byId());
+        PeerReports peers = new PeerReports(topology.zone(), MAX_PEERS, PEER_EXPIRY_US, endpoints.byId());
         OriginHealth originHealth = new OriginHealth(membership, random);
         CacheMissEstimator misses = new CacheMissEstimator();
         outliers = new OutlierDetector(settings, endpoints, transfers, actions);
@@ -120,7 +120,7 @@
         outcomes = new OutcomeProcessor(
                 settings,
                 state,
-                new OutcomeProcessor.Learners(outliers, originHealth, limiter, misses, cachedOnly, peerExchange));
+                new OutcomeProcessor.Collaborators(outliers, originHealth, limiter, misses, cachedOnly, peerExchange));
     }
 
     // ---------------------------------------------------------------- discovery
@@ -129,12 +129,12 @@
     public void endpointsChanged(long now, EndpointListMode mode, List<EndpointInfo> infos) {
         if (!started) {
             started = true;
-            actions.setTimer(now + random.nextLong(TICK_US), TICK_TIMER);
+            actions.setTimer(now + random.nextLong(TICK_INTERVAL_US), TICK_TIMER);
             fleet.start(now);
         }
         if (mode == EndpointListMode.FAILED) {
             subscribed = false;
-            actions.setTimer(now + RESUBSCRIBE_US, SUBSCRIBE_TIMER);
+            actions.setTimer(now + RESUBSCRIBE_DELAY_US, SUBSCRIBE_TIMER);
             return;
         }
         EndpointTable endpoints = state.endpoints();
@@ -142,7 +142,7 @@
         staleness.endpointsChanged(now, endpoints.all());
         regions.endpointsChanged(now, endpoints.all(), slowStart::capacity);
         fills.forget(fill -> !fill.cache().isReady());
-        resume(now, request -> !request.awaitedCache.isReady());
+        resumeWaiting(now, request -> !request.awaitedCache.isReady());
         keepSubscribed();
     }
 
@@ -156,12 +156,12 @@
     @Override
     public void objectsPurged(long now, Purge purge) {
         PurgeLog purges = state.purges();
-        purges.add(now - purge.agoUs(), purge);
+        purges.add(now - purge.ageUs(), purge);
         staleness.objectsPurged(now, purge);
         if (purge.objectId() != 0) {
             state.holders().forget(purge.objectId());
         }
-        fills.forget(fill -> fill.since() <= purges.lastPurge(fill.objectId(), fill.group()));
+        fills.forget(fill -> fill.startedAt() <= purges.lastPurge(fill.objectId(), fill.group()));
     }
 
     // ---------------------------------------------------------------- requests
@@ -176,7 +176,7 @@
         long budgetUs = request.timeBudgetUs() > 0 ? request.timeBudgetUs() : requestClass.deadlineUs();
         InFlightRequest arrived = new InFlightRequest(request, requestClass, now, now + budgetUs, localCopy);
         staleness.applyHint(now, arrived);
-        retryBudget.earn();
+        retryBudget.deposit();
         inFlight.put(request.id(), arrived);
         if (!requestClass.write()) {
             state.holders().record(request.objectId()).requested(request);
@@ -189,23 +189,23 @@
     /** Starts the next attempt of a request or ends it; it waits only for a fill in flight. */
     private void advance(long now, InFlightRequest request) {
         RetryPolicy.Permit permit = retryPolicy.permit(now, request);
-        int retriesSpent = request.attempts.size() > request.cachedOnlyAttempts ? 1 : 0;
+        int retries = request.attempts.size() > request.cachedOnlyAttempts ? 1 : 0;
         boolean attemptsRemain = now < request.deadline
                 && request.attempts.size() < settings.limits().maxAttempts();
-        if (permit.attempt()
+        if (permit.mayAttempt()
                 && !request.noMoreAttempts
                 && attemptsRemain
-                && retryBudget.trySpend(retriesSpent)
-                && proceed(now, request, permit)) {
+                && retryBudget.tryWithdraw(retries)
+                && tryNextStep(now, request, permit)) {
             return;
         }
         if (request.openAttempts() == 0) {
-            end(now, request, permit);
+            giveFinalAnswer(now, request, permit);
         }
     }
 
     /** Starts an attempt, serves the local copy or lets the request wait; false if none of that is possible. */
-    private boolean proceed(long now, InFlightRequest request, RetryPolicy.Permit permit) {
+    private boolean tryNextStep(long now, InFlightRequest request, RetryPolicy.Permit permit) {
         boolean write = request.requestClass.write();
         Endpoint target = write
                 ? cacheSelector.forWrite(now, request, permit)
@@ -215,14 +215,14 @@
             serveLocalCopy(request);
             return true;
         }
-        Endpoint cachedOnlyTarget = cached ? null : cachedOnly.firstCache(now, request, target);
+        Endpoint cachedOnlyTarget = cached ? null : cachedOnly.lookupTarget(now, request, target);
         if (cachedOnlyTarget != null && now < request.nextLookupAt) {
             fills.await(request, cachedOnlyTarget);
             actions.setTimer(request.nextLookupAt, LOOKUP_TIMER);
             return true;
         }
         Route route = cachedOnlyTarget != null
-                ? routes.byCache(now, request, cachedOnlyTarget, true, cached)
+                ? routes.viaCache(now, request, cachedOnlyTarget, true, cached)
                 : write ? routes.bypass(now, request, target) : readRoute(now, request, permit, target, cached);
         if (route == null) {
             return false;
@@ -235,25 +235,27 @@
     private Route readRoute(
             long now, InFlightRequest request, RetryPolicy.Permit permit, Endpoint target, boolean cached) {
         if (target != null || !settings.mayBypassCaches()) {
-            return routes.byCache(now, request, target, false, cached);
+            return routes.viaCache(now, request, target, false, cached);
         }
-        Endpoint straight = routes.bypassTarget(now, request);
-        if (straight != null) {
-            return routes.bypass(now, request, straight);
+        Endpoint bypassTarget = routes.bypassTarget(now, request);
+        if (bypassTarget != null) {
+            return routes.bypass(now, request, bypassTarget);
         }
-        return routes.byCache(now, request, cacheSelector.forRead(now, request, permit, true), false, cached);
+        return routes.viaCache(now, request, cacheSelector.forRead(now, request, permit, true), false, cached);
     }
 
     /** Gives the final answer: the local copy at last, a rejection where it is safe, else a failure. */
-    private void end(long now, InFlightRequest request, RetryPolicy.Permit permit) {
-        if (localCopies.servesAtLast(now, request)) {
+    private void giveFinalAnswer(long now, InFlightRequest request, RetryPolicy.Permit permit) {
+        if (localCopies.servesAsLastResort(now, request)) {
             serveLocalCopy(request);
             return;
         }
         request.completed = true;
         transfers.ended(request.request, false);
-        if (permit.reject()) {
-            long waitUs = request.unproven ? staleness.retryAfterUs(now) : BACKOFF_US + random.nextLong(BACKOFF_US);
+        if (permit.mayReject()) {
+            long waitUs = request.boundUnproven
+                    ? staleness.retryAfterUs(now)
+                    : MIN_RETRY_AFTER_US + random.nextLong(MIN_RETRY_AFTER_US);
             actions.reject(request.request.id(), settings.limits().retryAfterUs(waitUs));
         } else {
             actions.fail(request.request.id());
@@ -269,8 +271,8 @@
     }
 
     /** Lets those of the waiting requests go on. */
-    private void resume(long now, Predicate<InFlightRequest> which) {
-        for (InFlightRequest request : fills.released(which)) {
+    private void resumeWaiting(long now, Predicate<InFlightRequest> filter) {
+        for (InFlightRequest request : fills.releaseMatching(filter)) {
             request.nextLookupAt = Math.min(request.nextLookupAt, now);
             advance(now, request);
         }
@@ -290,12 +292,12 @@
     public void clientDisconnected(long now, long requestId) {
         InFlightRequest request = inFlight.get(requestId);
         if (request != null) {
-            close(request);
+            complete(request);
         }
     }
 
     /** The request is over: what is still in flight for it is cancelled, and remembered until it ends. */
-    private void close(InFlightRequest request) {
+    private void complete(InFlightRequest request) {
         request.completed = true;
         fills.release(request);
         if (request.openAttempts() == 0) {
@@ -322,13 +324,13 @@
         regions.attemptEnded(now, attempt, request.request.objectId(), outcome, transferUs);
         outcomes.process(now, request, attempt, outcome);
         if (outcome.requestCompleted() || request.completed) {
-            close(request);
+            complete(request);
         } else {
             advance(now, request);
         }
         if (attempt.fillProbability > 0) {
-            fills.ended(request.request, attempt.target);
-            resume(now, other -> other.awaitedCache == attempt.target && other.isForSamePart(request.request));
+            fills.fillEnded(request.request, attempt.target);
+            resumeWaiting(now, other -> other.awaitedCache == attempt.target && other.isForSamePart(request.request));
         }
     }
 
@@ -337,7 +339,7 @@
     @Override
     public void timerExpired(long now, long handle) {
         if (handle == TICK_TIMER) {
-            actions.setTimer(now + TICK_US, TICK_TIMER);
+            actions.setTimer(now + TICK_INTERVAL_US, TICK_TIMER);
             outliers.checkUnresponsive(now, inFlight.values());
             peerExchange.tick(now);
         } else if (handle == SUBSCRIBE_TIMER) {
@@ -345,7 +347,7 @@
         } else if (handle == FLEET_TIMER) {
             fleet.timerExpired(now);
         } else if (handle == LOOKUP_TIMER) {
-            resume(now, request -> request.nextLookupAt <= now);
+            resumeWaiting(now, request -> request.nextLookupAt <= now);
         }
     }
 
--- a/src/main/java/magpiewheel/routing/RouteSelector.java
+++ b/src/main/java/magpiewheel/routing/RouteSelector.java
@@ -46,16 +46,17 @@
      * @param cachedOnly whether the cache is asked only for what it holds
      * @param cached whether the cache is known to hold the object
      */
-    Route byCache(long now, InFlightRequest request, Endpoint cache, boolean cachedOnly, boolean cached) {
+    Route viaCache(long now, InFlightRequest request, Endpoint cache, boolean cachedOnly, boolean cached) {
         Endpoint source = sources.select(now, request);
         if (cache == null || source == null) {
             return null;
         }
         double fill = cached ? 0 : misses.missProbability();
         // Beyond the limit no fill is started, but what is thought to be missing may be cached all the same.
-        boolean last = !cachedOnly && fill > 0 && (!admitsFill(request, fill) || !regionAdmitsFill(now, request, fill));
-        boolean noFill = cachedOnly || last;
-        return new Route(cache, noFill ? cache : source, noFill ? 0 : fill, noFill, last);
+        boolean noFurtherAttempts =
+                !cachedOnly && fill > 0 && (!admitsFill(request, fill) || !regionAdmitsFill(now, request, fill));
+        boolean noFill = cachedOnly || noFurtherAttempts;
+        return new Route(cache, noFill ? cache : source, noFill ? 0 : fill, noFill, noFurtherAttempts);
     }
 
     private boolean admitsFill(InFlightRequest request, double probability) {
--- a/src/main/java/magpiewheel/routing/SlowStart.java
+++ b/src/main/java/magpiewheel/routing/SlowStart.java
@@ -9,11 +9,11 @@
  */
 final class SlowStart {
     /** Share of the budget that is used: the work of an attempt is an estimate. */
-    private static final double SAFETY = 0.6;
+    private static final double SAFETY_FACTOR = 0.6;
     /** Concurrent transfers that a cache of unknown size is taken to carry when warm: a small machine's. */
     private static final double MIN_CAPACITY = 3;
     /** Share of all zones' links that the parents together are sized for, at least. */
-    private static final double PARENT_SHARE = 0.6;
+    private static final double PARENT_CAPACITY_SHARE = 0.6;
 
     private final RoutingSettings settings;
     private final RouterTopology topology;
@@ -39,33 +39,33 @@
         if (endpoint.isCache() && endpoint.info.zone() != topology.zone()) {
             return false;
         }
-        double tolerated = SAFETY * profile.tolerableWork(sinceStart) * capacity(endpoint);
-        double share = tolerated / sharers(now, endpoint);
+        double tolerated = SAFETY_FACTOR * profile.tolerableWork(sinceStart) * capacity(endpoint);
+        double share = tolerated / routersSharing(now, endpoint);
         double spent = endpoint.recentWork.at(now);
-        return spent + workUs <= share || spent == 0 && draw(now, endpoint, profile) * workUs < share;
+        return spent + workUs <= share || spent == 0 && windowDraw(now, endpoint, profile) * workUs < share;
     }
 
-    private double sharers(long now, Endpoint endpoint) {
+    private double routersSharing(long now, Endpoint endpoint) {
         return endpoint.isParent()
                 ? membership.quotaDivisor(now)
                 : membership.quotaDivisorIn(now, endpoint.info.zone());
     }
 
     /** From 0 to 1, anew in each window: a share below one request becomes one request in some of the windows. */
-    private double draw(long now, Endpoint endpoint, SlowStartProfile profile) {
+    private double windowDraw(long now, Endpoint endpoint, SlowStartProfile profile) {
         long windowUs = Math.max(1, profile.overloadWindowUs());
         long router = RendezvousHash.mix(topology.routerId());
         long window = Math.floorDiv(now + Math.floorMod(router, windowUs), windowUs);
-        return RendezvousHash.part(router ^ RendezvousHash.mix(window ^ endpoint.hash));
+        return RendezvousHash.toUnitInterval(router ^ RendezvousHash.mix(window ^ endpoint.hash));
     }
 
     /** Concurrent transfers of a warm endpoint, estimated low: by its weight, or for a parent by the links it feeds. */
     double capacity(Endpoint endpoint) {
         double weight = endpoint.info.weight();
         if (settings.weightSource() == WeightSource.NOMINAL || settings.weightSource() == WeightSource.ROUGH) {
-            return Math.min(weight, Math.max(MIN_CAPACITY, weight * SAFETY));
+            return Math.min(weight, Math.max(MIN_CAPACITY, weight * SAFETY_FACTOR));
         }
-        double share = PARENT_SHARE
+        double share = PARENT_CAPACITY_SHARE
                 * topology.transfersOfAllLinks()
                 / Math.max(1, endpoints.parents().size());
         return endpoint.isParent() ? Math.max(MIN_CAPACITY, share) : MIN_CAPACITY;
--- a/src/main/java/magpiewheel/routing/StalenessBridge.java
+++ b/src/main/java/magpiewheel/routing/StalenessBridge.java
@@ -74,7 +74,7 @@
         if (request.noMoreAttempts || !requiresOriginResponse(now, request)) {
             return;
         }
-        request.unproven = true;
+        request.boundUnproven = true;
         request.noMoreAttempts =
                 !BoundedStalenessReads.mayReadOrigin(originReader == null ? 0 : originReader.openAttempts());
         originReader = request.noMoreAttempts ? originReader : request;
@@ -224,7 +224,7 @@
     void objectsPurged(long now, Purge purge) {
         if (reads != null) {
             // Without the origin's own time, this router's stands for it.
-            long at = purge.originTimeMs() > 0 ? purge.originTimeMs() * US_PER_MS : now - purge.agoUs();
+            long at = purge.originTimeMs() > 0 ? purge.originTimeMs() * US_PER_MS : now - purge.ageUs();
             purges.add(at, purge);
             reads.objectPurged(now, purge.objectId(), purge.group(), at);
         }
@@ -251,7 +251,7 @@
     @Override
     public boolean isUnproven(long requestId) {
         InFlightRequest request = inFlight.get(requestId);
-        return request != null && request.unproven;
+        return request != null && request.boundUnproven;
     }
 
     @Override
--- a/src/test/java/magpiewheel/routing/OriginHealthTest.java
+++ b/src/test/java/magpiewheel/routing/OriginHealthTest.java
@@ -19,7 +19,7 @@
 
     private void fills(int count, boolean byOrigin, boolean late) {
         for (int i = 0; i < count; i++) {
-            health.filled(NOW, byOrigin, late);
+            health.fillEnded(NOW, byOrigin, late);
         }
     }
 
@@ -40,18 +40,18 @@
 
     @Test
     void someFillsTryADegradedOriginAllTheSame() {
-        assertFalse(health.sparesFill(NOW), "a healthy one is not spared");
+        assertFalse(health.suppressesFill(NOW), "a healthy one is not spared");
         fills(20, true, true);
         int tried = 0;
         for (int i = 0; i < 1_000; i++) {
-            tried += health.sparesFill(NOW) ? 0 : 1;
+            tried += health.suppressesFill(NOW) ? 0 : 1;
         }
         assertTrue(tried > 100 && tried < 200, "about 15%: " + tried);
     }
 
     @Test
     void aFailureAndAReportOfAPeerCountAsLate() {
-        health.failed(NOW);
+        health.originFailed(NOW);
         assertTrue(health.isDegraded(NOW));
         fills(100, true, false);
         health.reportedByPeer(NOW, 0);
--- a/src/test/java/magpiewheel/routing/RetryBudgetTest.java
+++ b/src/test/java/magpiewheel/routing/RetryBudgetTest.java
@@ -9,7 +9,7 @@
     private final RetryBudget budget = new RetryBudget();
 
     private void spendAll() {
-        while (budget.trySpend(1)) {
+        while (budget.tryWithdraw(1)) {
             // Each call spends one.
         }
     }
@@ -17,31 +17,31 @@
     @Test
     void aFullBudgetHoldsTwentyRetries() {
         for (int retry = 0; retry < 20; retry++) {
-            assertTrue(budget.trySpend(1));
+            assertTrue(budget.tryWithdraw(1));
         }
-        assertFalse(budget.trySpend(1));
-        assertTrue(budget.trySpend(0), "a first attempt costs nothing");
+        assertFalse(budget.tryWithdraw(1));
+        assertTrue(budget.tryWithdraw(0), "a first attempt costs nothing");
     }
 
     @Test
     void fiveRequestsEarnOneRetry() {
         spendAll();
         for (int request = 0; request < 4; request++) {
-            budget.earn();
+            budget.deposit();
         }
-        assertFalse(budget.trySpend(1));
-        budget.earn();
-        budget.earn();
-        assertTrue(budget.trySpend(1));
-        assertFalse(budget.trySpend(1));
+        assertFalse(budget.tryWithdraw(1));
+        budget.deposit();
+        budget.deposit();
+        assertTrue(budget.tryWithdraw(1));
+        assertFalse(budget.tryWithdraw(1));
     }
 
     @Test
     void noMoreThanTwentyAreSavedUp() {
         for (int request = 0; request < 1_000; request++) {
-            budget.earn();
+            budget.deposit();
         }
-        assertTrue(budget.trySpend(20));
-        assertFalse(budget.trySpend(1));
+        assertTrue(budget.tryWithdraw(20));
+        assertFalse(budget.tryWithdraw(1));
     }
 }
--- a/src/test/java/magpiewheel/routing/RetryPolicyTest.java
+++ b/src/test/java/magpiewheel/routing/RetryPolicyTest.java
@@ -29,7 +29,7 @@
     private InFlightRequest after(Idempotency idempotency, IdempotencyKeyScope scope, AttemptResult result) {
         InFlightRequest request = request(idempotency, scope);
         Attempt attempt = new Attempt(cache, cache, NOW, 0, 0);
-        request.started(attempt, false);
+        request.attemptStarted(attempt, false);
         if (result != null) {
             attempt.end(result, 0);
         }
@@ -40,8 +40,8 @@
     @EnumSource(Idempotency.class)
     void aFirstAttemptIsAlwaysAllowed(Idempotency idempotency) {
         RetryPolicy.Permit permit = policy.permit(NOW, request(idempotency, IdempotencyKeyScope.ALL));
-        assertTrue(permit.attempt() && permit.reject());
-        assertNull(permit.keyScopeOf());
+        assertTrue(permit.mayAttempt() && permit.mayReject());
+        assertNull(permit.keyScopeEndpoint());
     }
 
     @ParameterizedTest
@@ -49,8 +49,8 @@
     void whatProvablyNeverRanMayBeRetriedAnywhere(Idempotency idempotency) {
         InFlightRequest request = after(idempotency, IdempotencyKeyScope.ZONE, AttemptResult.UNREACHABLE);
         RetryPolicy.Permit permit = policy.permit(NOW, request);
-        assertTrue(permit.attempt() && permit.reject());
-        assertNull(permit.keyScopeOf());
+        assertTrue(permit.mayAttempt() && permit.mayReject());
+        assertNull(permit.keyScopeEndpoint());
     }
 
     @Test
@@ -58,31 +58,31 @@
         InFlightRequest request =
                 after(Idempotency.NOT_IDEMPOTENT, IdempotencyKeyScope.ALL, AttemptResult.CONNECTION_LOST);
         RetryPolicy.Permit permit = policy.permit(NOW, request);
-        assertFalse(permit.attempt() || permit.reject());
+        assertFalse(permit.mayAttempt() || permit.mayReject());
     }
 
     @Test
     void aKeyedRequestIsRetriedWithinItsScopeAndWindow() {
         InFlightRequest request = after(Idempotency.KEYED, IdempotencyKeyScope.ZONE, AttemptResult.TIMEOUT);
         RetryPolicy.Permit permit = policy.permit(NOW, request);
-        assertTrue(permit.attempt());
-        assertFalse(permit.reject(), "its key is unknown elsewhere");
-        assertSame(cache, permit.keyScopeOf());
+        assertTrue(permit.mayAttempt());
+        assertFalse(permit.mayReject(), "its key is unknown elsewhere");
+        assertSame(cache, permit.keyScopeEndpoint());
         assertEquals(NOW + WINDOW_US, policy.retryableUntil(request));
-        assertFalse(
-                policy.permit(NOW + WINDOW_US - RequestRouter.TICK_US, request).attempt());
-        assertTrue(policy.permit(NOW + WINDOW_US - RequestRouter.TICK_US - 1, request)
-                .attempt());
+        assertFalse(policy.permit(NOW + WINDOW_US - RequestRouter.TICK_INTERVAL_US, request)
+                .mayAttempt());
+        assertTrue(policy.permit(NOW + WINDOW_US - RequestRouter.TICK_INTERVAL_US - 1, request)
+                .mayAttempt());
     }
 
     @Test
     void twoAttemptsAreOpenAtOnceOnlyWhereHedgingIsAllowed() {
         InFlightRequest request = after(Idempotency.IDEMPOTENT, IdempotencyKeyScope.ALL, null);
-        assertFalse(policy.permit(NOW, request).attempt());
+        assertFalse(policy.permit(NOW, request).mayAttempt());
         RetryPolicy hedging =
                 new RetryPolicy(RequestLimits.builder(8).mayHedge(true).build());
-        assertTrue(hedging.permit(NOW, request).attempt());
+        assertTrue(hedging.permit(NOW, request).mayAttempt());
         InFlightRequest keyed = after(Idempotency.KEYED, IdempotencyKeyScope.ALL, null);
-        assertFalse(hedging.permit(NOW, keyed).attempt(), "what may run is not hedged with a key");
+        assertFalse(hedging.permit(NOW, keyed).mayAttempt(), "what may run is not hedged with a key");
     }
 }
