--- a/src/test/java/magpiewheel/routing/DesignWorld.java
+++ b/src/test/java/magpiewheel/routing/DesignWorld.java
@@ -13,7 +13,7 @@
 import java.util.PriorityQueue;
 import java.util.TreeMap;
 import java.util.stream.LongStream;
-import magpiewheel.membership.Beats;
+import magpiewheel.membership.HeartbeatMessages;
 import magpiewheel.region.SlowStartProfile;
 import magpiewheel.support.Fingerprint;
 
@@ -315,7 +315,8 @@
 
     /** From now on this router knows of another one. The one place that says how routers meet. */
     void meets(int sender) {
-        rules().peerMessageReceived(now, sender, Beats.of(sender, here + 1, sender < here ? 0 : 1, now));
+        rules().peerMessageReceived(
+                        now, sender, HeartbeatMessages.fromServingMember(sender, here + 1, sender < here ? 0 : 1, now));
         hears(sender, now, List.of(), List.of());
     }
 
--- a/src/test/java/magpiewheel/routing/FillCoalescingTest.java
+++ b/src/test/java/magpiewheel/routing/FillCoalescingTest.java
@@ -6,7 +6,7 @@
 
 import java.util.List;
 import java.util.stream.LongStream;
-import magpiewheel.membership.Beats;
+import magpiewheel.membership.HeartbeatMessages;
 import org.junit.jupiter.api.Test;
 
 /** A part that another front, or this one, has sent to a cache: where it is asked for, how long, and what ends that. */
@@ -37,7 +37,7 @@
         hashed = quiet.last().node();
         other = hashed % 4 + 1;
         rules = started(settings, router);
-        rules.peerMessageReceived(now, 1, Beats.of(1, 2, 0, now));
+        rules.peerMessageReceived(now, 1, HeartbeatMessages.fromServingMember(1, 2, 0, now));
         rules.timerExpired(now, 0);
     }
 
--- a/src/test/java/magpiewheel/routing/PeerReportTest.java
+++ b/src/test/java/magpiewheel/routing/PeerReportTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import magpiewheel.membership.Beats;
+import magpiewheel.membership.HeartbeatMessages;
 import org.junit.jupiter.api.Test;
 
 /** What routers of a zone report to each other. */
@@ -33,7 +33,7 @@
     void aFillIsReportedToPeersOfTheZoneOnly() {
         rules.peerMessageReceived(now, 1, told(0, now, new HolderHint(1, 0, 1, 5, 0)));
         rules.peerMessageReceived(now, 2, told(1, now, new HolderHint(1, 0, 1, 5, 0)));
-        rules.peerMessageReceived(now, 1, Beats.of(1, 2, 0, now));
+        rules.peerMessageReceived(now, 1, HeartbeatMessages.fromServingMember(1, 2, 0, now));
         rules.timerExpired(now, 0);
         int before = router.all.size();
         ask(1, PURE, 77);
@@ -49,7 +49,7 @@
         assertEquals(0, message.zone());
         // It comes back as a front of another location: from then on nothing is told to it.
         now += SECOND;
-        rules.peerMessageReceived(now, 1, Beats.of(1, 2, 1, now));
+        rules.peerMessageReceived(now, 1, HeartbeatMessages.fromServingMember(1, 2, 1, now));
         int then = router.told.size();
         ask(2, PURE, 78);
         answer(2, 0, AttemptResult.OK, CacheStatus.FILLED);
--- a/src/test/java/magpiewheel/routing/RandomEvents.java
+++ b/src/test/java/magpiewheel/routing/RandomEvents.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import magpiewheel.membership.Beats;
+import magpiewheel.membership.HeartbeatMessages;
 import magpiewheel.region.SlowStartProfile;
 import magpiewheel.staleness.ReadHint;
 import magpiewheel.support.Fingerprint;
@@ -293,7 +293,7 @@
     private void peer() {
         int sender = 1 + random.nextInt(HERE);
         int zone = sender < HERE ? 0 : 1;
-        rules.peerMessageReceived(now, sender, Beats.of(sender, DIRECTORS, zone, now));
+        rules.peerMessageReceived(now, sender, HeartbeatMessages.fromServingMember(sender, DIRECTORS, zone, now));
         long cache = 1 + random.nextInt(8);
         HolderHint holder = new HolderHint(object(), random.nextInt(3), cache, 5, random.nextInt(3_000));
         PeerMessage message = new PeerMessage(
