--- a/src/main/java/magpiewheel/region/DeterministicHash.java
+++ b/src/main/java/magpiewheel/region/DeterministicHash.java
@@ -8,14 +8,14 @@
 
     /** Mixes a number's bits well (the finaliser of SplitMix64). */
     static long of(long value) {
-        long z = value + 0x9e3779b97f4a7c15L;
-        z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-        return z ^ z >>> 31;
+        long mixed = value + 0x9e3779b97f4a7c15L;
+        mixed = (mixed ^ mixed >>> 30) * 0xbf58476d1ce4e5b9L;
+        mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
+        return mixed ^ mixed >>> 31;
     }
 
-    static long of(long one, long two) {
-        return of(of(one) ^ two);
+    static long of(long first, long second) {
+        return of(of(first) ^ second);
     }
 
     /** A fraction of a number, from 0 to below 1. */
--- a/src/main/java/magpiewheel/region/Election.java
+++ b/src/main/java/magpiewheel/region/Election.java
@@ -18,22 +18,22 @@
     private static final int ROUTER_BITS = 16;
     private static final long ROUTER_MASK = (1L << ROUTER_BITS) - 1;
     /** A voter that heard a lease holder within this votes for no other proposer. */
-    private static final long LOYALTY_US = 2 * Lease.RENEWAL_US;
+    private static final long PROPOSER_STICKINESS_US = 2 * Lease.RENEWAL_US;
     /**
      * Silence of the proposer after which the first router in line proposes; each one behind it waits a renewal more.
      */
-    private static final long TAKEOVER_US = 2 * Lease.RENEWAL_US + 10_000;
+    private static final long TAKEOVER_TIMEOUT_US = 2 * Lease.RENEWAL_US + 10_000;
     /** Requests in a row without a majority after which a proposer lets others propose. */
-    private static final int MAX_ATTEMPTS = 9;
+    private static final int MAX_REQUEST_ROUNDS = 9;
     /** A leader that is elected again within this continues where it was. */
-    private static final long INTERRUPTION_US = 5_000_000;
+    private static final long MAX_INTERRUPTION_US = 5_000_000;
     /** Terms of a clock that is farther ahead than a day are ignored. */
     private static final long MAX_CLOCK_LEAD_MS = 86_400_000;
 
     /** What this router wants when it proposes, and reports when it votes. */
     interface Delegate {
         /** The parent that should lead, given the current or promised leader (0 for none); 0 for none. */
-        long chooseLeader(long now, long current);
+        long chooseLeader(long now, long currentLeader);
 
         /** The placement of objects under that leader. */
         RegionMessage.Placement placement(long now, long leader);
@@ -48,17 +48,17 @@
      *
      * @param routerId this router
      * @param startedMs the Unix millisecond at which its process started
-     * @param region the key of the region
-     * @param routers how many routers the settings name in it
+     * @param regionKey the key of the region
+     * @param routerCount how many routers the settings name in it
      */
-    record Voters(int routerId, long startedMs, int region, int routers) {}
+    record Participants(int routerId, long startedMs, int regionKey, int routerCount) {}
 
     private final int routerId;
     private final long startedMs;
     private final long startedAt;
-    private final long silentUntil;
-    private final int region;
-    private final int routers;
+    private final long startupSilenceUntil;
+    private final int regionKey;
+    private final int routerCount;
     private final int quorum;
     private final Delegate delegate;
     private final RegionMessageSender messageSender;
@@ -80,27 +80,32 @@
     private long termSince;
     private boolean holdsLease;
     private long leadingSince;
-    private int attempts;
+    private int requestRounds;
     private long nextRequestAt;
     private long nextAttemptAt;
     private final Map<Integer, Long> votes = new HashMap<>();
     private final Set<Integer> rejections = new HashSet<>();
-    private final Map<Integer, Long> voterClocks = new HashMap<>();
+    private final Map<Integer, Long> lastVoteAt = new HashMap<>();
     private final LeaseGrants grants = new LeaseGrants();
-    private Collection<Integer> others = List.of();
+    private Collection<Integer> otherRouters = List.of();
 
     /** An election in which only this router is known; {@code highestTerm} is the highest term of the one before. */
-    Election(long now, Voters voters, long highestTerm, Delegate delegate, RegionMessageSender messageSender) {
-        this.routerId = voters.routerId();
-        this.startedMs = voters.startedMs();
+    Election(
+            long now,
+            Participants participants,
+            long highestTerm,
+            Delegate delegate,
+            RegionMessageSender messageSender) {
+        this.routerId = participants.routerId();
+        this.startedMs = participants.startedMs();
         this.startedAt = now;
-        this.silentUntil = now + Lease.STARTUP_SILENCE_US;
-        this.region = voters.region();
-        this.routers = voters.routers();
-        this.quorum = routers / 2 + 1;
+        this.startupSilenceUntil = now + Lease.STARTUP_SILENCE_US;
+        this.regionKey = participants.regionKey();
+        this.routerCount = participants.routerCount();
+        this.quorum = routerCount / 2 + 1;
         this.highestTerm = Math.max(highestTerm, startedMs << ROUTER_BITS);
         // The first in line proposes as soon as it may, the others after it.
-        this.proposerHeardAt = silentUntil - TAKEOVER_US;
+        this.proposerHeardAt = startupSilenceUntil - TAKEOVER_TIMEOUT_US;
         this.delegate = delegate;
         this.messageSender = messageSender;
     }
@@ -135,25 +140,25 @@
     // ---------------------------------------------------------------- voting
 
     /** Whether this router votes for a leader; if it does, it is bound by that. */
-    private boolean grantsVote(long now, int proposer, long requestedTerm, long wantedLeader) {
-        if (now < silentUntil
+    private boolean grantsVote(long now, int proposer, long requestedTerm, long proposedLeader) {
+        if (now < startupSilenceUntil
                 || requestedTerm < votedTerm
-                || requestedTerm == votedTerm && wantedLeader != votedLeader) {
+                || requestedTerm == votedTerm && proposedLeader != votedLeader) {
             return false;
         }
         if (requestedTerm > votedTerm) {
-            if (currentProposer >= 0 && currentProposer != proposer && now - leaseHeardAt < LOYALTY_US) {
+            if (currentProposer >= 0 && currentProposer != proposer && now - leaseHeardAt < PROPOSER_STICKINESS_US) {
                 return false;
             }
-            if (promises.forbids(now, wantedLeader, proposer)) {
+            if (promises.forbids(now, proposedLeader, proposer)) {
                 return false;
             }
             votedTerm = requestedTerm;
-            votedLeader = wantedLeader;
+            votedLeader = proposedLeader;
             votedSince = now;
         }
-        promises.promise(now, wantedLeader, proposer);
-        if (lease != null && lease.leader() != wantedLeader) {
+        promises.promise(now, proposedLeader, proposer);
+        if (lease != null && lease.leader() != proposedLeader) {
             lease = null;
         }
         return true;
@@ -162,14 +167,14 @@
     /** Another router requests a vote. */
     void requestReceived(long now, int sender, RegionMessage.LeaseRequest request) {
         long requestedTerm = request.header().term();
-        if (request.header().region() != region
+        if (request.header().regionKey() != regionKey
                 || (requestedTerm & ROUTER_MASK) != sender
                 || !isCurrentProcess(sender, request.header())
                 || (requestedTerm >>> ROUTER_BITS) > startedMs + MAX_CLOCK_LEAD_MS + (now - startedAt) / 1_000) {
             return;
         }
         highestTerm = Math.max(highestTerm, requestedTerm);
-        if (now < silentUntil) {
+        if (now < startupSilenceUntil) {
             proposerHeardAt = Math.max(proposerHeardAt, now);
             return;
         }
@@ -188,7 +193,7 @@
                 followLeader(now, request);
             }
         }
-        RegionMessage.Header header = new RegionMessage.Header(region, requestedTerm, startedMs);
+        RegionMessage.Header header = new RegionMessage.Header(regionKey, requestedTerm, startedMs);
         messageSender.send(
                 sender,
                 RegionMessageCodec.encode(delegate.createVote(header, granted, now, request.sentAt(), votedTerm)));
@@ -213,30 +218,30 @@
 
     /** Does what is due; {@code runningRouters} are the other routers of the region that run, by number. */
     void tick(long now, Collection<Integer> runningRouters, boolean isolated) {
-        others = runningRouters;
-        if (now < silentUntil) {
+        otherRouters = runningRouters;
+        if (now < startupSilenceUntil) {
             return;
         }
-        long current = lease(now) != null ? lease.leader() : promises.promisedLeader(now);
+        long currentLeader = lease(now) != null ? lease.leader() : promises.promisedLeader(now);
         if (!isProposer) {
             if (now < takeoverAt()) {
                 return;
             }
             nextAttemptAt = now + Lease.RENEWAL_US;
-            long wantedLeader = isolated ? 0 : delegate.chooseLeader(now, current);
-            if (wantedLeader != 0) {
-                propose(now, wantedLeader);
+            long proposedLeader = isolated ? 0 : delegate.chooseLeader(now, currentLeader);
+            if (proposedLeader != 0) {
+                propose(now, proposedLeader);
             }
             return;
         }
         acquireLease(now);
-        long wantedLeader = delegate.chooseLeader(now, leader);
-        if (wantedLeader == 0) {
+        long proposedLeader = delegate.chooseLeader(now, leader);
+        if (proposedLeader == 0) {
             stepDown(now);
-        } else if (wantedLeader != leader) {
-            propose(now, wantedLeader);
+        } else if (proposedLeader != leader) {
+            propose(now, proposedLeader);
         } else if (now >= nextRequestAt) {
-            if (!holdsLease && ++attempts > MAX_ATTEMPTS) {
+            if (!holdsLease && ++requestRounds > MAX_REQUEST_ROUNDS) {
                 stepDown(now);
             } else {
                 requestVotes(now);
@@ -245,50 +250,51 @@
     }
 
     private long takeoverAt() {
-        long before = others.stream().filter(router -> router < routerId).count();
-        return proposerHeardAt + TAKEOVER_US + before * Lease.RENEWAL_US;
+        long lowerIds =
+                otherRouters.stream().filter(router -> router < routerId).count();
+        return proposerHeardAt + TAKEOVER_TIMEOUT_US + lowerIds * Lease.RENEWAL_US;
     }
 
     /** When {@link #tick} wants to be called. */
     long due(long now) {
-        if (now < silentUntil) {
-            return silentUntil;
+        if (now < startupSilenceUntil) {
+            return startupSilenceUntil;
         }
         if (!isProposer) {
             // A router that can propose nobody, isolated or without an eligible parent, tries again later.
             return Math.max(takeoverAt(), nextAttemptAt);
         }
-        long blocked = grants.othersUsedUntil(now, leader);
-        return blocked > now ? Math.min(nextRequestAt, blocked) : nextRequestAt;
+        long othersUsedUntil = grants.othersUsedUntil(now, leader);
+        return othersUsedUntil > now ? Math.min(nextRequestAt, othersUsedUntil) : nextRequestAt;
     }
 
-    private void propose(long now, long wantedLeader) {
-        long next = ((Math.max(highestTerm, votedTerm) >>> ROUTER_BITS) + 1) << ROUTER_BITS | routerId;
-        if (currentProposer == routerId || now - leaseHeardAt >= LOYALTY_US) {
+    private void propose(long now, long proposedLeader) {
+        long nextTerm = ((Math.max(highestTerm, votedTerm) >>> ROUTER_BITS) + 1) << ROUTER_BITS | routerId;
+        if (currentProposer == routerId || now - leaseHeardAt >= PROPOSER_STICKINESS_US) {
             currentProposer = routerId;
         }
-        if (!grantsVote(now, routerId, next, wantedLeader)) {
+        if (!grantsVote(now, routerId, nextTerm, proposedLeader)) {
             // A promise to another proposer still stands.
             stepDown(now);
             return;
         }
-        highestTerm = next;
+        highestTerm = nextTerm;
         isProposer = true;
         holdsLease = false;
-        term = next;
-        leader = wantedLeader;
+        term = nextTerm;
+        leader = proposedLeader;
         leadingSince = leadingSince(now);
         termSince = now;
-        attempts = 0;
+        requestRounds = 0;
         votes.clear();
         rejections.clear();
-        voterClocks.clear();
+        lastVoteAt.clear();
         requestVotes(now);
     }
 
     /** Since when the proposed parent leads: a short while without a lease is no interruption. */
     private long leadingSince(long now) {
-        return lease != null && lease.leader() == leader && now - lease.untilUs() < INTERRUPTION_US
+        return lease != null && lease.leader() == leader && now - lease.untilUs() < MAX_INTERRUPTION_US
                 ? lease.leadingSinceUs()
                 : now;
     }
@@ -305,22 +311,22 @@
             votes.put(routerId, now);
         }
         acquireLease(now);
-        boolean valid = holdsLease(now);
-        for (int router : others) {
-            requestVote(now, router, valid);
+        boolean leaseValid = holdsLease(now);
+        for (int router : otherRouters) {
+            requestVote(now, router, leaseValid);
         }
     }
 
-    private void requestVote(long now, int router, boolean valid) {
-        long echoedVoteAt = valid ? voterClocks.getOrDefault(router, 0L) : 0;
-        long remainingUs = valid ? lease.untilUs() - now : 0;
+    private void requestVote(long now, int router, boolean leaseValid) {
+        long echoedVoteAt = leaseValid ? lastVoteAt.getOrDefault(router, 0L) : 0;
+        long remainingUs = leaseValid ? lease.untilUs() - now : 0;
         if (echoedVoteAt != 0) {
             grants.grant(router, leader, lease.untilUs());
         }
         messageSender.send(
                 router,
                 RegionMessageCodec.encode(new RegionMessage.LeaseRequest(
-                        new RegionMessage.Header(region, term, startedMs),
+                        new RegionMessage.Header(regionKey, term, startedMs),
                         leader,
                         now,
                         echoedVoteAt,
@@ -334,7 +340,7 @@
      * region.
      */
     boolean voteReceived(long now, int sender, RegionMessage.Vote vote, Set<Integer> zones) {
-        if (vote.header().region() != region
+        if (vote.header().regionKey() != regionKey
                 || !zones.contains(vote.zone())
                 || !isCurrentProcess(sender, vote.header())) {
             return false;
@@ -354,15 +360,15 @@
             return false;
         }
         votes.merge(sender, vote.requestSentAt(), Math::max);
-        boolean first =
-                voterClocks.merge(sender, vote.votedAt(), Math::max) == vote.votedAt() && !grants.contains(sender);
+        boolean firstVote =
+                lastVoteAt.merge(sender, vote.votedAt(), Math::max) == vote.votedAt() && !grants.contains(sender);
         // A vote for this leader says that the voter uses no other.
         grants.votedFor(sender, leader);
         boolean heldBefore = holdsLease(now);
         acquireLease(now);
         if (!heldBefore && holdsLease(now)) {
             requestVotes(now);
-        } else if (heldBefore && first) {
+        } else if (heldBefore && firstVote) {
             requestVote(now, sender, true);
         }
         return true;
@@ -371,11 +377,11 @@
     /** A router rejected the request: without a majority left, or with a higher term, another is to propose. */
     private void rejected(long now, int sender, RegionMessage.Vote vote) {
         rejections.add(sender);
-        boolean hopeless = !holdsLease && rejections.size() > routers - quorum;
-        if (hopeless || vote.votedTerm() > term) {
+        boolean majorityUnreachable = !holdsLease && rejections.size() > routerCount - quorum;
+        if (majorityUnreachable || vote.votedTerm() > term) {
             stepDown(now);
         }
-        if (hopeless) {
+        if (majorityUnreachable) {
             // Two that each promised to themselves would reject each other for good: let the promises expire.
             proposerHeardAt = now + Lease.PROMISE_US;
         }
@@ -399,7 +405,7 @@
             holdsLease = true;
             leadingSince = leadingSince(now);
         }
-        attempts = 0;
+        requestRounds = 0;
         leaseHeardAt = now;
         lease = new Lease(term, leader, until, leadingSince, delegate.placement(now, leader));
     }
--- a/src/main/java/magpiewheel/region/FillAdmission.java
+++ b/src/main/java/magpiewheel/region/FillAdmission.java
@@ -14,7 +14,7 @@
     /** Objects whose requests are counted at most. */
     private static final int MAX_OBJECTS = 8_192;
     /** Windows after which all counts are halved. */
-    private static final int FADE_WINDOWS = 20;
+    private static final int HALVING_INTERVAL_WINDOWS = 20;
     /** Windows of unused work that are saved up at most. */
     private static final double BURST_WINDOWS = 1;
 
@@ -39,9 +39,9 @@
     private int demandThreshold;
     private long rejected;
 
-    /** Whether a fill may start; {@code perS} is the work a second that this router may start. Nobody waits. */
-    boolean admits(long now, long object, double work, double perS) {
-        rotateWindow(now, perS);
+    /** Whether a fill may start; {@code workPerS} is the work a second that this router may start. Nobody waits. */
+    boolean admits(long now, long object, double work, double workPerS) {
+        rotateWindow(now, workPerS);
         int[] count = demand.computeIfAbsent(object, o -> new int[1]);
         count[0] = Math.min(MAX_DEMAND, count[0] + 1);
         if (inFlight.containsKey(object)) {
@@ -69,31 +69,31 @@
         }
     }
 
-    private void rotateWindow(long now, double perS) {
+    private void rotateWindow(long now, double workPerS) {
         if (refilledAt == Long.MIN_VALUE) {
             refilledAt = now;
             windowAt = now;
-            tokens = perS * WINDOW_US / 1e6 * BURST_WINDOWS;
+            tokens = workPerS * WINDOW_US / 1e6 * BURST_WINDOWS;
         }
-        tokens =
-                Math.min(Math.max(1, perS * WINDOW_US / 1e6 * BURST_WINDOWS), tokens + perS * (now - refilledAt) / 1e6);
+        tokens = Math.min(
+                Math.max(1, workPerS * WINDOW_US / 1e6 * BURST_WINDOWS), tokens + workPerS * (now - refilledAt) / 1e6);
         refilledAt = now;
         if (now - windowAt < WINDOW_US) {
             return;
         }
-        double fits = perS * (now - windowAt) / 1e6;
+        double windowBudget = workPerS * (now - windowAt) / 1e6;
         windowAt = now;
         // The lowest count down to which all work that arrived would have fitted.
-        int lowest = MAX_DEMAND;
-        double sum = arrivedWork[MAX_DEMAND];
-        while (lowest > 0 && sum + arrivedWork[lowest - 1] <= fits) {
-            lowest--;
-            sum += arrivedWork[lowest];
+        int threshold = MAX_DEMAND;
+        double cumulativeWork = arrivedWork[MAX_DEMAND];
+        while (threshold > 0 && cumulativeWork + arrivedWork[threshold - 1] <= windowBudget) {
+            threshold--;
+            cumulativeWork += arrivedWork[threshold];
         }
-        demandThreshold = lowest;
+        demandThreshold = threshold;
         arrivedWork = new double[MAX_DEMAND + 1];
         inFlight.values().removeIf(since -> now - since > 10_000_000);
-        if (++windows % FADE_WINDOWS == 0) {
+        if (++windows % HALVING_INTERVAL_WINDOWS == 0) {
             demand.values().removeIf(FillAdmission::halve);
         }
     }
--- a/src/main/java/magpiewheel/region/FillRouter.java
+++ b/src/main/java/magpiewheel/region/FillRouter.java
@@ -22,37 +22,37 @@
     /** The parent to fill an object from; null where the router is to choose for itself. */
     Leader leaderFor(long now, int zone, long object, double work) {
         Lease lease = state.lease(now);
-        boolean second = lease != null && LoadSpill.goesToSecond(lease.placement(), object);
+        boolean spilled = lease != null && LoadSpill.isSpilled(lease.placement(), object);
         Parent parent = lease == null
                 ? null
-                : state.parents.get(second ? lease.placement().second() : lease.leader());
-        RouteReason reason = standing(now, zone, lease, parent);
+                : state.parents.get(spilled ? lease.placement().spillParent() : lease.leader());
+        RouteReason reason = regionStatus(now, zone, lease, parent);
         if (reason == RouteReason.LED) {
-            reason = reasonOf(now, object, work, lease, parent, second);
+            reason = routeReason(now, object, work, lease, parent, spilled);
         }
         counts[reason.ordinal()]++;
         return reason == RouteReason.LED || reason == RouteReason.SPILLED
-                ? new Leader(parent.id(), lease.term(), second)
+                ? new Leader(parent.id(), lease.term(), spilled)
                 : null;
     }
 
-    private RouteReason reasonOf(long now, long object, double work, Lease lease, Parent parent, boolean second) {
-        if (!Handover.moved(now - lease.leadingSinceUs(), lease.leader(), object)) {
+    private RouteReason routeReason(long now, long object, double work, Lease lease, Parent parent, boolean spilled) {
+        if (!Handover.hasMigrated(now - lease.leadingSinceUs(), lease.leader(), object)) {
             return RouteReason.NOT_MIGRATED;
         }
         if (!handover.hasBudget(now, parent, state.membership.quotaDivisor(now), work)) {
             return RouteReason.NO_BUDGET;
         }
-        return second ? RouteReason.SPILLED : RouteReason.LED;
+        return spilled ? RouteReason.SPILLED : RouteReason.LED;
     }
 
     /** How the region stands, whatever the object: {@link RouteReason#LED} or what prevents that. */
-    RouteReason standing(long now) {
+    RouteReason regionStatus(long now) {
         Lease lease = state.lease(now);
-        return standing(now, state.config.zone(), lease, lease == null ? null : state.parents.get(lease.leader()));
+        return regionStatus(now, state.config.zone(), lease, lease == null ? null : state.parents.get(lease.leader()));
     }
 
-    private RouteReason standing(long now, int zone, Lease lease, Parent parent) {
+    private RouteReason regionStatus(long now, int zone, Lease lease, Parent parent) {
         if (state.region == null || !state.region.zones().contains(zone)) {
             return RouteReason.NO_REGION;
         }
@@ -65,7 +65,7 @@
         if (parent == null || parent.draining()) {
             return RouteReason.LEADER_REMOVED;
         }
-        if (state.observationsOf(parent.id()).suspicions(now) > 0) {
+        if (state.observationsOf(parent.id()).overdueResponses(now) > 0) {
             return RouteReason.LEADER_SUSPECTED;
         }
         return RouteReason.LED;
@@ -86,7 +86,7 @@
         ParentObservations leader = state.observationsOfLeader(state.lease(now));
         double missRatio = Math.max(MIN_MISS_RATIO, leader == null ? 1 : leader.missRatio(now));
         double workPerS = state.config.originWorkPerS() / missRatio;
-        double budget = parentsBudget(now);
+        double budget = warmUpBudget(now);
         if (budget > 0) {
             long windowUs = state.config.slowStart().overloadWindowUs();
             workPerS = Math.min(workPerS, budget * SECOND_US / windowUs);
@@ -94,7 +94,7 @@
         return admission.admits(now, object, work, workPerS / Math.max(1, state.membership.quotaDivisor(now)));
     }
 
-    private double parentsBudget(long now) {
+    private double warmUpBudget(long now) {
         return state.parents.values().stream()
                 .filter(parent -> state.region != null && parent.hub() == state.region.hub() && !parent.draining())
                 .mapToDouble(parent -> handover.budget(now, parent))
--- a/src/main/java/magpiewheel/region/Handover.java
+++ b/src/main/java/magpiewheel/region/Handover.java
@@ -12,76 +12,77 @@
  */
 final class Handover {
     /** The first step, as a part of all objects; each further step doubles it. */
-    static final double FIRST_SHARE = 1 / 16.0;
+    static final double INITIAL_SHARE = 1 / 16.0;
     /** How long a step lasts. */
     static final long STEP_US = 1_000_000;
     /** The part of what a parent tolerates that is used. */
-    static final double SAFETY = 0.7;
+    static final double SAFETY_FACTOR = 0.7;
     /** The buckets that a window is divided into. */
     private static final int BUCKETS = 8;
 
-    private static final class Ledger {
-        final Deque<double[]> pieces = new ArrayDeque<>();
-        double sum;
+    private static final class WorkWindow {
+        final Deque<double[]> buckets = new ArrayDeque<>();
+        double totalWork;
     }
 
     private final SlowStartProfile slowStart;
-    private final Map<Long, Ledger> ledgers = new HashMap<>();
+    private final Map<Long, WorkWindow> windows = new HashMap<>();
 
-    Handover(SlowStartProfile cold) {
-        this.slowStart = cold;
+    Handover(SlowStartProfile slowStart) {
+        this.slowStart = slowStart;
     }
 
     /** The part of all objects that has migrated to a parent that has led for so long. */
-    static double moved(long ledUs) {
-        return Math.min(1, FIRST_SHARE * Math.pow(2, Math.floorDiv(Math.max(0, ledUs), STEP_US)));
+    static double migratedShare(long leadingForUs) {
+        return Math.min(1, INITIAL_SHARE * Math.pow(2, Math.floorDiv(Math.max(0, leadingForUs), STEP_US)));
     }
 
     /** Whether an object has migrated to a leader that has led for so long. */
-    static boolean moved(long ledUs, long leader, long object) {
-        return DeterministicHash.fraction(DeterministicHash.of(leader, object)) < moved(ledUs);
+    static boolean hasMigrated(long leadingForUs, long leader, long object) {
+        return DeterministicHash.fraction(DeterministicHash.of(leader, object)) < migratedShare(leadingForUs);
     }
 
     /** Work was sent to a parent. */
     void workSent(long now, long parent, double work) {
-        Ledger ledger = ledger(now, parent);
-        long piece = Math.max(1, slowStart.overloadWindowUs() / BUCKETS);
-        double[] last = ledger.pieces.peekLast();
-        if (last == null || last[0] != Math.floorDiv(now, piece)) {
-            last = new double[] {Math.floorDiv(now, piece), 0};
-            ledger.pieces.addLast(last);
+        WorkWindow window = window(now, parent);
+        long bucketUs = Math.max(1, slowStart.overloadWindowUs() / BUCKETS);
+        double[] last = window.buckets.peekLast();
+        if (last == null || last[0] != Math.floorDiv(now, bucketUs)) {
+            last = new double[] {Math.floorDiv(now, bucketUs), 0};
+            window.buckets.addLast(last);
         }
         last[1] += work;
-        ledger.sum += work;
+        window.totalWork += work;
     }
 
-    private Ledger ledger(long now, long parent) {
-        Ledger ledger = ledgers.computeIfAbsent(parent, id -> new Ledger());
-        long piece = Math.max(1, slowStart.overloadWindowUs() / BUCKETS);
-        while (!ledger.pieces.isEmpty() && ledger.pieces.peekFirst()[0] < Math.floorDiv(now, piece) - BUCKETS) {
-            ledger.sum -= ledger.pieces.pollFirst()[1];
+    private WorkWindow window(long now, long parent) {
+        WorkWindow window = windows.computeIfAbsent(parent, id -> new WorkWindow());
+        long bucketUs = Math.max(1, slowStart.overloadWindowUs() / BUCKETS);
+        while (!window.buckets.isEmpty() && window.buckets.peekFirst()[0] < Math.floorDiv(now, bucketUs) - BUCKETS) {
+            window.totalWork -= window.buckets.pollFirst()[1];
         }
-        return ledger;
+        return window;
     }
 
     /** What all routers together may send to a parent within the overload window; infinite once it is warm. */
     double budget(long now, Parent parent) {
-        long since = now - parent.startedUs() - slowStart.overloadWindowUs();
-        if (parent.startedUs() <= 0 || since >= slowStart.warmUpUs()) {
+        long warmUpElapsedUs = now - parent.startedUs() - slowStart.overloadWindowUs();
+        if (parent.startedUs() <= 0 || warmUpElapsedUs >= slowStart.warmUpUs()) {
             return Double.POSITIVE_INFINITY;
         }
-        double present = slowStart.capacityShare(since);
-        return SAFETY * slowStart.overloadMultiple() * present * parent.transferCapacity();
+        double currentShare = slowStart.capacityShare(warmUpElapsedUs);
+        return SAFETY_FACTOR * slowStart.overloadMultiple() * currentShare * parent.transferCapacity();
     }
 
-    /** Whether this router's share of a parent's budget allows more work; {@code sharers} divide the budget. */
-    boolean hasBudget(long now, Parent parent, double sharers, double work) {
+    /** Whether this router's share of a parent's budget allows more work; {@code quotaDivisor} divides the budget. */
+    boolean hasBudget(long now, Parent parent, double quotaDivisor, double work) {
         double budget = budget(now, parent);
-        return Double.isInfinite(budget) || ledger(now, parent.id()).sum + work <= budget / Math.max(1, sharers);
+        return Double.isInfinite(budget)
+                || window(now, parent.id()).totalWork + work <= budget / Math.max(1, quotaDivisor);
     }
 
     /** Forgets all other parents. */
-    void retain(java.util.Set<Long> parents) {
-        ledgers.keySet().retainAll(parents);
+    void retainParents(java.util.Set<Long> parents) {
+        windows.keySet().retainAll(parents);
     }
 }
--- a/src/main/java/magpiewheel/region/Leader.java
+++ b/src/main/java/magpiewheel/region/Leader.java
@@ -5,4 +5,4 @@
  *
  * @param second whether the object is placed at the second in rank
  */
-public record Leader(long parent, long term, boolean second) {}
+public record Leader(long parent, long term, boolean spilled) {}
--- a/src/main/java/magpiewheel/region/LeaderSuspicions.java
+++ b/src/main/java/magpiewheel/region/LeaderSuspicions.java
@@ -8,7 +8,7 @@
 /** Reports overdue responses of leading parents, and ejects a parent whose hang is confirmed. */
 final class LeaderSuspicions {
     /** Routers that a suspicion is sent to, besides the proposer. */
-    private static final int RECEIVERS = 2;
+    private static final int SUSPICION_RECEIVERS = 2;
 
     private final RegionState state;
     private final RegionMessageSender sender;
@@ -34,16 +34,19 @@
         if (lease == null) {
             return;
         }
-        Set<Long> leading =
-                new HashSet<>(List.of(lease.leader(), lease.placement().second()));
-        for (long parent : leading) {
+        Set<Long> leadingParents =
+                new HashSet<>(List.of(lease.leader(), lease.placement().spillParent()));
+        for (long parent : leadingParents) {
             ParentObservations observed = state.observations.get(parent);
-            if (observed != null && observed.suspicions(now) > 0) {
+            if (observed != null && observed.overdueResponses(now) > 0) {
                 nextReportAt = now + Lease.RENEWAL_US;
                 report(
                         now,
                         new RegionMessage.Suspicion(
-                                state.header(lease.term()), parent, observed.silentUs(now), observed.suspicions(now)));
+                                state.header(lease.term()),
+                                parent,
+                                observed.silentUs(now),
+                                observed.overdueResponses(now)));
             }
         }
     }
@@ -51,18 +54,18 @@
     private void report(long now, RegionMessage.Suspicion suspicion) {
         int self = state.config.routerId();
         List<Integer> others = state.otherRouters();
-        Set<Integer> receivers = new HashSet<>(others.subList(0, Math.min(RECEIVERS, others.size())));
+        Set<Integer> receivers = new HashSet<>(others.subList(0, Math.min(SUSPICION_RECEIVERS, others.size())));
         if (state.election.proposer() >= 0) {
             receivers.add(state.election.proposer());
         }
         receivers.remove(self);
         receivers.forEach(router -> sender.send(router, RegionMessageCodec.encode(suspicion)));
-        suspected(now, self, suspicion);
+        suspicionReceived(now, self, suspicion);
     }
 
     /** A router reported that a parent's responses are overdue. */
-    void suspected(long now, int router, RegionMessage.Suspicion suspicion) {
-        boolean ejected = state.hangDetector.suspected(
+    void suspicionReceived(long now, int router, RegionMessage.Suspicion suspicion) {
+        boolean ejected = state.hangDetector.addSuspicion(
                 now, router, suspicion.leader(), suspicion.silentUs(), suspicion.overdue());
         if (ejected) {
             state.ranking.forget(suspicion.leader());
@@ -71,12 +74,13 @@
     }
 
     /** A router reported with its vote what it measured of a parent. */
-    void measured(long now, int router, RegionMessage.Vote vote, RegionMessage.ParentReport report) {
+    void reportReceived(long now, int router, RegionMessage.Vote vote, RegionMessage.ParentReport report) {
         // The vote came after the request that it answers: so did the parent's responses, so long before it.
-        state.hangDetector.responded(vote.requestSentAt() - report.answeredAgoUs(), report.parent());
-        state.ranking.reported(now, router, report);
+        state.hangDetector.responded(vote.requestSentAt() - report.respondedAgoUs(), report.parent());
+        state.ranking.addReport(now, router, report);
         if (report.silentUs() > 0 && !state.hangDetector.isEjected(now, report.parent())) {
-            suspected(now, router, new RegionMessage.Suspicion(vote.header(), report.parent(), report.silentUs(), 1));
+            suspicionReceived(
+                    now, router, new RegionMessage.Suspicion(vote.header(), report.parent(), report.silentUs(), 1));
         }
     }
 }
--- a/src/main/java/magpiewheel/region/LoadSpill.java
+++ b/src/main/java/magpiewheel/region/LoadSpill.java
@@ -25,109 +25,115 @@
     private static final long REPORT_VALID_US = 1_500_000;
 
     static final long DECISION_INTERVAL_US = 1_000_000;
-    private static final double ALL_SLICES = 255;
+    private static final double SLICE_DENOMINATOR = 255;
 
-    private record Sent(double sent, long hot, double hotSent, long at) {}
+    private record LoadReport(double sentPerS, long hotObject, double hotSentPerS, long receivedAt) {}
 
-    private final Map<Integer, Sent> reports = new HashMap<>();
+    private final Map<Integer, LoadReport> reports = new HashMap<>();
     private RegionMessage.Placement placement = RegionMessage.Placement.NONE;
     private long decidedAt = Long.MIN_VALUE / 2;
     private long leader;
 
     /** A router reported what it sends to the leader, and the object that most of it is for. */
-    void reported(long now, int router, double sent, long hot, double hotSent) {
-        reports.put(router, new Sent(sent, hot, hotSent, now));
+    void addReport(long now, int router, double sentPerS, long hotObject, double hotSentPerS) {
+        reports.put(router, new LoadReport(sentPerS, hotObject, hotSentPerS, now));
     }
 
     /** What the routers report that they send to the leader. */
-    double reportedLoad(long now) {
-        reports.values().removeIf(report -> now - report.at() >= REPORT_VALID_US);
-        return reports.values().stream().mapToDouble(Sent::sent).sum();
+    double reportedLoadPerS(long now) {
+        reports.values().removeIf(report -> now - report.receivedAt() >= REPORT_VALID_US);
+        return reports.values().stream().mapToDouble(LoadReport::sentPerS).sum();
     }
 
     /**
-     * The placement of objects, decided anew at most once in {@link #DECISION_INTERVAL_US}; {@code spare} is the free
-     * capacity of the second's link.
+     * The placement of objects, decided anew at most once in {@link #DECISION_INTERVAL_US}; {@code spareCapacity} is
+     * the free capacity of the second's link.
      */
-    RegionMessage.Placement decide(long now, Parent first, Parent second, double spare) {
+    RegionMessage.Placement decide(long now, Parent first, Parent second, double spareCapacity) {
         if (first.id() != leader) {
             leader = first.id();
             placement = RegionMessage.Placement.NONE;
             reports.clear();
         }
-        if (second == null || second.id() != placement.second() && placement.second() != 0) {
+        if (second == null || second.id() != placement.spillParent() && placement.spillParent() != 0) {
             placement = RegionMessage.Placement.NONE;
         }
         if (second == null || now - decidedAt < DECISION_INTERVAL_US) {
             return placement;
         }
         decidedAt = now;
-        double sent = reportedLoad(now);
-        double utilization = sent / first.linkCapacity();
+        double sentPerS = reportedLoadPerS(now);
+        double utilization = sentPerS / first.linkCapacity();
         if (utilization > HIGH_UTILIZATION) {
-            placement = increase(
-                    sent - TARGET_UTILIZATION * first.linkCapacity(), sent, first.linkCapacity(), second.id(), spare);
-        } else if (utilization < LOW_UTILIZATION && placement.second() != 0) {
-            placement = decrease();
+            placement = spillMore(
+                    sentPerS - TARGET_UTILIZATION * first.linkCapacity(),
+                    sentPerS,
+                    first.linkCapacity(),
+                    second.id(),
+                    spareCapacity);
+        } else if (utilization < LOW_UTILIZATION && placement.spillParent() != 0) {
+            placement = spillLess();
         }
         return placement;
     }
 
-    private RegionMessage.Placement increase(double over, double sent, double carries, long second, double spare) {
-        Map<Long, Double> hot = new HashMap<>();
+    private RegionMessage.Placement spillMore(
+            double excessLoad, double sentPerS, double linkCapacity, long spillParent, double spareCapacity) {
+        Map<Long, Double> hotObjectLoads = new HashMap<>();
         reports.values().forEach(report -> {
-            if (report.hot() != 0) {
-                hot.merge(report.hot(), report.hotSent(), Double::sum);
+            if (report.hotObject() != 0) {
+                hotObjectLoads.merge(report.hotObject(), report.hotSentPerS(), Double::sum);
             }
         });
-        double excess = over;
-        double spareCapacity = spare;
+        double remainingExcess = excessLoad;
+        double remainingSpare = spareCapacity;
         List<Long> objects = new ArrayList<>(placement.hotObjects());
-        for (long object : hot.keySet().stream()
-                .sorted(Comparator.comparingDouble((Long o) -> -hot.get(o)).thenComparing(o -> o))
+        for (long object : hotObjectLoads.keySet().stream()
+                .sorted(Comparator.comparingDouble((Long o) -> -hotObjectLoads.get(o))
+                        .thenComparing(o -> o))
                 .toList()) {
-            double part = hot.get(object);
-            if (excess > 0
-                    && part >= HOT_SHARE * carries
-                    && part <= spareCapacity
+            double objectLoad = hotObjectLoads.get(object);
+            if (remainingExcess > 0
+                    && objectLoad >= HOT_SHARE * linkCapacity
+                    && objectLoad <= remainingSpare
                     && objects.size() < RegionMessageCodec.MAX_HOT_OBJECTS
                     && !objects.contains(object)) {
                 objects.add(object);
-                excess -= part;
-                spareCapacity -= part;
+                remainingExcess -= objectLoad;
+                remainingSpare -= objectLoad;
             }
         }
         int slice = placement.slice();
-        double migrated = Math.min(excess, spareCapacity);
-        if (migrated > 0 && sent > 0) {
+        double movedLoad = Math.min(remainingExcess, remainingSpare);
+        if (movedLoad > 0 && sentPerS > 0) {
             // The slice is of all objects; the leader still gets all but the slice.
-            double remaining = (1 - slice / ALL_SLICES) * (1 - migrated / sent);
-            slice = Math.min(MAX_SLICE, (int) Math.ceil((1 - remaining) * ALL_SLICES));
+            double remaining = (1 - slice / SLICE_DENOMINATOR) * (1 - movedLoad / sentPerS);
+            slice = Math.min(MAX_SLICE, (int) Math.ceil((1 - remaining) * SLICE_DENOMINATOR));
         }
         return objects.isEmpty() && slice == 0
                 ? placement
-                : new RegionMessage.Placement(second, slice, List.copyOf(objects));
+                : new RegionMessage.Placement(spillParent, slice, List.copyOf(objects));
     }
 
-    private RegionMessage.Placement decrease() {
+    private RegionMessage.Placement spillLess() {
         if (placement.slice() > 0) {
-            return trimmed(
-                    new RegionMessage.Placement(placement.second(), placement.slice() * 3 / 4, placement.hotObjects()));
+            return normalized(new RegionMessage.Placement(
+                    placement.spillParent(), placement.slice() * 3 / 4, placement.hotObjects()));
         }
-        return trimmed(new RegionMessage.Placement(
-                placement.second(),
+        return normalized(new RegionMessage.Placement(
+                placement.spillParent(),
                 0,
                 placement.hotObjects().subList(0, placement.hotObjects().size() - 1)));
     }
 
-    private static RegionMessage.Placement trimmed(RegionMessage.Placement placing) {
-        return placing.slice() == 0 && placing.hotObjects().isEmpty() ? RegionMessage.Placement.NONE : placing;
+    private static RegionMessage.Placement normalized(RegionMessage.Placement placement) {
+        return placement.slice() == 0 && placement.hotObjects().isEmpty() ? RegionMessage.Placement.NONE : placement;
     }
 
     /** Whether an object is placed at the second in rank. */
-    static boolean goesToSecond(RegionMessage.Placement placing, long object) {
-        return placing.second() != 0
-                && (placing.hotObjects().contains(object)
-                        || DeterministicHash.fraction(object) * ALL_SLICES < placing.slice());
+    static boolean isSpilled(RegionMessage.Placement placement, long object) {
+        return placement.spillParent() != 0
+                && (placement.hotObjects().contains(object)
+                        || DeterministicHash.fraction(object) * SLICE_DENOMINATOR < placement.slice());
     }
 }
--- a/src/main/java/magpiewheel/region/ParentObservations.java
+++ b/src/main/java/magpiewheel/region/ParentObservations.java
@@ -6,11 +6,11 @@
 /** What this router measured of one parent. */
 final class ParentObservations {
     /** Weight of the newest response, and how long averages are remembered without one. */
-    private static final double WEIGHT = 0.1;
+    private static final double MIN_SAMPLE_WEIGHT = 0.1;
 
-    private static final long FORGET_US = 5_000_000;
+    private static final long RESPONSE_VALID_US = 5_000_000;
     /** How long an overdue response counts as a suspicion: without requests there are no responses. */
-    private static final long SUSPICION_US = 2_000_000;
+    private static final long OVERDUE_VALID_US = 2_000_000;
 
     private static final long WINDOW_US = 500_000;
     private static final int MAX_SAMPLES = 255;
@@ -18,30 +18,30 @@
     private double firstByteUs;
     private double failureRatio;
     private double hitRatio;
-    private double freeCapacity = 1;
+    private double freeLinkShare = 1;
     private int samples;
     private long respondedAt = Long.MIN_VALUE / 2;
-    private long suspectedSince;
+    private long silentSince;
     private int overdue;
     private long overdueAt;
     // What was sent there, by windows.
     private long windowAt;
     private double sentInWindow;
-    private Map<Long, Double> byObject = new HashMap<>();
+    private Map<Long, Double> sentByObject = new HashMap<>();
     private double sentPerS;
     private long hotObject;
     private double hotPerS;
 
     /** A response came, or a fill failed. */
-    void responded(long now, long tookUs, boolean ok, boolean hit) {
-        if (now - respondedAt > FORGET_US) {
+    void responded(long now, long firstByteTimeUs, boolean succeeded, boolean hit) {
+        if (now - respondedAt > RESPONSE_VALID_US) {
             samples = 0;
         }
         samples = Math.min(MAX_SAMPLES, samples + 1);
-        double weight = Math.max(WEIGHT, 1.0 / samples);
-        failureRatio += ((ok ? 0 : 1) - failureRatio) * weight;
-        if (ok) {
-            firstByteUs += (tookUs - firstByteUs) * weight;
+        double weight = Math.max(MIN_SAMPLE_WEIGHT, 1.0 / samples);
+        failureRatio += ((succeeded ? 0 : 1) - failureRatio) * weight;
+        if (succeeded) {
+            firstByteUs += (firstByteTimeUs - firstByteUs) * weight;
             hitRatio += ((hit ? 1 : 0) - hitRatio) * weight;
         }
         respondedAt = now;
@@ -53,24 +53,24 @@
         if (respondedAt >= sentAt) {
             return;
         }
-        if (suspicions(now) == 0) {
+        if (overdueResponses(now) == 0) {
             overdue = 0;
-            suspectedSince = sentAt;
+            silentSince = sentAt;
         }
         overdue++;
         overdueAt = now;
     }
 
     /** Sets the part of its link that is free. */
-    void setFreeCapacity(double free) {
-        freeCapacity = free;
+    void setFreeLinkShare(double share) {
+        freeLinkShare = share;
     }
 
-    void fillSent(long now, long object, double amount) {
+    void fillSent(long now, long object, double transfers) {
         rotateWindow(now);
-        sentInWindow += amount;
-        if (byObject.size() < MAX_OBJECTS || byObject.containsKey(object)) {
-            byObject.merge(object, amount, Double::sum);
+        sentInWindow += transfers;
+        if (sentByObject.size() < MAX_OBJECTS || sentByObject.containsKey(object)) {
+            sentByObject.merge(object, transfers, Double::sum);
         }
     }
 
@@ -78,24 +78,25 @@
         if (now - windowAt < WINDOW_US) {
             return;
         }
-        double perS = now - windowAt < 2 * WINDOW_US ? 1e6 / (now - windowAt) : 0;
-        sentPerS = sentInWindow * perS;
-        Map.Entry<Long, Double> most =
-                byObject.entrySet().stream().max(Map.Entry.comparingByValue()).orElse(null);
-        hotObject = most == null || perS == 0 ? 0 : most.getKey();
-        hotPerS = most == null ? 0 : most.getValue() * perS;
+        double windowsPerS = now - windowAt < 2 * WINDOW_US ? 1e6 / (now - windowAt) : 0;
+        sentPerS = sentInWindow * windowsPerS;
+        Map.Entry<Long, Double> mostSent = sentByObject.entrySet().stream()
+                .max(Map.Entry.comparingByValue())
+                .orElse(null);
+        hotObject = mostSent == null || windowsPerS == 0 ? 0 : mostSent.getKey();
+        hotPerS = mostSent == null ? 0 : mostSent.getValue() * windowsPerS;
         windowAt = now;
         sentInWindow = 0;
-        byObject = new HashMap<>();
+        sentByObject = new HashMap<>();
     }
 
     /** Responses that were overdue lately, with nothing heard since; 0 for none. */
-    int suspicions(long now) {
-        return now - overdueAt < SUSPICION_US ? overdue : 0;
+    int overdueResponses(long now) {
+        return now - overdueAt < OVERDUE_VALID_US ? overdue : 0;
     }
 
     long silentUs(long now) {
-        return suspicions(now) == 0 ? 0 : Math.max(1, now - suspectedSince);
+        return overdueResponses(now) == 0 ? 0 : Math.max(1, now - silentSince);
     }
 
     double sentPerS(long now) {
@@ -105,7 +106,7 @@
 
     /** The ratio of fills that it did not hold; 1 where nothing was measured lately. */
     double missRatio(long now) {
-        return samples == 0 || now - respondedAt > FORGET_US ? 1 : 1 - hitRatio;
+        return samples == 0 || now - respondedAt > RESPONSE_VALID_US ? 1 : 1 - hitRatio;
     }
 
     long hotObject() {
@@ -117,14 +118,14 @@
     }
 
     RegionMessage.ParentReport report(long now, long parent) {
-        int heard = now - respondedAt > FORGET_US ? 0 : samples;
+        int recentSamples = now - respondedAt > RESPONSE_VALID_US ? 0 : samples;
         return new RegionMessage.ParentReport(
                 parent,
                 (long) firstByteUs,
                 failureRatio,
-                freeCapacity,
+                freeLinkShare,
                 hitRatio,
-                heard,
+                recentSamples,
                 silentUs(now),
                 now - respondedAt);
     }
--- a/src/main/java/magpiewheel/region/ParentRanking.java
+++ b/src/main/java/magpiewheel/region/ParentRanking.java
@@ -18,41 +18,43 @@
     /** ... and less by so much ... */
     static final double MIN_GAIN_US = 15_000;
     /** ... for so long. */
-    static final long CHALLENGE_US = 4_000_000;
+    static final long CHALLENGE_DURATION_US = 4_000_000;
     /** A failed fill costs as much as this. */
     private static final double FAILURE_COST_US = 1_000_000;
     /** A miss at the parent, against a hit. */
     private static final double MISS_COST_US = 60_000;
     /** Below this free capacity of its link a parent costs a part of {@link #FULL_LINK_COST_US}. */
-    private static final double LOW_FREE_CAPACITY = 0.15;
+    private static final double LOW_FREE_LINK_SHARE = 0.15;
 
     private static final double FULL_LINK_COST_US = 400_000;
     private static final double UNMEASURED_COST_US = 100_000;
 
-    private record Said(RegionMessage.ParentReport opinion, long at) {}
+    private record ReceivedReport(RegionMessage.ParentReport report, long receivedAt) {}
 
     private final int region;
-    private final Map<Long, Map<Integer, Said>> reports = new HashMap<>();
+    private final Map<Long, Map<Integer, ReceivedReport>> reports = new HashMap<>();
     private long challenger;
-    private long challengedSince;
+    private long challengerSince;
 
     ParentRanking(int region) {
         this.region = region;
     }
 
     /** A router reported what it measured. */
-    void reported(long now, int router, RegionMessage.ParentReport report) {
+    void addReport(long now, int router, RegionMessage.ParentReport report) {
         if (report.samples() > 0 || report.silentUs() > 0) {
-            reports.computeIfAbsent(report.parent(), id -> new HashMap<>()).put(router, new Said(report, now));
+            reports.computeIfAbsent(report.parent(), id -> new HashMap<>())
+                    .put(router, new ReceivedReport(report, now));
         }
     }
 
     /** What a fill from a parent costs, by the median of the reports, us; NaN without a report. */
     double cost(long now, long parent) {
         List<Double> costs = new ArrayList<>();
-        for (Said report : reports.getOrDefault(parent, Map.of()).values()) {
-            if (now - report.at() < REPORT_VALID_US && report.opinion().samples() > 0) {
-                costs.add(cost(report.opinion()));
+        for (ReceivedReport received : reports.getOrDefault(parent, Map.of()).values()) {
+            if (now - received.receivedAt() < REPORT_VALID_US
+                    && received.report().samples() > 0) {
+                costs.add(cost(received.report()));
             }
         }
         costs.sort(null);
@@ -61,19 +63,19 @@
     }
 
     private static double cost(RegionMessage.ParentReport report) {
-        double full = Math.max(0, LOW_FREE_CAPACITY - report.freeCapacity()) / LOW_FREE_CAPACITY;
+        double linkFullness = Math.max(0, LOW_FREE_LINK_SHARE - report.freeLinkShare()) / LOW_FREE_LINK_SHARE;
         return report.firstByteUs()
                 + FAILURE_COST_US * report.failureRatio()
                 + MISS_COST_US * (1 - report.hitRatio())
-                + FULL_LINK_COST_US * full;
+                + FULL_LINK_COST_US * linkFullness;
     }
 
     /** The free part of a parent's link, by the lowest report; 1 without a report. */
-    double freeCapacity(long now, long parent) {
+    double freeLinkShare(long now, long parent) {
         return reports.getOrDefault(parent, Map.of()).values().stream()
-                .filter(report ->
-                        now - report.at() < REPORT_VALID_US && report.opinion().samples() > 0)
-                .mapToDouble(report -> report.opinion().freeCapacity())
+                .filter(received -> now - received.receivedAt() < REPORT_VALID_US
+                        && received.report().samples() > 0)
+                .mapToDouble(received -> received.report().freeLinkShare())
                 .min()
                 .orElse(1);
     }
@@ -93,8 +95,10 @@
         costs.replaceAll((parent, cost) -> cost.isNaN() ? average : cost);
         List<Long> ranked = new ArrayList<>(eligible);
         ranked.sort((one, two) -> {
-            int by = Double.compare(costs.get(one), costs.get(two));
-            return by != 0 ? by : Long.compare(DeterministicHash.of(region, one), DeterministicHash.of(region, two));
+            int order = Double.compare(costs.get(one), costs.get(two));
+            return order != 0
+                    ? order
+                    : Long.compare(DeterministicHash.of(region, one), DeterministicHash.of(region, two));
         });
         return ranked;
     }
@@ -111,19 +115,19 @@
             challenger = 0;
             return ranked(now, eligible).get(0);
         }
-        double own = cost(now, current);
+        double currentCost = cost(now, current);
         long best = eligible.stream()
-                .filter(parent -> parent != current && better(cost(now, parent), own))
+                .filter(parent -> parent != current && isBetter(cost(now, parent), currentCost))
                 .min((one, two) -> Double.compare(cost(now, one), cost(now, two)))
                 .orElse(0L);
-        if (best == 0 || challenger != 0 && challenger != best && !better(cost(now, challenger), own)) {
+        if (best == 0 || challenger != 0 && challenger != best && !isBetter(cost(now, challenger), currentCost)) {
             challenger = 0;
         }
         if (best != 0 && challenger == 0) {
             challenger = best;
-            challengedSince = now;
+            challengerSince = now;
         }
-        if (challenger != 0 && now - challengedSince >= CHALLENGE_US) {
+        if (challenger != 0 && now - challengerSince >= CHALLENGE_DURATION_US) {
             long elected = challenger;
             challenger = 0;
             return elected;
@@ -131,8 +135,8 @@
         return current;
     }
 
-    private static boolean better(double cost, double own) {
-        return cost < MAX_COST_RATIO * own && cost < own - MIN_GAIN_US;
+    private static boolean isBetter(double cost, double currentCost) {
+        return cost < MAX_COST_RATIO * currentCost && cost < currentCost - MIN_GAIN_US;
     }
 
     /** Forgets the reports of a parent: it hangs, or its process was restarted. */
--- a/src/main/java/magpiewheel/region/Region.java
+++ b/src/main/java/magpiewheel/region/Region.java
@@ -16,7 +16,7 @@
     /** How many routers the settings name in it. */
     int routers(int[] routersByZone) {
         return zones.stream()
-                .mapToInt(b -> b < routersByZone.length ? routersByZone[b] : 0)
+                .mapToInt(zone -> zone < routersByZone.length ? routersByZone[zone] : 0)
                 .sum();
     }
 }
--- a/src/main/java/magpiewheel/region/RegionAssignment.java
+++ b/src/main/java/magpiewheel/region/RegionAssignment.java
@@ -18,29 +18,29 @@
     /** A slot is given up when the others would be used to this part of their capacity at most. */
     private static final double SHRINK_UTILIZATION = 0.7;
 
-    private final List<Region> all;
-    private final int[] regionOf;
+    private final List<Region> regions;
+    private final int[] regionIndexByZone;
     private final int[] slots;
 
-    private RegionAssignment(List<Region> all, int[] places) {
-        int zones = places.length;
-        this.slots = places;
-        this.all = List.copyOf(all);
-        this.regionOf = new int[zones];
-        Arrays.fill(regionOf, -1);
-        for (int i = 0; i < all.size(); i++) {
-            for (int zone : all.get(i).zones()) {
-                regionOf[zone] = i;
+    private RegionAssignment(List<Region> regions, int[] slots) {
+        int zones = slots.length;
+        this.slots = slots;
+        this.regions = List.copyOf(regions);
+        this.regionIndexByZone = new int[zones];
+        Arrays.fill(regionIndexByZone, -1);
+        for (int i = 0; i < regions.size(); i++) {
+            for (int zone : regions.get(i).zones()) {
+                regionIndexByZone[zone] = i;
             }
         }
     }
 
     /** The regions of a topology. */
     public static RegionAssignment of(RegionTopology topology) {
-        List<Region> all = new ArrayList<>();
+        List<Region> regions = new ArrayList<>();
         int[] hubs = topology.hubByZone();
-        int[] places = new int[hubs.length];
-        Arrays.fill(places, -1);
+        int[] slots = new int[hubs.length];
+        Arrays.fill(slots, -1);
         for (int hub : IntStream.of(hubs).distinct().sorted().toArray()) {
             double[] linkCapacities = topology.parents().stream()
                     .filter(p -> p.hub() == hub)
@@ -51,50 +51,55 @@
                     .toArray();
             // The order in which zones choose is independent of loads: else a little more of one would migrate many.
             List<Integer> zones = IntStream.range(0, hubs.length)
-                    .filter(b -> hubs[b] == hub)
+                    .filter(zone -> hubs[zone] == hub)
                     .boxed()
-                    .sorted(Comparator.comparingLong((Integer b) -> DeterministicHash.of(b))
-                            .thenComparing(b -> b))
+                    .sorted(Comparator.comparingLong((Integer zone) -> DeterministicHash.of(zone))
+                            .thenComparing(zone -> zone))
                     .toList();
-            all.addAll(ofHub(hub, zones, topology, linkCapacities, places));
+            regions.addAll(regionsOfHub(hub, zones, topology, linkCapacities, slots));
         }
-        return new RegionAssignment(all, places);
+        return new RegionAssignment(regions, slots);
     }
 
-    private static List<Region> ofHub(
-            int hub, List<Integer> zones, RegionTopology topology, double[] linkCapacities, int[] places) {
+    private static List<Region> regionsOfHub(
+            int hub, List<Integer> zones, RegionTopology topology, double[] linkCapacities, int[] slots) {
         double[] loads = topology.loads();
-        double total = zones.stream().mapToDouble(b -> loads[b]).sum();
-        int had = Math.min(
+        double total = zones.stream().mapToDouble(zone -> loads[zone]).sum();
+        int slotsInUse = Math.min(
                 linkCapacities.length,
-                1 + zones.stream().mapToInt(b -> topology.homeSlots()[b]).max().orElse(-1));
-        boolean fewer = had > 1 && total <= SHRINK_UTILIZATION * MAX_UTILIZATION * linkCapacities[had - 2] * (had - 1);
+                1
+                        + zones.stream()
+                                .mapToInt(zone -> topology.homeSlots()[zone])
+                                .max()
+                                .orElse(-1));
+        boolean canShrink = slotsInUse > 1
+                && total <= SHRINK_UTILIZATION * MAX_UTILIZATION * linkCapacities[slotsInUse - 2] * (slotsInUse - 1);
         int[] best = new int[0];
-        long placed = -1;
-        for (int count = fewer ? 1 : Math.max(1, had);
-                count <= linkCapacities.length && placed < zones.size();
-                count++) {
-            int[] slots = assign(zones, topology, count, MAX_UTILIZATION * linkCapacities[count - 1]);
-            long fit = IntStream.of(slots).filter(s -> s >= 0).count();
-            if (fit > placed) {
-                placed = fit;
-                best = slots;
+        long mostAssigned = -1;
+        for (int slotCount = canShrink ? 1 : Math.max(1, slotsInUse);
+                slotCount <= linkCapacities.length && mostAssigned < zones.size();
+                slotCount++) {
+            int[] candidate = assign(zones, topology, slotCount, MAX_UTILIZATION * linkCapacities[slotCount - 1]);
+            long assigned = IntStream.of(candidate).filter(s -> s >= 0).count();
+            if (assigned > mostAssigned) {
+                mostAssigned = assigned;
+                best = candidate;
             }
         }
         List<Region> regions = new ArrayList<>();
         for (int slot = 0; slot < linkCapacities.length; slot++) {
-            List<Integer> mine = new ArrayList<>();
+            List<Integer> zonesInSlot = new ArrayList<>();
             for (int i = 0; i < best.length; i++) {
                 if (best[i] == slot) {
-                    places[zones.get(i)] = slot;
-                    mine.add(zones.get(i));
+                    slots[zones.get(i)] = slot;
+                    zonesInSlot.add(zones.get(i));
                 }
             }
-            if (!mine.isEmpty()) {
+            if (!zonesInSlot.isEmpty()) {
                 regions.add(new Region(
                         hub,
-                        mine.stream().sorted().toList(),
-                        mine.stream().mapToDouble(b -> loads[b]).sum()));
+                        zonesInSlot.stream().sorted().toList(),
+                        zonesInSlot.stream().mapToDouble(zone -> loads[zone]).sum()));
             }
         }
         return regions;
@@ -103,53 +108,58 @@
     /** By zone, in the given order, the slot it stays in, or gets by rendezvous hashing with bounded loads, or -1. */
     private static int[] assign(List<Integer> zones, RegionTopology topology, int slots, double capacity) {
         double[] loads = topology.loads();
-        double[] taken = new double[slots];
-        int[] found = new int[zones.size()];
-        Arrays.fill(found, -1);
+        double[] slotLoads = new double[slots];
+        int[] slotByIndex = new int[zones.size()];
+        Arrays.fill(slotByIndex, -1);
         for (int slot = 0; slot < slots; slot++) {
-            keepAtHome(zones, topology, slot, capacity, taken, found);
+            assignHomeZones(zones, topology, slot, capacity, slotLoads, slotByIndex);
         }
-        for (int i = 0; i < found.length; i++) {
+        for (int i = 0; i < slotByIndex.length; i++) {
             int zone = zones.get(i);
-            long first = 0;
-            for (int slot = 0; slot < slots && (found[i] < 0 || first != 0); slot++) {
-                long draw = DeterministicHash.of(zone, slot);
-                if (taken[slot] + loads[zone] <= capacity && (found[i] < 0 || draw > first)) {
-                    found[i] = slot;
-                    first = draw;
+            long highestHash = 0;
+            for (int slot = 0; slot < slots && (slotByIndex[i] < 0 || highestHash != 0); slot++) {
+                long hash = DeterministicHash.of(zone, slot);
+                if (slotLoads[slot] + loads[zone] <= capacity && (slotByIndex[i] < 0 || hash > highestHash)) {
+                    slotByIndex[i] = slot;
+                    highestHash = hash;
                 }
             }
-            if (found[i] >= 0 && first != 0) {
-                taken[found[i]] += loads[zone];
+            if (slotByIndex[i] >= 0 && highestHash != 0) {
+                slotLoads[slotByIndex[i]] += loads[zone];
             }
         }
-        return found;
+        return slotByIndex;
     }
 
     /**
      * Zones stay in their home slot, but for the lightest one that frees enough capacity, or the heaviest ones until
      * there is enough.
      */
-    private static void keepAtHome(
-            List<Integer> zones, RegionTopology topology, int slot, double capacity, double[] taken, int[] found) {
+    private static void assignHomeZones(
+            List<Integer> zones,
+            RegionTopology topology,
+            int slot,
+            double capacity,
+            double[] slotLoads,
+            int[] slotByIndex) {
         double[] loads = topology.loads();
-        List<Integer> atHome = IntStream.range(0, found.length)
+        List<Integer> atHome = IntStream.range(0, slotByIndex.length)
                 .filter(i -> topology.homeSlots()[zones.get(i)] == slot)
                 .boxed()
                 .sorted(Comparator.comparingDouble((Integer i) -> loads[zones.get(i)]))
                 .collect(Collectors.toList());
         double sum = atHome.stream().mapToDouble(i -> loads[zones.get(i)]).sum();
         while (sum > capacity) {
-            double over = sum - capacity;
+            double excess = sum - capacity;
             int displaced = atHome.stream()
-                    .filter(i -> loads[zones.get(i)] >= over)
+                    .filter(i -> loads[zones.get(i)] >= excess)
                     .findFirst()
                     .orElse(atHome.get(atHome.size() - 1));
             atHome.remove((Integer) displaced);
             sum = atHome.stream().mapToDouble(i -> loads[zones.get(i)]).sum();
         }
-        atHome.forEach(i -> found[i] = slot);
-        taken[slot] = sum;
+        atHome.forEach(i -> slotByIndex[i] = slot);
+        slotLoads[slot] = sum;
     }
 
     /** The slot of a zone on its hub, its home from now on; -1 for none. */
@@ -158,13 +168,15 @@
     }
 
     /** All regions, by hub. */
-    public List<Region> all() {
-        return all;
+    public List<Region> regions() {
+        return regions;
     }
 
     /** The region of a zone, or null. */
-    public Region of(int zone) {
-        return zone < 0 || zone >= regionOf.length || regionOf[zone] < 0 ? null : all.get(regionOf[zone]);
+    public Region regionOf(int zone) {
+        return zone < 0 || zone >= regionIndexByZone.length || regionIndexByZone[zone] < 0
+                ? null
+                : regions.get(regionIndexByZone[zone]);
     }
 
     /**
@@ -172,27 +184,27 @@
      * one; zones that were in none, or are in none now, do not count.
      */
     public static int migratedZones(RegionAssignment before, RegionAssignment after) {
-        int stayed = 0;
-        int both = 0;
+        int unmigrated = 0;
+        int inBoth = 0;
         List<int[]> pairs = new ArrayList<>();
-        for (int i = 0; i < before.all.size(); i++) {
-            for (int j = 0; j < after.all.size(); j++) {
-                List<Integer> shared = new ArrayList<>(before.all.get(i).zones());
-                shared.retainAll(after.all.get(j).zones());
-                both += shared.size();
+        for (int i = 0; i < before.regions.size(); i++) {
+            for (int j = 0; j < after.regions.size(); j++) {
+                List<Integer> shared = new ArrayList<>(before.regions.get(i).zones());
+                shared.retainAll(after.regions.get(j).zones());
+                inBoth += shared.size();
                 pairs.add(new int[] {shared.size(), i, j});
             }
         }
         pairs.sort(Comparator.comparingInt(p -> -p[0]));
-        List<Integer> one = new ArrayList<>();
-        List<Integer> two = new ArrayList<>();
+        List<Integer> matchedBefore = new ArrayList<>();
+        List<Integer> matchedAfter = new ArrayList<>();
         for (int[] pair : pairs) {
-            if (!one.contains(pair[1]) && !two.contains(pair[2])) {
-                one.add(pair[1]);
-                two.add(pair[2]);
-                stayed += pair[0];
+            if (!matchedBefore.contains(pair[1]) && !matchedAfter.contains(pair[2])) {
+                matchedBefore.add(pair[1]);
+                matchedAfter.add(pair[2]);
+                unmigrated += pair[0];
             }
         }
-        return both - stayed;
+        return inBoth - unmigrated;
     }
 }
--- a/src/main/java/magpiewheel/region/RegionCoordinator.java
+++ b/src/main/java/magpiewheel/region/RegionCoordinator.java
@@ -49,10 +49,10 @@
     // ---------------------------------------------------------------- events
 
     /** Discovery's list changed: all parents that are in it now. */
-    public void parentsChanged(long now, List<Parent> list) {
-        for (Parent parent : list) {
-            Parent before = state.parents.get(parent.id());
-            if (before != null && before.startedUs() != parent.startedUs()) {
+    public void parentsChanged(long now, List<Parent> parents) {
+        for (Parent parent : parents) {
+            Parent previous = state.parents.get(parent.id());
+            if (previous != null && previous.startedUs() != parent.startedUs()) {
                 state.observations.remove(parent.id());
                 if (state.ranking != null) {
                     state.ranking.forget(parent.id());
@@ -60,9 +60,9 @@
             }
         }
         state.parents.clear();
-        list.forEach(parent -> state.parents.put(parent.id(), parent));
+        parents.forEach(parent -> state.parents.put(parent.id(), parent));
         state.observations.keySet().retainAll(state.parents.keySet());
-        handover.retain(state.parents.keySet());
+        handover.retainParents(state.parents.keySet());
         updateRegions(now);
         runElection(now);
     }
@@ -95,14 +95,14 @@
     public void responseOverdue(long now, long parent, long sentAt) {
         ParentObservations observed = state.observationsOf(parent);
         observed.responseOverdue(now, sentAt);
-        if (observed.suspicions(now) > 0) {
+        if (observed.overdueResponses(now) > 0) {
             suspicions.report(now);
         }
     }
 
     /** The part of a parent's link that is free, as this router sees it. */
-    public void setFreeCapacity(long parent, double free) {
-        state.observationsOf(parent).setFreeCapacity(free);
+    public void setFreeLinkShare(long parent, double freeLinkShare) {
+        state.observationsOf(parent).setFreeLinkShare(freeLinkShare);
     }
 
     /** An admitted fill ended without a parent's response; {@code filled} if the object came all the same. */
@@ -135,8 +135,8 @@
     }
 
     /** How the region stands, whatever the object: {@link RouteReason#LED} or what prevents that. */
-    public RouteReason standing(long now) {
-        return fills.standing(now);
+    public RouteReason regionStatus(long now) {
+        return fills.regionStatus(now);
     }
 
     /** How often a reason decided where a fill goes. */
@@ -171,9 +171,9 @@
         List<Parent> parents = List.copyOf(state.parents.values());
         assignment = RegionAssignment.of(
                 new RegionTopology(config.hubByZone(), directory.loads(), directory.homeSlots(), parents));
-        Region before = state.region;
-        state.region = assignment.of(config.zone());
-        if (state.region == null || before == null || before.key() != state.region.key()) {
+        Region previous = state.region;
+        state.region = assignment.regionOf(config.zone());
+        if (state.region == null || previous == null || previous.key() != state.region.key()) {
             highestTerm = state.election == null ? highestTerm : Math.max(highestTerm, state.election.highestTerm());
             state.election = null;
             if (state.region != null) {
@@ -187,12 +187,12 @@
         state.ranking = new ParentRanking(state.region.key());
         state.hangDetector = new HangDetector();
         state.spill = new LoadSpill();
-        Election.Voters voters = new Election.Voters(
+        Election.Participants participants = new Election.Participants(
                 config.routerId(),
                 config.startedMs(),
                 state.region.key(),
                 state.region.routers(config.routersByZone()));
-        state.election = new Election(now, voters, highestTerm, proposals, sender);
+        state.election = new Election(now, participants, highestTerm, proposals, sender);
     }
 
     private void runElection(long now) {
@@ -206,7 +206,7 @@
 
     /** Whether a message is one of the regions'. */
     public static boolean isRegionMessage(byte[] message) {
-        return message.length > 0 && message[0] == RegionMessageCodec.MARK;
+        return message.length > 0 && message[0] == RegionMessageCodec.MAGIC;
     }
 
     /** A message of another router; what can't be used has no effect. */
@@ -221,7 +221,7 @@
             }
             return;
         }
-        if (state.region == null || message.header().region() != state.region.key()) {
+        if (state.region == null || message.header().regionKey() != state.region.key()) {
             return;
         }
         if (message instanceof RegionMessage.LeaseRequest request) {
@@ -229,7 +229,7 @@
         } else if (message instanceof RegionMessage.Vote vote) {
             voteReceived(now, from, vote);
         } else if (message instanceof RegionMessage.Suspicion suspicion) {
-            suspicions.suspected(now, from, suspicion);
+            suspicions.suspicionReceived(now, from, suspicion);
         }
     }
 
@@ -237,9 +237,9 @@
         if (!state.election.voteReceived(now, from, vote, Set.copyOf(state.region.zones()))) {
             return;
         }
-        vote.reports().forEach(report -> suspicions.measured(now, from, vote, report));
+        vote.reports().forEach(report -> suspicions.reportReceived(now, from, vote, report));
         if (vote.granted()) {
-            state.spill.reported(now, from, vote.sentPerS(), vote.hotObject(), vote.hotSentPerS());
+            state.spill.addReport(now, from, vote.sentPerS(), vote.hotObject(), vote.hotSentPerS());
         }
     }
 
--- a/src/main/java/magpiewheel/region/RegionDirectory.java
+++ b/src/main/java/magpiewheel/region/RegionDirectory.java
@@ -10,28 +10,28 @@
  * version counts, so that routers that heard the same know the same.
  */
 final class RegionDirectory {
-    /** A zone announces its load anew when it differs by this part for {@link #CHANGE_HOLDS_US}. */
+    /** A zone announces its load anew when it differs by this part for {@link #CHANGE_DURATION_US}. */
     static final double SIGNIFICANT_CHANGE = 0.25;
 
-    static final long CHANGE_HOLDS_US = 3_000_000;
+    static final long CHANGE_DURATION_US = 3_000_000;
     /** How long a claim counts after it was made. */
     static final long CLAIM_VALID_US = 6_000_000;
 
-    private record Claimed(RegionMessage.LeadershipClaim claim, long at) {}
+    private record ReceivedClaim(RegionMessage.LeadershipClaim claim, long claimedAt) {}
 
     private final double[] loads;
     private final long[] versions;
     private final int[] homeSlots;
-    private final Map<Integer, Claimed> claims = new HashMap<>();
+    private final Map<Integer, ReceivedClaim> claims = new HashMap<>();
     private long differsSince = Long.MAX_VALUE;
     private int nextLoad;
     private int nextClaim;
 
     /** A directory with assumed loads, until any was measured. */
-    RegionDirectory(double[] settings) {
-        this.loads = settings.clone();
-        this.versions = new long[settings.length];
-        this.homeSlots = new int[settings.length];
+    RegionDirectory(double[] assumedLoads) {
+        this.loads = assumedLoads.clone();
+        this.versions = new long[assumedLoads.length];
+        this.homeSlots = new int[assumedLoads.length];
         java.util.Arrays.fill(homeSlots, -1);
     }
 
@@ -44,11 +44,11 @@
     }
 
     /** Sets the slot of the own zone, which its first router announces; returns whether it is new. */
-    boolean setHomeSlot(int zone, int place) {
-        if (homeSlots[zone] == place) {
+    boolean setHomeSlot(int zone, int slot) {
+        if (homeSlots[zone] == slot) {
             return false;
         }
-        homeSlots[zone] = place;
+        homeSlots[zone] = slot;
         versions[zone]++;
         return true;
     }
@@ -57,7 +57,7 @@
     boolean loadMeasured(long now, int zone, double load) {
         boolean differs = Math.abs(load - loads[zone]) > SIGNIFICANT_CHANGE * Math.max(loads[zone], 1e-9);
         differsSince = differs ? Math.min(differsSince, now) : Long.MAX_VALUE;
-        if (!differs || now - differsSince < CHANGE_HOLDS_US) {
+        if (!differs || now - differsSince < CHANGE_DURATION_US) {
             return false;
         }
         differsSince = Long.MAX_VALUE;
@@ -68,7 +68,7 @@
 
     /** A parent leads this router's region. */
     void claim(long now, RegionMessage.LeadershipClaim claim) {
-        claims.put(claim.region(), new Claimed(claim, now));
+        claims.put(claim.regionKey(), new ReceivedClaim(claim, now));
     }
 
     /** Merges an update of another router; returns whether a load changed. */
@@ -90,15 +90,15 @@
             }
         }
         for (RegionMessage.LeadershipClaim claim : update.claims()) {
-            Claimed old = claims.get(claim.region());
-            long at = now - claim.agoUs();
+            ReceivedClaim old = claims.get(claim.regionKey());
+            long claimedAt = now - claim.agoUs();
             if (old == null
                     || claim.term() > old.claim().term()
-                    || claim.term() == old.claim().term() && at > old.at()) {
-                claims.put(claim.region(), new Claimed(claim, at));
+                    || claim.term() == old.claim().term() && claimedAt > old.claimedAt()) {
+                claims.put(claim.regionKey(), new ReceivedClaim(claim, claimedAt));
             }
         }
-        claims.values().removeIf(claimed -> now - claimed.at() > CLAIM_VALID_US);
+        claims.values().removeIf(received -> now - received.claimedAt() > CLAIM_VALID_US);
         return changed;
     }
 
@@ -106,36 +106,36 @@
      * The load of other regions that a parent leads, as far as is known; {@code lowerKeysOnly} counts only those of
      * lower keys.
      */
-    double claimedLoad(long now, long parent, int region, boolean lowerKeysOnly) {
+    double claimedLoad(long now, long parent, int regionKey, boolean lowerKeysOnly) {
         return claims.values().stream()
-                .filter(c -> c.claim().leader() == parent
-                        && now - c.at() <= CLAIM_VALID_US
+                .filter(received -> received.claim().leader() == parent
+                        && now - received.claimedAt() <= CLAIM_VALID_US
                         && (lowerKeysOnly
-                                ? c.claim().region() < region
-                                : c.claim().region() != region))
-                .mapToDouble(c -> c.claim().load())
+                                ? received.claim().regionKey() < regionKey
+                                : received.claim().regionKey() != regionKey))
+                .mapToDouble(received -> received.claim().load())
                 .sum();
     }
 
     /** The next update to send, of all entries in turn. */
-    RegionMessage.DirectoryUpdate nextUpdate(long now, RegionMessage.Header head) {
-        List<RegionMessage.ZoneLoad> announced = new ArrayList<>();
-        for (int i = 0; i < loads.length && announced.size() < RegionMessageCodec.MAX_LOADS; i++) {
+    RegionMessage.DirectoryUpdate nextUpdate(long now, RegionMessage.Header header) {
+        List<RegionMessage.ZoneLoad> zoneLoads = new ArrayList<>();
+        for (int i = 0; i < loads.length && zoneLoads.size() < RegionMessageCodec.MAX_LOADS; i++) {
             int zone = nextLoad++ % loads.length;
             if (versions[zone] > 0) {
-                announced.add(new RegionMessage.ZoneLoad(zone, versions[zone], loads[zone], homeSlots[zone]));
+                zoneLoads.add(new RegionMessage.ZoneLoad(zone, versions[zone], loads[zone], homeSlots[zone]));
             }
         }
-        List<Claimed> live = claims.values().stream()
-                .filter(c -> now - c.at() <= CLAIM_VALID_US)
+        List<ReceivedClaim> validClaims = claims.values().stream()
+                .filter(received -> now - received.claimedAt() <= CLAIM_VALID_US)
                 .toList();
-        List<RegionMessage.LeadershipClaim> claimed = new ArrayList<>();
-        for (int i = 0; i < Math.min(live.size(), RegionMessageCodec.MAX_CLAIMS); i++) {
-            Claimed one = live.get(nextClaim++ % live.size());
-            RegionMessage.LeadershipClaim claim = one.claim();
-            claimed.add(new RegionMessage.LeadershipClaim(
-                    claim.region(), claim.term(), claim.leader(), claim.load(), now - one.at()));
+        List<RegionMessage.LeadershipClaim> claimsToSend = new ArrayList<>();
+        for (int i = 0; i < Math.min(validClaims.size(), RegionMessageCodec.MAX_CLAIMS); i++) {
+            ReceivedClaim next = validClaims.get(nextClaim++ % validClaims.size());
+            RegionMessage.LeadershipClaim claim = next.claim();
+            claimsToSend.add(new RegionMessage.LeadershipClaim(
+                    claim.regionKey(), claim.term(), claim.leader(), claim.load(), now - next.claimedAt()));
         }
-        return new RegionMessage.DirectoryUpdate(head, announced, claimed);
+        return new RegionMessage.DirectoryUpdate(header, zoneLoads, claimsToSend);
     }
 }
--- a/src/main/java/magpiewheel/region/RegionMessage.java
+++ b/src/main/java/magpiewheel/region/RegionMessage.java
@@ -11,7 +11,7 @@
      * @param term the term that the message is about; 0 for none
      * @param startedMs the Unix millisecond at which the sender's process started
      */
-    record Header(int region, long term, long startedMs) {}
+    record Header(int regionKey, long term, long startedMs) {}
 
     /** The header. */
     Header header();
@@ -42,7 +42,7 @@
      * @param slice the slice of all objects, in 255ths
      * @param hotObjects objects that go there besides the slice
      */
-    record Placement(long second, int slice, List<Long> hotObjects) {
+    record Placement(long spillParent, int slice, List<Long> hotObjects) {
         /** Every object goes to the leader. */
         static final Placement NONE = new Placement(0, 0, List.of());
     }
@@ -75,21 +75,21 @@
      * What one router measured of a parent lately.
      *
      * @param failureRatio the ratio of fills that failed
-     * @param freeCapacity the part of its link that is free
+     * @param freeLinkShare the part of its link that is free
      * @param hitRatio the ratio of fills that it held
      * @param samples how many responses were measured, 255 at most
      * @param silentUs for how long it is silent while responses are overdue; 0 where none is
-     * @param answeredAgoUs how long ago it responded last, in steps of 20 ms up to 5 s
+     * @param respondedAgoUs how long ago it responded last, in steps of 20 ms up to 5 s
      */
     record ParentReport(
             long parent,
             long firstByteUs,
             double failureRatio,
-            double freeCapacity,
+            double freeLinkShare,
             double hitRatio,
             int samples,
             long silentUs,
-            long answeredAgoUs) {}
+            long respondedAgoUs) {}
 
     /** Responses of a leading parent are overdue: so many of them, the first for so long. */
     record Suspicion(Header header, long leader, long silentUs, int overdue) implements RegionMessage {}
@@ -102,5 +102,5 @@
     record ZoneLoad(int zone, long version, double load, int homeSlot) {}
 
     /** A parent leads a region with such a load; claimed so long ago at its source. */
-    record LeadershipClaim(int region, long term, long leader, double load, long agoUs) {}
+    record LeadershipClaim(int regionKey, long term, long leader, double load, long agoUs) {}
 }
--- a/src/main/java/magpiewheel/region/RegionMessageCodec.java
+++ b/src/main/java/magpiewheel/region/RegionMessageCodec.java
@@ -10,7 +10,7 @@
 final class RegionMessageCodec {
     static final int MAX_MESSAGE_BYTES = 256;
     /** The first byte: no other protocol between routers begins with it. */
-    static final byte MARK = (byte) 0xe1;
+    static final byte MAGIC = (byte) 0xe1;
     /** Reports in a vote, at most. */
     static final int MAX_REPORTS = 9;
 
@@ -22,160 +22,171 @@
     private static final int SUSPICION = 3;
     private static final int DIRECTORY_UPDATE = 4;
     private static final int MAX_BYTE = 255;
-    private static final long ANSWERED_STEP_US = 20_000;
+    private static final long RESPONDED_STEP_US = 20_000;
 
     private RegionMessageCodec() {}
 
     static byte[] encode(RegionMessage message) {
-        ByteBuffer at = ByteBuffer.allocate(MAX_MESSAGE_BYTES);
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_MESSAGE_BYTES);
         int kind = message instanceof RegionMessage.LeaseRequest
                 ? LEASE_REQUEST
                 : message instanceof RegionMessage.Vote
                         ? VOTE
                         : message instanceof RegionMessage.Suspicion ? SUSPICION : DIRECTORY_UPDATE;
-        at.put(MARK).put((byte) kind);
-        at.putInt(message.header().region())
+        buffer.put(MAGIC).put((byte) kind);
+        buffer.putInt(message.header().regionKey())
                 .putLong(message.header().term())
                 .putLong(message.header().startedMs());
         if (message instanceof RegionMessage.LeaseRequest request) {
-            at.putLong(request.leader())
+            buffer.putLong(request.leader())
                     .putLong(request.sentAt())
                     .putLong(request.echoedVoteAt())
                     .putInt(toInt(request.remainingUs()));
-            at.putLong(request.leadingForUs())
-                    .putLong(request.placement().second())
+            buffer.putLong(request.leadingForUs())
+                    .putLong(request.placement().spillParent())
                     .put((byte) request.placement().slice());
-            List<Long> hot = first(request.placement().hotObjects(), MAX_HOT_OBJECTS);
-            at.put((byte) hot.size());
-            hot.forEach(at::putLong);
+            List<Long> hotObjects = first(request.placement().hotObjects(), MAX_HOT_OBJECTS);
+            buffer.put((byte) hotObjects.size());
+            hotObjects.forEach(buffer::putLong);
         } else if (message instanceof RegionMessage.Vote vote) {
-            at.put((byte) (vote.granted() ? 1 : 0))
+            buffer.put((byte) (vote.granted() ? 1 : 0))
                     .putShort((short) vote.zone())
                     .putLong(vote.votedAt())
                     .putLong(vote.requestSentAt());
-            at.putLong(vote.votedTerm())
+            buffer.putLong(vote.votedTerm())
                     .putFloat((float) vote.sentPerS())
                     .putLong(vote.hotObject())
                     .putFloat((float) vote.hotSentPerS());
-            List<RegionMessage.ParentReport> opinions = first(vote.reports(), MAX_REPORTS);
-            at.put((byte) opinions.size());
-            for (RegionMessage.ParentReport report : opinions) {
-                at.putLong(report.parent()).putInt(toInt(report.firstByteUs())).put(toByte(report.failureRatio()));
-                at.put(toByte(report.freeCapacity())).put(toByte(report.hitRatio()));
-                at.put((byte) Math.min(MAX_BYTE, report.samples())).putInt(toInt(report.silentUs()));
-                at.put((byte) Math.min(MAX_BYTE, report.answeredAgoUs() / ANSWERED_STEP_US));
+            List<RegionMessage.ParentReport> reports = first(vote.reports(), MAX_REPORTS);
+            buffer.put((byte) reports.size());
+            for (RegionMessage.ParentReport report : reports) {
+                buffer.putLong(report.parent())
+                        .putInt(toInt(report.firstByteUs()))
+                        .put(toByte(report.failureRatio()));
+                buffer.put(toByte(report.freeLinkShare())).put(toByte(report.hitRatio()));
+                buffer.put((byte) Math.min(MAX_BYTE, report.samples())).putInt(toInt(report.silentUs()));
+                buffer.put((byte) Math.min(MAX_BYTE, report.respondedAgoUs() / RESPONDED_STEP_US));
             }
         } else if (message instanceof RegionMessage.Suspicion suspicion) {
-            at.putLong(suspicion.leader()).putInt(toInt(suspicion.silentUs())).put((byte)
-                    Math.min(MAX_BYTE, suspicion.overdue()));
+            buffer.putLong(suspicion.leader())
+                    .putInt(toInt(suspicion.silentUs()))
+                    .put((byte) Math.min(MAX_BYTE, suspicion.overdue()));
         } else if (message instanceof RegionMessage.DirectoryUpdate update) {
-            at.put((byte) update.loads().size()).put((byte) update.claims().size());
+            buffer.put((byte) update.loads().size()).put((byte) update.claims().size());
             for (RegionMessage.ZoneLoad load : update.loads()) {
-                at.putShort((short) load.zone()).putLong(load.version()).putFloat((float) load.load());
-                at.put((byte) load.homeSlot());
+                buffer.putShort((short) load.zone()).putLong(load.version()).putFloat((float) load.load());
+                buffer.put((byte) load.homeSlot());
             }
             for (RegionMessage.LeadershipClaim claim : update.claims()) {
-                at.putInt(claim.region()).putLong(claim.term()).putLong(claim.leader());
-                at.putFloat((float) claim.load()).putInt(toInt(claim.agoUs()));
+                buffer.putInt(claim.regionKey()).putLong(claim.term()).putLong(claim.leader());
+                buffer.putFloat((float) claim.load()).putInt(toInt(claim.agoUs()));
             }
         }
-        return Arrays.copyOf(at.array(), at.position());
+        return Arrays.copyOf(buffer.array(), buffer.position());
     }
 
     /** The message, or null where the bytes are none. */
     static RegionMessage decode(byte[] bytes) {
-        if (bytes.length > MAX_MESSAGE_BYTES || bytes.length < 2 || bytes[0] != MARK) {
+        if (bytes.length > MAX_MESSAGE_BYTES || bytes.length < 2 || bytes[0] != MAGIC) {
             return null;
         }
-        ByteBuffer at = ByteBuffer.wrap(bytes).position(1);
+        ByteBuffer buffer = ByteBuffer.wrap(bytes).position(1);
         try {
-            int kind = at.get();
-            RegionMessage.Header header = new RegionMessage.Header(at.getInt(), at.getLong(), at.getLong());
+            int kind = buffer.get();
+            RegionMessage.Header header = new RegionMessage.Header(buffer.getInt(), buffer.getLong(), buffer.getLong());
             RegionMessage message = switch (kind) {
-                case LEASE_REQUEST -> leaseRequest(header, at);
-                case VOTE -> vote(header, at);
+                case LEASE_REQUEST -> leaseRequest(header, buffer);
+                case VOTE -> vote(header, buffer);
                 case SUSPICION ->
-                    new RegionMessage.Suspicion(header, at.getLong(), at.getInt(), Byte.toUnsignedInt(at.get()));
-                case DIRECTORY_UPDATE -> directoryUpdate(header, at);
+                    new RegionMessage.Suspicion(
+                            header, buffer.getLong(), buffer.getInt(), Byte.toUnsignedInt(buffer.get()));
+                case DIRECTORY_UPDATE -> directoryUpdate(header, buffer);
                 default -> null;
             };
-            return at.hasRemaining() ? null : message;
-        } catch (BufferUnderflowException cutOffOrSpoilt) {
+            return buffer.hasRemaining() ? null : message;
+        } catch (BufferUnderflowException truncatedOrInvalid) {
             return null;
         }
     }
 
-    private static RegionMessage.LeaseRequest leaseRequest(RegionMessage.Header header, ByteBuffer at) {
-        long leader = at.getLong();
-        long clock = at.getLong();
-        long echo = at.getLong();
-        long remaining = at.getInt();
-        long age = at.getLong();
-        long second = at.getLong();
-        int slice = Byte.toUnsignedInt(at.get());
-        List<Long> hot = new ArrayList<>();
-        for (int i = Byte.toUnsignedInt(at.get()); i > 0; i--) {
-            hot.add(at.getLong());
+    private static RegionMessage.LeaseRequest leaseRequest(RegionMessage.Header header, ByteBuffer buffer) {
+        long leader = buffer.getLong();
+        long sentAt = buffer.getLong();
+        long echoedVoteAt = buffer.getLong();
+        long remainingUs = buffer.getInt();
+        long leadingForUs = buffer.getLong();
+        long spillParent = buffer.getLong();
+        int slice = Byte.toUnsignedInt(buffer.get());
+        List<Long> hotObjects = new ArrayList<>();
+        for (int i = Byte.toUnsignedInt(buffer.get()); i > 0; i--) {
+            hotObjects.add(buffer.getLong());
         }
         return new RegionMessage.LeaseRequest(
-                header, leader, clock, echo, remaining, age, new RegionMessage.Placement(second, slice, hot));
+                header,
+                leader,
+                sentAt,
+                echoedVoteAt,
+                remainingUs,
+                leadingForUs,
+                new RegionMessage.Placement(spillParent, slice, hotObjects));
     }
 
-    private static RegionMessage.Vote vote(RegionMessage.Header header, ByteBuffer at) {
-        boolean yes = at.get() == 1;
-        int branch = Short.toUnsignedInt(at.getShort());
-        long clock = at.getLong();
-        long echo = at.getLong();
-        long holdsTo = at.getLong();
-        double sent = amount(at);
-        long hot = at.getLong();
-        double hotSent = amount(at);
-        List<RegionMessage.ParentReport> opinions = new ArrayList<>();
-        for (int i = Byte.toUnsignedInt(at.get()); i > 0; i--) {
-            opinions.add(new RegionMessage.ParentReport(
-                    at.getLong(),
-                    at.getInt(),
-                    fromByte(at),
-                    fromByte(at),
-                    fromByte(at),
-                    Byte.toUnsignedInt(at.get()),
-                    at.getInt(),
-                    Byte.toUnsignedInt(at.get()) * ANSWERED_STEP_US));
+    private static RegionMessage.Vote vote(RegionMessage.Header header, ByteBuffer buffer) {
+        boolean granted = buffer.get() == 1;
+        int zone = Short.toUnsignedInt(buffer.getShort());
+        long votedAt = buffer.getLong();
+        long requestSentAt = buffer.getLong();
+        long votedTerm = buffer.getLong();
+        double sentPerS = amount(buffer);
+        long hotObject = buffer.getLong();
+        double hotSentPerS = amount(buffer);
+        List<RegionMessage.ParentReport> reports = new ArrayList<>();
+        for (int i = Byte.toUnsignedInt(buffer.get()); i > 0; i--) {
+            reports.add(new RegionMessage.ParentReport(
+                    buffer.getLong(),
+                    buffer.getInt(),
+                    fromByte(buffer),
+                    fromByte(buffer),
+                    fromByte(buffer),
+                    Byte.toUnsignedInt(buffer.get()),
+                    buffer.getInt(),
+                    Byte.toUnsignedInt(buffer.get()) * RESPONDED_STEP_US));
         }
-        return new RegionMessage.Vote(header, yes, branch, clock, echo, holdsTo, sent, hot, hotSent, opinions);
+        return new RegionMessage.Vote(
+                header, granted, zone, votedAt, requestSentAt, votedTerm, sentPerS, hotObject, hotSentPerS, reports);
     }
 
-    private static RegionMessage.DirectoryUpdate directoryUpdate(RegionMessage.Header header, ByteBuffer at) {
-        int loadCount = Byte.toUnsignedInt(at.get());
-        int claims = Byte.toUnsignedInt(at.get());
+    private static RegionMessage.DirectoryUpdate directoryUpdate(RegionMessage.Header header, ByteBuffer buffer) {
+        int loadCount = Byte.toUnsignedInt(buffer.get());
+        int claimCount = Byte.toUnsignedInt(buffer.get());
         List<RegionMessage.ZoneLoad> loads = new ArrayList<>();
         for (int i = 0; i < loadCount; i++) {
-            loads.add(
-                    new RegionMessage.ZoneLoad(Short.toUnsignedInt(at.getShort()), at.getLong(), amount(at), at.get()));
+            loads.add(new RegionMessage.ZoneLoad(
+                    Short.toUnsignedInt(buffer.getShort()), buffer.getLong(), amount(buffer), buffer.get()));
         }
-        List<RegionMessage.LeadershipClaim> claimed = new ArrayList<>();
-        for (int i = 0; i < claims; i++) {
-            claimed.add(new RegionMessage.LeadershipClaim(
-                    at.getInt(), at.getLong(), at.getLong(), amount(at), at.getInt()));
+        List<RegionMessage.LeadershipClaim> claims = new ArrayList<>();
+        for (int i = 0; i < claimCount; i++) {
+            claims.add(new RegionMessage.LeadershipClaim(
+                    buffer.getInt(), buffer.getLong(), buffer.getLong(), amount(buffer), buffer.getInt()));
         }
-        return new RegionMessage.DirectoryUpdate(header, loads, claimed);
+        return new RegionMessage.DirectoryUpdate(header, loads, claims);
     }
 
-    private static <T> List<T> first(List<T> list, int most) {
-        return list.subList(0, Math.min(most, list.size()));
+    private static <T> List<T> first(List<T> list, int limit) {
+        return list.subList(0, Math.min(limit, list.size()));
     }
 
-    private static byte toByte(double part) {
-        return (byte) Math.round(Math.max(0, Math.min(1, part)) * MAX_BYTE);
+    private static byte toByte(double fraction) {
+        return (byte) Math.round(Math.max(0, Math.min(1, fraction)) * MAX_BYTE);
     }
 
-    private static double fromByte(ByteBuffer at) {
-        return Byte.toUnsignedInt(at.get()) / (double) MAX_BYTE;
+    private static double fromByte(ByteBuffer buffer) {
+        return Byte.toUnsignedInt(buffer.get()) / (double) MAX_BYTE;
     }
 
     /** A measured amount; anything else makes the message malformed. */
-    private static double amount(ByteBuffer at) {
-        float amount = at.getFloat();
+    private static double amount(ByteBuffer buffer) {
+        float amount = buffer.getFloat();
         if (!Float.isFinite(amount) || amount < 0) {
             throw new BufferUnderflowException();
         }
--- a/src/main/java/magpiewheel/region/RegionProposals.java
+++ b/src/main/java/magpiewheel/region/RegionProposals.java
@@ -21,12 +21,12 @@
     }
 
     private void recordOwnReports(long now) {
-        int self = state.config.routerId();
+        int routerId = state.config.routerId();
         state.observations.forEach(
-                (parent, observed) -> state.ranking.reported(now, self, observed.report(now, parent)));
+                (parent, observed) -> state.ranking.addReport(now, routerId, observed.report(now, parent)));
         ParentObservations leader = state.observationsOfLeader(state.lease(now));
         if (leader != null) {
-            state.spill.reported(now, self, leader.sentPerS(now), leader.hotObject(), leader.hotPerS());
+            state.spill.addReport(now, routerId, leader.sentPerS(now), leader.hotObject(), leader.hotPerS());
         }
     }
 
@@ -47,35 +47,35 @@
     /**
      * Whether a parent's link carries the region; of two regions that have one leader that of the lower key keeps it.
      */
-    private boolean carriesRegion(long now, Parent parent, boolean leads) {
+    private boolean carriesRegion(long now, Parent parent, boolean isLeader) {
         double limit = RegionAssignment.MAX_UTILIZATION * parent.linkCapacity();
-        double elsewhere = directory.claimedLoad(now, parent.id(), state.region.key(), leads);
+        double otherRegionsLoad = directory.claimedLoad(now, parent.id(), state.region.key(), isLeader);
         double load = state.region.load();
-        return load <= limit && (elsewhere == 0 || elsewhere + load <= limit);
+        return load <= limit && (otherRegionsLoad == 0 || otherRegionsLoad + load <= limit);
     }
 
     @Override
     public RegionMessage.Placement placement(long now, long leader) {
-        Parent first = state.parents.get(leader);
-        if (first == null) {
+        Parent leadingParent = state.parents.get(leader);
+        if (leadingParent == null) {
             return RegionMessage.Placement.NONE;
         }
-        long secondId = secondInRank(now, leader);
-        Parent second = state.parents.get(secondId);
-        double spare = second == null
+        long spillParentId = spillParent(now, leader);
+        Parent spillParent = state.parents.get(spillParentId);
+        double spareCapacity = spillParent == null
                 ? 0
-                : (state.ranking.freeCapacity(now, secondId) - (1 - LoadSpill.TARGET_UTILIZATION))
-                        * second.linkCapacity();
-        return state.spill.decide(now, first, second, spare);
+                : (state.ranking.freeLinkShare(now, spillParentId) - (1 - LoadSpill.TARGET_UTILIZATION))
+                        * spillParent.linkCapacity();
+        return state.spill.decide(now, leadingParent, spillParent, spareCapacity);
     }
 
     /** The parent that takes what the leader can't carry: the one it was, while that is eligible; 0 for none. */
-    private long secondInRank(long now, long leader) {
+    private long spillParent(long now, long leader) {
         List<Long> others = new ArrayList<>(eligibleParents(now, leader));
         others.remove(leader);
         Lease lease = state.lease(now);
-        if (lease != null && others.contains(lease.placement().second())) {
-            return lease.placement().second();
+        if (lease != null && others.contains(lease.placement().spillParent())) {
+            return lease.placement().spillParent();
         }
         return others.isEmpty() ? 0 : state.ranking.ranked(now, others).get(0);
     }
@@ -99,13 +99,13 @@
 
     /** As many reports as a vote holds, of the region's parents in turn. */
     private List<RegionMessage.ParentReport> parentReports(long now) {
-        List<Long> measured = state.parents.values().stream()
+        List<Long> measuredParents = state.parents.values().stream()
                 .filter(parent -> parent.hub() == state.region.hub() && state.observations.containsKey(parent.id()))
                 .map(Parent::id)
                 .toList();
         List<RegionMessage.ParentReport> reports = new ArrayList<>();
-        for (int i = 0; i < Math.min(measured.size(), RegionMessageCodec.MAX_REPORTS); i++) {
-            long parent = measured.get(nextReport++ % measured.size());
+        for (int i = 0; i < Math.min(measuredParents.size(), RegionMessageCodec.MAX_REPORTS); i++) {
+            long parent = measuredParents.get(nextReport++ % measuredParents.size());
             reports.add(state.observations.get(parent).report(now, parent));
         }
         return reports;
--- a/src/main/java/magpiewheel/region/SlowStartProfile.java
+++ b/src/main/java/magpiewheel/region/SlowStartProfile.java
@@ -16,8 +16,8 @@
 
     /** The part of its capacity that it has so long after its start, from 0 to 1. */
     double capacityShare(long sinceUs) {
-        double warmed = (double) Math.max(0, sinceUs) / Math.max(1, warmUpUs);
-        return initialShare + (1 - initialShare) * Math.min(1, warmed);
+        double warmUpFraction = (double) Math.max(0, sinceUs) / Math.max(1, warmUpUs);
+        return initialShare + (1 - initialShare) * Math.min(1, warmUpFraction);
     }
 
     /**
--- a/src/main/java/magpiewheel/routing/RegionBridge.java
+++ b/src/main/java/magpiewheel/routing/RegionBridge.java
@@ -242,7 +242,7 @@
             double utilization = transfersOfParent == null
                     ? 0
                     : transfersOfParent.at(now) / seconds * routers / parent.linkCapacity();
-            region.setFreeCapacity(parent.id(), Math.max(0, 1 - utilization));
+            region.setFreeLinkShare(parent.id(), Math.max(0, 1 - utilization));
         }
     }
 
@@ -256,7 +256,7 @@
             return statistics;
         }
         Leader leader = region.leader(now);
-        statistics.put("region_verdict", (long) region.standing(now).ordinal());
+        statistics.put("region_verdict", (long) region.regionStatus(now).ordinal());
         statistics.put("region_leader", leader == null ? 0 : leader.parent());
         statistics.put("region_term", leader == null ? 0 : leader.term());
         statistics.put(
--- a/src/test/java/magpiewheel/region/ElectionTest.java
+++ b/src/test/java/magpiewheel/region/ElectionTest.java
@@ -29,7 +29,7 @@
 
     /** A schedule of faults over some fronts; it fails at the first moment with two leaders. */
     static final class World {
-        final Net net;
+        final SimulatedNetwork net;
         final Election[] fronts;
         final double[] rate;
         final long[] offset;
@@ -46,7 +46,7 @@
 
         World(long seed, int count, double loss, double late) {
             this.seed = seed;
-            net = new Net(seed, count, loss, late);
+            net = new SimulatedNetwork(seed, count, loss, late);
             fronts = new Election[count];
             rate = new double[count];
             offset = new long[count];
@@ -87,10 +87,10 @@
             };
             fronts[me] = new Election(
                     local(me),
-                    new Election.Voters(me, START_MS + net.now / 1_000, REGION, fronts.length),
+                    new Election.Participants(me, START_MS + net.now / 1_000, REGION, fronts.length),
                     0,
                     mind,
-                    (to, bytes) -> net.send(me, to, bytes, this::heard));
+                    (to, bytes) -> net.send(me, to, bytes, this::messageReceived));
         }
 
         void run(int front, Runnable does) {
@@ -109,7 +109,7 @@
             fronts[me].tick(local(me), others, others.isEmpty());
         }
 
-        void heard(int to, int from, byte[] bytes) {
+        void messageReceived(int to, int from, byte[] bytes) {
             run(to, () -> {
                 RegionMessage message = RegionMessageCodec.decode(bytes);
                 if (message instanceof RegionMessage.LeaseRequest ask) {
@@ -299,7 +299,7 @@
             world.start(me);
             front = new Election(
                     now,
-                    new Election.Voters(me, startedMs, REGION, 5),
+                    new Election.Participants(me, startedMs, REGION, 5),
                     0,
                     new Election.Delegate() {
                         @Override
--- a/src/test/java/magpiewheel/region/RegionAssignmentTest.java
+++ b/src/test/java/magpiewheel/region/RegionAssignmentTest.java
@@ -33,7 +33,8 @@
         RegionAssignment regions = RegionAssignment.of(shape);
         for (int hub = 0; hub < 2; hub++) {
             int of = hub;
-            List<Region> all = regions.all().stream().filter(r -> r.hub() == of).toList();
+            List<Region> all =
+                    regions.regions().stream().filter(r -> r.hub() == of).toList();
             double[] carries = shape.parents().stream()
                     .filter(p -> p.hub() == of)
                     .mapToDouble(Parent::linkCapacity)
@@ -53,8 +54,10 @@
         for (int branch = 0; branch < shape.hubByZone().length; branch++) {
             int of = branch;
             assertEquals(
-                    regions.of(branch) == null ? 0 : 1,
-                    regions.all().stream().filter(r -> r.zones().contains(of)).count());
+                    regions.regionOf(branch) == null ? 0 : 1,
+                    regions.regions().stream()
+                            .filter(r -> r.zones().contains(of))
+                            .count());
         }
     }
 
@@ -66,7 +69,7 @@
         RegionTopology other = new RegionTopology(shape.hubByZone(), shape.loads(), shuffled);
         assertEquals(shape.digest(), other.digest());
         assertEquals(
-                RegionAssignment.of(shape).all(), RegionAssignment.of(other).all());
+                RegionAssignment.of(shape).regions(), RegionAssignment.of(other).regions());
     }
 
     /** The shape with everybody's place told. */
@@ -89,8 +92,8 @@
                         .toList());
         RegionTopology homed = homed(shape);
         assertEquals(
-                RegionAssignment.of(shape).all(),
-                RegionAssignment.of(homed).all(),
+                RegionAssignment.of(shape).regions(),
+                RegionAssignment.of(homed).regions(),
                 "told places change nothing, seed " + seed);
         double[] grown = shape.loads().clone();
         grown[(int) (seed % 16)] *= 1.2;
@@ -150,7 +153,7 @@
             int[] after = cuts(all.loads(), RegionAssignment.MAX_UTILIZATION * 5);
             sums[3] += moved(before, after);
             sums[4] += moved(after, cuts(grown, RegionAssignment.MAX_UTILIZATION * 5));
-            Region its = RegionAssignment.of(one).of(seed % 24);
+            Region its = RegionAssignment.of(one).regionOf(seed % 24);
             sums[5] += its.load() - all.loads()[seed % 24] + grown[seed % 24] > RegionAssignment.MAX_UTILIZATION * 5
                     ? 1
                     : 0;
--- a/src/test/java/magpiewheel/region/PartsTest.java
+++ b/src/test/java/magpiewheel/region/RegionComponentsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The small parts: messages, ranking, evidence, steps, spill and pace. */
-class PartsTest {
+class RegionComponentsTest {
     private static final long S = 1_000_000;
     private static final RegionMessage.Header HEAD = new RegionMessage.Header(7, 9L << 16 | 3, 1_800_000_000_000L);
 
@@ -56,7 +56,7 @@
     void anythingMayCome(@ForAll @Size(max = 260) byte[] bytes) {
         byte[] ours = bytes.clone();
         if (ours.length > 1) {
-            ours[0] = RegionMessageCodec.MARK;
+            ours[0] = RegionMessageCodec.MAGIC;
             ours[1] = (byte) Math.floorMod(ours[1], 6);
         }
         RegionMessage message = RegionMessageCodec.decode(ours);
@@ -68,15 +68,15 @@
     void theMiddleWordCountsAndUnheardOnesAreAverage() {
         ParentRanking candidates = new ParentRanking(7);
         for (int front = 0; front < 5; front++) {
-            candidates.reported(0, front, opinion(1, 20_000, 0, 1));
-            candidates.reported(0, front, opinion(2, front == 0 ? 1_000 : 40_000, 0, 1));
+            candidates.addReport(0, front, opinion(1, 20_000, 0, 1));
+            candidates.addReport(0, front, opinion(2, front == 0 ? 1_000 : 40_000, 0, 1));
         }
         assertEquals(20_000, candidates.cost(1, 1));
         assertEquals(40_000, candidates.cost(1, 2), "one front's word elects nobody");
         assertEquals(List.of(1L, 3L, 2L), candidates.ranked(1, List.of(2L, 3L, 1L)));
         assertTrue(Double.isNaN(candidates.cost(ParentRanking.REPORT_VALID_US, 1)), "an old word");
         for (int front = 0; front < 5; front++) {
-            candidates.reported(0, front, opinion(1, 20_000, 0, 0.03));
+            candidates.addReport(0, front, opinion(1, 20_000, 0, 0.03));
         }
         assertEquals(
                 List.of(3L, 2L),
@@ -94,7 +94,7 @@
         for (long now = 0; now < 120 * S; now += 100_000) {
             for (long parent = 1; parent <= 4; parent++) {
                 for (int front = 0; front < 3; front++) {
-                    candidates.reported(now, front, opinion(parent, 10_000 + random.nextLong(60_000), 0, 1));
+                    candidates.addReport(now, front, opinion(parent, 10_000 + random.nextLong(60_000), 0, 1));
                 }
             }
             assertEquals(2, candidates.choose(now, 2, List.of(1L, 2L, 3L, 4L)), "seed " + seed);
@@ -104,14 +104,14 @@
     @Test
     void aDoubtNeedsOneConfirmationAndAnAnswerRefutesIt() {
         HangDetector evidence = new HangDetector();
-        assertFalse(evidence.suspected(S, 1, 9, 300_000, 1));
-        assertFalse(evidence.suspected(S + 50_000, 1, 9, 350_000, 1), "the same word again");
+        assertFalse(evidence.addSuspicion(S, 1, 9, 300_000, 1));
+        assertFalse(evidence.addSuspicion(S + 50_000, 1, 9, 350_000, 1), "the same word again");
         evidence.responded(S, 9);
-        assertFalse(evidence.suspected(S + 100_000, 2, 9, 10_000, 1), "answered since the first was silent");
-        assertTrue(evidence.suspected(S + 150_000, 3, 9, 50_000, 1));
+        assertFalse(evidence.addSuspicion(S + 100_000, 2, 9, 10_000, 1), "answered since the first was silent");
+        assertTrue(evidence.addSuspicion(S + 150_000, 3, 9, 50_000, 1));
         assertTrue(evidence.isEjected(6 * S, 9));
         assertFalse(evidence.isEjected(7 * S, 9));
-        assertTrue(evidence.suspected(20 * S, 1, 9, 300_000, 2), "two overdue answers of one front");
+        assertTrue(evidence.addSuspicion(20 * S, 1, 9, 300_000, 2), "two overdue answers of one front");
     }
 
     @Test
@@ -119,13 +119,13 @@
         for (int step = 0; step < 5; step++) {
             long led = step * Handover.STEP_US + 1;
             long moved = IntStream.range(0, 10_000)
-                    .filter(i -> Handover.moved(led, 3, i))
+                    .filter(i -> Handover.hasMigrated(led, 3, i))
                     .count();
             assertEquals(Math.min(1, Math.pow(2, step) / 16), moved / 10_000.0, 0.02);
         }
         assertTrue(IntStream.range(0, 1_000)
-                .filter(i -> Handover.moved(0, 3, i))
-                .allMatch(i -> Handover.moved(2 * S, 3, i)));
+                .filter(i -> Handover.hasMigrated(0, 3, i))
+                .allMatch(i -> Handover.hasMigrated(2 * S, 3, i)));
     }
 
     @Test
@@ -136,28 +136,28 @@
         Map<Long, Double> load = new HashMap<>();
         load.put(77L, 30.0);
         IntStream.range(0, 800).forEach(i -> load.put(1_000L + i, 0.1));
-        RegionMessage.Placement placing = RegionMessage.Placement.NONE;
+        RegionMessage.Placement placement = RegionMessage.Placement.NONE;
         double atFirst = 0;
         for (long now = 0; now < 30 * S; now += 200_000) {
-            RegionMessage.Placement known = placing;
+            RegionMessage.Placement known = placement;
             atFirst = load.entrySet().stream()
-                    .filter(e -> !LoadSpill.goesToSecond(known, e.getKey()))
+                    .filter(e -> !LoadSpill.isSpilled(known, e.getKey()))
                     .mapToDouble(Map.Entry::getValue)
                     .sum();
-            boolean hot = !LoadSpill.goesToSecond(known, 77);
-            spill.reported(now, 0, atFirst / 2, hot ? 77 : 1_000, hot ? 15 : 0.1);
-            spill.reported(now, 1, atFirst / 2, hot ? 77 : 1_000, hot ? 15 : 0.1);
-            placing = spill.decide(now, first, second, 60);
+            boolean hot = !LoadSpill.isSpilled(known, 77);
+            spill.addReport(now, 0, atFirst / 2, hot ? 77 : 1_000, hot ? 15 : 0.1);
+            spill.addReport(now, 1, atFirst / 2, hot ? 77 : 1_000, hot ? 15 : 0.1);
+            placement = spill.decide(now, first, second, 60);
         }
-        assertTrue(LoadSpill.goesToSecond(placing, 77), "the hot one goes first");
+        assertTrue(LoadSpill.isSpilled(placement, 77), "the hot one goes first");
         assertTrue(atFirst <= LoadSpill.HIGH_UTILIZATION * 100, "at the leader " + atFirst);
-        assertTrue(placing.slice() <= 60, "slice " + placing.slice());
+        assertTrue(placement.slice() <= 60, "slice " + placement.slice());
         for (long now = 30 * S; now < 60 * S; now += 200_000) {
-            spill.reported(now, 0, 10, 0, 0);
-            spill.reported(now, 1, 10, 0, 0);
-            placing = spill.decide(now, first, second, 60);
+            spill.addReport(now, 0, 10, 0, 0);
+            spill.addReport(now, 1, 10, 0, 0);
+            placement = spill.decide(now, first, second, 60);
         }
-        assertEquals(RegionMessage.Placement.NONE, placing, "taken back");
+        assertEquals(RegionMessage.Placement.NONE, placement, "taken back");
     }
 
     /** A cold branch asks for far more than may go up: the pace is kept, and what is wanted most goes up first. */
--- a/src/test/java/magpiewheel/region/RegionCoordinatorTest.java
+++ b/src/test/java/magpiewheel/region/RegionCoordinatorTest.java
@@ -145,7 +145,7 @@
         world.wanted(S, 40 * S, 1_000_000 / 18, 40_000, 1);
         world.grows(0, 12 * S, 40 * S, 1_000_000 / 18, 36);
         world.net.runUntil(11 * S, () -> {});
-        double regions = world.view(0).assignment().all().size();
+        double regions = world.view(0).assignment().regions().size();
         world.net.runUntil(41 * S, () -> {});
         double most = world.parents.values().stream()
                 .flatMap(p -> p.carried.values().stream())
@@ -154,7 +154,9 @@
                 .getAsDouble();
         for (int i = 0; i < RegionWorld.FRONTS; i++) {
             assertEquals(
-                    world.view(0).assignment().all(), world.view(i).assignment().all(), "seed " + seed);
+                    world.view(0).assignment().regions(),
+                    world.view(i).assignment().regions(),
+                    "seed " + seed);
         }
         // A front may be without a leader at a moment: what they hold to over the last second counts.
         Set<Long> leading = new HashSet<>();
@@ -170,7 +172,7 @@
                 }));
         assertEquals(RegionWorld.FRONTS, led.size(), "a front without a leader for a second, seed " + seed);
         long leaders = leading.size();
-        return new double[] {regions, world.view(0).assignment().all().size(), leaders, most};
+        return new double[] {regions, world.view(0).assignment().regions().size(), leaders, most};
     }
 
     @Test
--- a/src/test/java/magpiewheel/region/RegionMessageCodecGoldenTest.java
+++ b/src/test/java/magpiewheel/region/RegionMessageCodecGoldenTest.java
@@ -16,12 +16,12 @@
 
     @Test
     void leaseRequest() {
-        RegionMessage.Placement placing = new RegionMessage.Placement(102, 200, List.of(1L, 2L, 3L, 4L, 5L));
+        RegionMessage.Placement placement = new RegionMessage.Placement(102, 200, List.of(1L, 2L, 3L, 4L, 5L));
         assertEquals(
                 "e1010102030400000000000000090000019ad8ecf87b0000000000000065000000000000000b0000"
                         + "00000000000c0000000d000000000000000e0000000000000066c804000000000000000100000000"
                         + "0000000200000000000000030000000000000004",
-                hex(new RegionMessage.LeaseRequest(HEAD, 101, 11, 12, 13, 14, placing)));
+                hex(new RegionMessage.LeaseRequest(HEAD, 101, 11, 12, 13, 14, placement)));
     }
 
     @Test
--- a/src/test/java/magpiewheel/region/RegionWorld.java
+++ b/src/test/java/magpiewheel/region/RegionWorld.java
@@ -161,7 +161,7 @@
         }
     }
 
-    final Net net;
+    final SimulatedNetwork net;
     final Way way;
     private final double[] loads;
     final List<Front> fronts = new ArrayList<>();
@@ -187,7 +187,7 @@
 
     RegionWorld(long seed, Way way, double loss, int parentCount, double capacity, double load) {
         this.loads = new double[] {load, load, load, load};
-        this.net = new Net(seed, FRONTS, loss, 0);
+        this.net = new SimulatedNetwork(seed, FRONTS, loss, 0);
         this.way = way;
         for (int i = 0; i < FRONTS; i++) {
             rate[i] = 1 + (net.random.nextDouble() * 2 - 1) * 0.0001;
--- a/src/test/java/magpiewheel/region/Net.java
+++ b/src/test/java/magpiewheel/region/SimulatedNetwork.java
@@ -6,11 +6,11 @@
 import magpiewheel.support.Fingerprint;
 
 /** A world's events in virtual time, and a network that loses, doubles, delays, splits and cuts one way. */
-public final class Net {
+public final class SimulatedNetwork {
     /** Whoever takes in the messages of a simulated network. */
     public interface Receiver {
         /** A message has come. */
-        void heard(int to, int from, byte[] message);
+        void messageReceived(int to, int from, byte[] message);
     }
 
     private record Event(long at, long number, Runnable does) {}
@@ -30,7 +30,7 @@
     public final Fingerprint messages = new Fingerprint();
 
     /** A network of so many fronts; loss and late are shares of its messages, and all chance comes from the seed. */
-    public Net(long seed, int fronts, double loss, double late) {
+    public SimulatedNetwork(long seed, int fronts, double loss, double late) {
         this.random = new SplittableRandom(seed);
         this.cut = new boolean[fronts][fronts];
         this.loss = loss;
@@ -61,7 +61,7 @@
             boolean slow = random.nextDouble() < late;
             long delay = 1_400 + random.nextLong(slow ? 3_000_000 : 21_600);
             if (random.nextDouble() >= loss && !cut[from][to]) {
-                at(now + delay, () -> receiver.heard(to, from, message.clone()));
+                at(now + delay, () -> receiver.messageReceived(to, from, message.clone()));
             }
         }
     }
--- a/src/test/java/magpiewheel/routing/OverloadedLocation.java
+++ b/src/test/java/magpiewheel/routing/OverloadedLocation.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiewheel.region.Net;
+import magpiewheel.region.SimulatedNetwork;
 import magpiewheel.region.SlowStartProfile;
 
 /**
@@ -145,7 +145,7 @@
     }
 
     private final List<Kind> kinds;
-    private final Net net;
+    private final SimulatedNetwork net;
     private final List<Front> fronts = new ArrayList<>();
     private final Map<Long, Double> sizes = new HashMap<>();
     private final Map<Long, Integer> inHand = new HashMap<>();
@@ -155,7 +155,7 @@
 
     OverloadedLocation(long seed, List<Kind> kinds) {
         this.kinds = kinds;
-        net = new Net(seed, FRONTS, 0.05, 0.01);
+        net = new SimulatedNetwork(seed, FRONTS, 0.05, 0.01);
         for (long object = 0; object < OBJECTS * kinds.size(); object++) {
             if (net.random.nextDouble() < HELD) {
                 held.add(spot(1 + net.random.nextInt(CACHES), object + 1));
--- a/src/test/java/magpiewheel/routing/RegionalFleetWorld.java
+++ b/src/test/java/magpiewheel/routing/RegionalFleetWorld.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import magpiewheel.region.Net;
+import magpiewheel.region.SimulatedNetwork;
 import magpiewheel.region.SlowStartProfile;
 import magpiewheel.support.Fingerprint;
 
@@ -190,7 +190,7 @@
     /** A final answer: of a request of a time, after so long. */
     record Answer(long askedAt, long tookUs, int front, String how) {}
 
-    final Net net;
+    final SimulatedNetwork net;
     final Fingerprint actions = new Fingerprint();
     final List<Sent> sent = new ArrayList<>();
     final List<Answer> answers = new ArrayList<>();
@@ -216,7 +216,7 @@
     /** Likewise; what does not join is asked first for what it holds, and says what is on its way. */
     RegionalFleetWorld(long seed, boolean led, int parents, int originTransfers, boolean joins) {
         this.joins = joins;
-        this.net = new Net(seed, FRONTS, 0.05, 0);
+        this.net = new SimulatedNetwork(seed, FRONTS, 0.05, 0);
         this.led = led;
         this.originTransfers = originTransfers;
         for (int branch = 0; branch < BRANCHES; branch++) {
--- a/src/test/java/magpiewheel/routing/WarmingFleet.java
+++ b/src/test/java/magpiewheel/routing/WarmingFleet.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import magpiewheel.region.Net;
+import magpiewheel.region.SimulatedNetwork;
 import magpiewheel.region.SlowStartProfile;
 import magpiewheel.support.Fingerprint;
 
@@ -146,7 +146,7 @@
     final Fingerprint actions = new Fingerprint();
     final List<Arrival> arrivals = new ArrayList<>();
     private final Plans plans;
-    private final Net net;
+    private final SimulatedNetwork net;
     private final List<Front> fronts = new ArrayList<>();
     private final Map<Long, Double> sizes = new HashMap<>();
     private final Map<Long, Long> transfers = new HashMap<>();
@@ -155,7 +155,7 @@
     /** A fleet whose cold node started as the run begins; one in ten of its datagrams is lost. */
     WarmingFleet(Plans plans) {
         this.plans = plans;
-        net = new Net(plans.seed(), plans.fronts(), 0.1, 0.02);
+        net = new SimulatedNetwork(plans.seed(), plans.fronts(), 0.1, 0.02);
         for (int me = 0; me < plans.fronts(); me++) {
             fronts.add(new Front(me));
         }
