--- a/src/main/java/magpiewheel/membership/AntiEntropy.java
+++ b/src/main/java/magpiewheel/membership/AntiEntropy.java
@@ -7,11 +7,11 @@
 /** Compares this member's table with others by digests, and repairs what dissemination missed. */
 final class AntiEntropy {
     /** Messages in a row with another digest until the tables are taken to differ. */
-    private static final int MISMATCHES = 4;
+    private static final int MIN_MISMATCHES = 4;
     /** Heartbeats from one request of differences to the next. */
-    private static final int REQUEST_HEARTBEATS = 4;
+    private static final int REQUEST_INTERVAL_HEARTBEATS = 4;
     /** Heartbeats from one request to a member to the next to the same one. */
-    private static final int SAME_MEMBER_HEARTBEATS = 2;
+    private static final int SAME_MEMBER_INTERVAL_HEARTBEATS = 2;
     /** Messages sent at once to a member whose table differs. */
     private static final int MAX_REPAIR_MESSAGES = 8;
 
@@ -22,7 +22,7 @@
     private final SplittableRandom random;
     private final PartitionDetector partition;
     private final Messenger messenger;
-    private long requestedAt;
+    private long lastRequestAt;
     private int nextNeighbour;
 
     AntiEntropy(MembershipContext context, PartitionDetector partition, Messenger messenger) {
@@ -36,25 +36,25 @@
     }
 
     /** A member sent the digest of its table; while updates are on their way tables differ for a moment anyway. */
-    void compare(long now, Member with, int digest) {
-        with.digestMismatches = digest == members.digest() ? 0 : with.digestMismatches + 1;
-        if (with.digestMismatches >= MISMATCHES
+    void compare(long now, Member sender, int digest) {
+        sender.digestMismatches = digest == members.digest() ? 0 : sender.digestMismatches + 1;
+        if (sender.digestMismatches >= MIN_MISMATCHES
                 && dissemination.isIdle()
-                && now - requestedAt >= REQUEST_HEARTBEATS * config.heartbeatUs()) {
-            requestDifferences(now, with);
+                && now - lastRequestAt >= REQUEST_INTERVAL_HEARTBEATS * config.heartbeatUs()) {
+            requestDifferences(now, sender);
         }
     }
 
     private void requestDifferences(long now, Member from) {
-        if (now - from.syncRequestedAt >= SAME_MEMBER_HEARTBEATS * config.heartbeatUs()) {
+        if (now - from.syncRequestedAt >= SAME_MEMBER_INTERVAL_HEARTBEATS * config.heartbeatUs()) {
             from.syncRequestedAt = now;
-            requestedAt = now;
+            lastRequestAt = now;
             messenger.sendDigests(now, from);
         }
     }
 
     /** A member that just started asks one neighbour after another, not all at once; returns that one, or null. */
-    Member requestWhileYoung(long now, List<Member> neighbours) {
+    Member requestAfterStart(long now, List<Member> neighbours) {
         if (monitor.hasSettled(now)) {
             return null;
         }
@@ -69,38 +69,38 @@
     }
 
     /** Sends a member the updates of the buckets whose digests differ. */
-    void repair(long now, Member to, int[] itsDigests) {
+    void repair(long now, Member to, int[] remoteDigests) {
         List<MemberUpdate> updates = new ArrayList<>();
         int space = MembershipMessage.MAX_MESSAGE_BYTES - MembershipMessage.HEADER_BYTES;
         int sent = 0;
         int first = random.nextInt(members.size());
         for (int i = 0; i < members.size() && sent < MAX_REPAIR_MESSAGES; i++) {
             Member member = members.get((first + i) % members.size());
-            if (!differs(member, itsDigests)) {
+            if (!differs(member, remoteDigests)) {
                 continue;
             }
             MemberUpdate update = member.toUpdate(now);
             if (partition.isIsolated() && update.declaresFailure()) {
                 continue;
             }
-            if (MembershipMessage.bytes(update) > space) {
+            if (MembershipMessage.encodedBytes(update) > space) {
                 messenger.sendUpdates(now, to, updates, false);
                 sent++;
                 updates = new ArrayList<>();
                 space = MembershipMessage.MAX_MESSAGE_BYTES - MembershipMessage.HEADER_BYTES;
             }
             updates.add(update);
-            space -= MembershipMessage.bytes(update);
+            space -= MembershipMessage.encodedBytes(update);
         }
         if (!updates.isEmpty() && sent < MAX_REPAIR_MESSAGES) {
             messenger.sendUpdates(now, to, updates, false);
         }
     }
 
-    private boolean differs(Member member, int[] itsDigests) {
+    private boolean differs(Member member, int[] remoteDigests) {
         int bucket = MemberTable.bucketOf(member);
         return member.incarnation != 0
                 && member != members.self()
-                && itsDigests[bucket] != members.bucketDigests()[bucket];
+                && remoteDigests[bucket] != members.bucketDigests()[bucket];
     }
 }
--- a/src/main/java/magpiewheel/membership/DeadMemberProber.java
+++ b/src/main/java/magpiewheel/membership/DeadMemberProber.java
@@ -3,9 +3,9 @@
 /** Probes the dead members that this one would observe: their hosts may prove that nobody listens there. */
 final class DeadMemberProber {
     /** us; from one probe to the next: soon where the first was refused, or nobody answered. */
-    private static final long RETRY_US = 200_000;
+    private static final long RETRY_INTERVAL_US = 200_000;
     /** Refusals in a row that prove it. */
-    private static final int REFUSALS_NEEDED = 2;
+    private static final int REQUIRED_REFUSALS = 2;
 
     private static final long US_PER_MS = 1_000;
 
@@ -31,10 +31,10 @@
         for (Member member : members.all()) {
             if (member != members.self()
                     && !member.isInRing()
-                    && now - member.lastProbeOfDeadAt >= intervalUs(member)
+                    && now - member.lastDeadProbeAt >= probeIntervalUs(member)
                     && observes(member)) {
-                long retryAt = now - QuotaDivision.PROOF_RENEWAL_US + RETRY_US;
-                member.lastProbeOfDeadAt = Math.max(member.lastProbeOfDeadAt, retryAt);
+                long retryAt = now - QuotaDivision.PROOF_RENEWAL_US + RETRY_INTERVAL_US;
+                member.lastDeadProbeAt = Math.max(member.lastDeadProbeAt, retryAt);
                 sender.probe(member.id, now);
             }
         }
@@ -45,16 +45,16 @@
                 .contains(config.memberId());
     }
 
-    private static long intervalUs(Member member) {
-        return member.refusedProbesInRow == 1 ? RETRY_US / 2 : QuotaDivision.PROOF_RENEWAL_US;
+    private static long probeIntervalUs(Member member) {
+        return member.refusedProbesInRow == 1 ? RETRY_INTERVAL_US / 2 : QuotaDivision.PROOF_RENEWAL_US;
     }
 
     /** The host of a dead member refused a probe that was sent at a time: a process may have started since. */
-    void refused(long now, Member member, long probedAt) {
-        boolean inRow = now - member.lastProbeOfDeadAt < QuotaDivision.PROOF_LEASE_US;
+    void probeRefused(long now, Member member, long probedAt) {
+        boolean inRow = now - member.lastDeadProbeAt < QuotaDivision.PROOF_LEASE_US;
         member.refusedProbesInRow = inRow ? member.refusedProbesInRow + 1 : 1;
-        member.lastProbeOfDeadAt = now;
-        if (member.refusedProbesInRow >= REFUSALS_NEEDED) {
+        member.lastDeadProbeAt = now;
+        if (member.refusedProbesInRow >= REQUIRED_REFUSALS) {
             member.unreachableProvenMs = probedAt / US_PER_MS;
             dissemination.announce(now, member);
         }
--- a/src/main/java/magpiewheel/membership/FailureDetector.java
+++ b/src/main/java/magpiewheel/membership/FailureDetector.java
@@ -12,7 +12,7 @@
 
     private static final double REFUTATION_HEARTBEATS_PER_DOUBLING = 2.0 / 3;
     /** Accusers that make a suspect dead; fewer where it has fewer observers. */
-    private static final int ACCUSERS = 2;
+    private static final int REQUIRED_ACCUSERS = 2;
     /** Heartbeats after which a refuted accuser accuses again, doubling: it may be the one that is cut off. */
     private static final int ACCUSATION_BACKOFF_HEARTBEATS = 8;
 
@@ -51,33 +51,33 @@
                 accuse(now, member);
             }
         }
-        members.suspects().forEach(suspect -> judge(now, suspect));
+        members.suspects().forEach(suspect -> evaluate(now, suspect));
     }
 
-    private void judge(long now, Member suspect) {
+    private void evaluate(long now, Member suspect) {
         if (suspect.declaredUnreachableMs > 0 && !suspect.isFresh(now, prober.probeAfterUs(suspect))) {
-            provenDead(now, suspect, suspect.declaredUnreachableMs);
-        } else if (suspect.unreachableProvenMs > 0 && accusersNeeded(suspect) < ACCUSERS) {
-            provenDead(now, suspect, suspect.unreachableProvenMs);
+            declareProvenDead(now, suspect, suspect.declaredUnreachableMs);
+        } else if (suspect.unreachableProvenMs > 0 && requiredAccusers(suspect) < REQUIRED_ACCUSERS) {
+            declareProvenDead(now, suspect, suspect.unreachableProvenMs);
         } else if (now - suspect.suspectedAt >= refutationUs
                 && !monitor.isHeard(now, suspect)
-                && (suspect.declaredDead || suspect.accuserCount() >= accusersNeeded(suspect))) {
-            dead(now, suspect);
+                && (suspect.declaredDead || suspect.accuserCount() >= requiredAccusers(suspect))) {
+            declareDead(now, suspect);
             suspect.refusedProbesInRow = 0;
         }
     }
 
-    private void dead(long now, Member member) {
+    private void declareDead(long now, Member member) {
         members.set(member, MemberStatus.DEAD);
         member.stopObserving();
-        leftRing(now, member);
+        recordRingLeave(now, member);
         dissemination.announce(now, member);
     }
 
     /** A member is dead or left. */
-    void leftRing(long now, Member member) {
+    void recordRingLeave(long now, Member member) {
         member.leftRingAt = now;
-        members.lossAt(now);
+        members.recordLoss(now);
     }
 
     /**
@@ -85,30 +85,30 @@
      *
      * @param provenMs the Unix millisecond of the older refusal
      */
-    void provenDead(long now, Member member, long provenMs) {
-        dead(now, member);
+    void declareProvenDead(long now, Member member, long provenMs) {
+        declareDead(now, member);
         member.unreachableProvenMs = provenMs;
         member.refusedProbesInRow = 0;
     }
 
     /** The host of a member refused this member's probes: an accusation, and a proof if another was refused, too. */
     void probesRefused(long now, Member member, long provenMs) {
-        boolean another = member.status == MemberStatus.SUSPECT
+        boolean refusedToAnother = member.status == MemberStatus.SUSPECT
                 && member.unreachableProvenMs > 0
                 && member.firstAccuser != config.memberId();
-        if (another) {
-            provenDead(now, member, Math.min(provenMs, member.unreachableProvenMs));
+        if (refusedToAnother) {
+            declareProvenDead(now, member, Math.min(provenMs, member.unreachableProvenMs));
         } else if (now >= member.nextAccusationAt
                 && (member.status != MemberStatus.SUSPECT || member.unreachableProvenMs == 0)) {
             backOff(member);
             suspect(now, member);
-            member.probeRefusedTo(config.memberId(), provenMs);
+            member.addRefusedAccuser(config.memberId(), provenMs);
             dissemination.announce(now, member);
         }
     }
 
     /** A heartbeat came in time: this observer may accuse again soon, however often it was refuted before. */
-    void heard(long now, Member member) {
+    void heartbeatReceived(long now, Member member) {
         member.accusationBackoffUs = 0;
         member.nextAccusationAt =
                 Math.min(member.nextAccusationAt, now + ACCUSATION_BACKOFF_HEARTBEATS * config.heartbeatUs());
@@ -127,9 +127,9 @@
     }
 
     private void backOff(Member member) {
-        long leastUs = ACCUSATION_BACKOFF_HEARTBEATS * config.heartbeatUs();
-        long mostUs = MAX_ACCUSATION_BACKOFF_HEARTBEATS * config.heartbeatUs();
-        member.accusationBackoffUs = Math.min(mostUs, Math.max(leastUs, 2 * member.accusationBackoffUs));
+        long minUs = ACCUSATION_BACKOFF_HEARTBEATS * config.heartbeatUs();
+        long maxUs = MAX_ACCUSATION_BACKOFF_HEARTBEATS * config.heartbeatUs();
+        member.accusationBackoffUs = Math.min(maxUs, Math.max(minUs, 2 * member.accusationBackoffUs));
     }
 
     private void suspect(long now, Member member) {
@@ -141,12 +141,12 @@
     }
 
     /** As many accusers as a member has observers that run, two at most. */
-    private int accusersNeeded(Member member) {
+    private int requiredAccusers(Member member) {
         int observers = 0;
         for (int id : rings.observersOf(member.id, other -> isRunning(members.get(other)), other -> false)) {
             observers += id == member.id ? 0 : 1;
         }
-        return Math.max(1, Math.min(ACCUSERS, observers));
+        return Math.max(1, Math.min(REQUIRED_ACCUSERS, observers));
     }
 
     private static boolean isRunning(Member member) {
--- a/src/main/java/magpiewheel/membership/GossipRound.java
+++ b/src/main/java/magpiewheel/membership/GossipRound.java
@@ -8,13 +8,13 @@
 /** One round of messages: to the neighbours, to temporary peers and, with a heartbeat, to members at random. */
 final class GossipRound {
     /** Messages of a heartbeat: to the neighbours, and to others at random where these are fewer. */
-    private static final int MESSAGES = 2 * ObserverRings.RINGS;
+    private static final int MESSAGES_PER_HEARTBEAT = 2 * ObserverRings.RINGS;
     /** Heartbeats in which a member that just started only requests updates. */
-    private static final int FIRST_HEARTBEATS = 2;
+    private static final int FIRST_REQUEST_HEARTBEATS = 2;
     /** Heartbeats from one attempt to reach a dead member to the next. */
-    private static final int REACH_HEARTBEATS = 5;
+    private static final int CONTACT_INTERVAL_HEARTBEATS = 5;
     /** Heartbeats for which a member that wrote and is no neighbour is written to; three, as one may be lost. */
-    private static final int TEMPORARY_HEARTBEATS = 3;
+    private static final int TEMPORARY_PEER_HEARTBEATS = 3;
 
     private static final int MAX_TEMPORARY_PEERS = 16;
 
@@ -50,7 +50,7 @@
     /** The round of a process that a younger one superseded: now and then it asks whether that still runs. */
     void runSuperseded(long now, boolean heartbeat) {
         List<Member> list = neighbours.list();
-        if (heartbeat && schedule.isEvery(REACH_HEARTBEATS) && !list.isEmpty()) {
+        if (heartbeat && schedule.isMultipleOf(CONTACT_INTERVAL_HEARTBEATS) && !list.isEmpty()) {
             messenger.sendRound(now, list.get(random.nextInt(list.size())), List.of(), true);
         }
     }
@@ -59,10 +59,10 @@
     boolean run(long now, boolean heartbeat) {
         Set<Member> receivers = receivers(now);
         List<MemberUpdate> updates = dissemination.takeUpdates(now, partition.isIsolated());
-        Member requested = heartbeat ? antiEntropy.requestWhileYoung(now, neighbours.list()) : null;
+        Member requested = heartbeat ? antiEntropy.requestAfterStart(now, neighbours.list()) : null;
         if (requested != null
                 && !monitor.heardAnyone()
-                && monitor.uptimeUs(now) < FIRST_HEARTBEATS * config.heartbeatUs()) {
+                && monitor.uptimeUs(now) < FIRST_REQUEST_HEARTBEATS * config.heartbeatUs()) {
             // A member that knows nothing asks one other first: the rest would only repeat that answer.
             return false;
         }
@@ -72,8 +72,8 @@
             }
         }
         if (heartbeat) {
-            sendAtRandom(now, receivers, updates);
-            reachDead(now, updates);
+            sendToRandomMembers(now, receivers, updates);
+            contactDeadMember(now, updates);
         }
         return true;
     }
@@ -90,21 +90,21 @@
     }
 
     /** What the neighbours leave of a heartbeat's messages goes to others; an isolated member sends more. */
-    private void sendAtRandom(long now, Set<Member> receivers, List<MemberUpdate> updates) {
-        boolean lost = !partition.isReached(now);
-        int messages = Math.max(MESSAGES - receivers.size(), lost ? MESSAGES : 0);
-        for (int draws = 2 * MESSAGES; draws > 0 && messages > 0; draws--) {
+    private void sendToRandomMembers(long now, Set<Member> receivers, List<MemberUpdate> updates) {
+        boolean outOfContact = !partition.hasTwoWayContact(now);
+        int messages = Math.max(MESSAGES_PER_HEARTBEAT - receivers.size(), outOfContact ? MESSAGES_PER_HEARTBEAT : 0);
+        for (int draws = 2 * MESSAGES_PER_HEARTBEAT; draws > 0 && messages > 0; draws--) {
             Member other = members.get(random.nextInt(members.size()));
-            if (other != members.self() && (lost || other.isInRing()) && receivers.add(other)) {
-                messenger.sendRound(now, other, updates, lost);
+            if (other != members.self() && (outOfContact || other.isInRing()) && receivers.add(other)) {
+                messenger.sendRound(now, other, updates, outOfContact);
                 messages--;
             }
         }
     }
 
     /** Now and then a member that is thought dead is written to: it may be on the other side of a partition. */
-    private void reachDead(long now, List<MemberUpdate> updates) {
-        if (!schedule.isEvery(REACH_HEARTBEATS)) {
+    private void contactDeadMember(long now, List<MemberUpdate> updates) {
+        if (!schedule.isMultipleOf(CONTACT_INTERVAL_HEARTBEATS)) {
             return;
         }
         List<Member> dead = members.all().stream()
@@ -120,6 +120,6 @@
         if (now > from.temporaryPeerUntil) {
             messenger.reply(now, from, List.of());
         }
-        from.temporaryPeerUntil = now + TEMPORARY_HEARTBEATS * monitor.heartbeatUs(from);
+        from.temporaryPeerUntil = now + TEMPORARY_PEER_HEARTBEATS * monitor.heartbeatUs(from);
     }
 }
--- a/src/main/java/magpiewheel/membership/LocalMember.java
+++ b/src/main/java/magpiewheel/membership/LocalMember.java
@@ -3,7 +3,7 @@
 /** What this member says of itself: its status and incarnation, and whether a younger process took its place. */
 final class LocalMember {
     /** us; datagrams for the older of two processes may be on their way for so long. */
-    private static final long SUPERSEDED_US = 1_000_000;
+    private static final long MAX_LATE_DATAGRAM_US = 1_000_000;
 
     private final MemberTable members;
     private final Member self;
@@ -33,10 +33,10 @@
     }
 
     /** It drains from now on, or no longer. */
-    void setDraining(long now, boolean drains) {
-        if (drains && self.status != MemberStatus.LEFT) {
+    void setDraining(long now, boolean draining) {
+        if (draining && self.status != MemberStatus.LEFT) {
             announce(now, MemberStatus.LEFT, self.incarnation);
-        } else if (!drains && self.status == MemberStatus.LEFT) {
+        } else if (!draining && self.status == MemberStatus.LEFT) {
             announce(now, MemberStatus.ALIVE, self.incarnation + 1);
         }
     }
@@ -48,7 +48,7 @@
 
     /** A datagram came: while a younger process runs it would have got it, so that one has ended. */
     void datagramReceived(long now) {
-        if (superseded && now - supersededAt > SUPERSEDED_US) {
+        if (superseded && now - supersededAt > MAX_LATE_DATAGRAM_US) {
             superseded = false;
             announce(now, self.status, successorIncarnation + 1);
         }
@@ -56,20 +56,20 @@
 
     /** Another member said something of this one: a younger process took its place, or it has to refute that. */
     void merge(long now, MemberUpdate update) {
-        boolean runs = update.status() == MemberStatus.JOINING || update.status() == MemberStatus.ALIVE;
+        boolean running = update.status() == MemberStatus.JOINING || update.status() == MemberStatus.ALIVE;
         boolean newer = update.incarnation() > self.incarnation;
-        if (newer && runs && !monitor.isYoung(now)) {
+        if (newer && running && !monitor.isSettling(now)) {
             superseded = true;
             supersededAt = now;
             successorIncarnation = update.incarnation();
-        } else if (newer || update.incarnation() == self.incarnation && isToBeRefuted(update)) {
+        } else if (newer || update.incarnation() == self.incarnation && mustRefute(update)) {
             superseded = false;
             announce(now, self.status, update.incarnation() + 1);
         }
     }
 
-    private boolean isToBeRefuted(MemberUpdate update) {
-        boolean wrong = update.declaresFailure() || update.status() == MemberStatus.LEFT;
-        return wrong && self.status != MemberStatus.LEFT;
+    private boolean mustRefute(MemberUpdate update) {
+        boolean refutable = update.declaresFailure() || update.status() == MemberStatus.LEFT;
+        return refutable && self.status != MemberStatus.LEFT;
     }
 }
--- a/src/main/java/magpiewheel/membership/Member.java
+++ b/src/main/java/magpiewheel/membership/Member.java
@@ -32,7 +32,7 @@
     long unreachableProvenMs;
 
     int refusedProbesInRow;
-    long lastProbeOfDeadAt = NEVER;
+    long lastDeadProbeAt = NEVER;
     /** Since when it is out of the ring, and since when its incarnation is known. */
     long leftRingAt = NEVER;
 
@@ -63,15 +63,15 @@
     int digestMismatches;
 
     long syncRequestedAt = NEVER;
-    long repliedAt = NEVER;
+    long lastReplyAt = NEVER;
     long temporaryPeerUntil = NEVER;
     /** Rounds in which an update of it is still to be sent. */
-    int sendsLeft;
+    int sendsRemaining;
 
-    boolean queued;
+    boolean updateQueued;
     private long minDelay = Long.MAX_VALUE;
-    private long minDelayBefore = Long.MAX_VALUE;
-    private int delays;
+    private long previousMinDelay = Long.MAX_VALUE;
+    private int delaySamples;
 
     Member(int id) {
         this.id = id;
@@ -123,18 +123,18 @@
         if (sentAt <= lastSentAt) {
             // A process that restarted with its clock set back: the delays of the other clock no longer count.
             minDelay = Long.MAX_VALUE;
-            minDelayBefore = Long.MAX_VALUE;
-            delays = 0;
+            previousMinDelay = Long.MAX_VALUE;
+            delaySamples = 0;
         }
         senderIncarnation = incarnationOfSender;
         lastSentAt = sentAt;
-        if (++delays > DELAY_SAMPLES) {
-            delays = 1;
-            minDelayBefore = minDelay;
+        if (++delaySamples > DELAY_SAMPLES) {
+            delaySamples = 1;
+            previousMinDelay = minDelay;
             minDelay = Long.MAX_VALUE;
         }
         minDelay = Math.min(minDelay, now - sentAt);
-        lastAliveAt = Math.max(lastAliveAt, Math.min(now, sentAt + Math.min(minDelay, minDelayBefore)));
+        lastAliveAt = Math.max(lastAliveAt, Math.min(now, sentAt + Math.min(minDelay, previousMinDelay)));
         return true;
     }
 
@@ -160,7 +160,7 @@
     }
 
     /** Its host refused a probe of one accuser, which becomes the first. */
-    void probeRefusedTo(int accuser, long provenMs) {
+    void addRefusedAccuser(int accuser, long provenMs) {
         if (firstAccuser != accuser) {
             secondAccuser = firstAccuser;
             firstAccuser = accuser;
--- a/src/main/java/magpiewheel/membership/MemberTable.java
+++ b/src/main/java/magpiewheel/membership/MemberTable.java
@@ -118,13 +118,13 @@
 
     /** Whether the neighbours have to be determined anew; asking clears the mark. */
     boolean takeChanged() {
-        boolean was = changed;
+        boolean wasChanged = changed;
         changed = false;
-        return was;
+        return wasChanged;
     }
 
     /** A member left the ring, or refused a probe. */
-    void lossAt(long now) {
+    void recordLoss(long now) {
         lastLossAt = now;
     }
 
--- a/src/main/java/magpiewheel/membership/MembershipMessage.java
+++ b/src/main/java/magpiewheel/membership/MembershipMessage.java
@@ -41,24 +41,24 @@
     static final int UPDATE_BYTES = 14;
     static final int SUSPECT_BYTES = 6;
     static final int PROOF_BYTES = 6;
-    private static final byte MARK = 0x4d;
+    private static final byte MAGIC = 0x4d;
     private static final byte VERSION = 1;
     private static final int HEARS_RECEIVER = 1;
     private static final int WANTS_REPLY = 2;
-    private static final int HAS_BUCKETS = 4;
-    private static final int STATUS_BITS = 3;
-    private static final int PROVEN = 0x80;
-    private static final long AGE_STEP_US = 10_000;
-    private static final int MAX_SHORT = 0xffff;
-    private static final long MAX_SIX_BYTES = 0xffff_ffff_ffffL;
+    private static final int HAS_BUCKET_DIGESTS = 4;
+    private static final int STATUS_BIT_COUNT = 3;
+    private static final int PROOF_FLAG = 0x80;
+    private static final long SUSPECTED_FOR_UNIT_US = 10_000;
+    private static final int MAX_UINT16 = 0xffff;
+    private static final long MAX_UINT48 = 0xffff_ffff_ffffL;
 
     /** Whether bytes are a message of the membership, of whatever version. */
     static boolean isMembershipMessage(byte[] bytes) {
-        return bytes.length >= 2 && bytes[0] == MARK;
+        return bytes.length >= 2 && bytes[0] == MAGIC;
     }
 
     /** The encoded size of an update. */
-    static int bytes(MemberUpdate update) {
+    static int encodedBytes(MemberUpdate update) {
         return UPDATE_BYTES
                 + (update.status() == MemberStatus.SUSPECT ? SUSPECT_BYTES : 0)
                 + (update.unreachableProvenMs() > 0 ? PROOF_BYTES : 0);
@@ -67,22 +67,22 @@
     byte[] encode() {
         int size = HEADER_BYTES + (kind == Kind.BUCKET_DIGESTS ? BUCKETS * Integer.BYTES : 0);
         for (MemberUpdate update : updates) {
-            size += bytes(update);
+            size += encodedBytes(update);
         }
         ByteBuffer buffer = ByteBuffer.allocate(size);
         int flags = (hearsReceiver ? HEARS_RECEIVER : 0)
                 | (wantsReply ? WANTS_REPLY : 0)
-                | (kind == Kind.BUCKET_DIGESTS ? HAS_BUCKETS : 0);
-        buffer.put(MARK)
+                | (kind == Kind.BUCKET_DIGESTS ? HAS_BUCKET_DIGESTS : 0);
+        buffer.put(MAGIC)
                 .put(VERSION)
                 .put((byte) flags)
-                .put((byte) (sender.status().ordinal() | verdict.ordinal() << STATUS_BITS))
+                .put((byte) (sender.status().ordinal() | verdict.ordinal() << STATUS_BIT_COUNT))
                 .putShort((short) sender.memberId());
-        sixBytes(buffer, sender.incarnation());
+        putUint48(buffer, sender.incarnation());
         buffer.put((byte) sender.zone())
                 .putInt(sender.address())
                 .putLong(sentAtUs)
-                .putShort((short) Math.min(MAX_SHORT, heartbeatMs))
+                .putShort((short) Math.min(MAX_UINT16, heartbeatMs))
                 .putInt(digest)
                 .put((byte) updates.size());
         if (kind == Kind.BUCKET_DIGESTS) {
@@ -98,25 +98,25 @@
 
     private static void putUpdate(ByteBuffer buffer, MemberUpdate update) {
         buffer.putShort((short) update.memberId())
-                .put((byte) (update.status().ordinal() | (update.unreachableProvenMs() > 0 ? PROVEN : 0)));
-        sixBytes(buffer, update.incarnation());
+                .put((byte) (update.status().ordinal() | (update.unreachableProvenMs() > 0 ? PROOF_FLAG : 0)));
+        putUint48(buffer, update.incarnation());
         buffer.put((byte) update.zone()).putInt(update.address());
         if (update.status() == MemberStatus.SUSPECT) {
             buffer.putShort((short) update.firstAccuser())
                     .putShort((short) update.secondAccuser())
-                    .putShort((short) Math.min(MAX_SHORT, update.suspectedForUs() / AGE_STEP_US));
+                    .putShort((short) Math.min(MAX_UINT16, update.suspectedForUs() / SUSPECTED_FOR_UNIT_US));
         }
         if (update.unreachableProvenMs() > 0) {
-            sixBytes(buffer, update.unreachableProvenMs());
+            putUint48(buffer, update.unreachableProvenMs());
         }
     }
 
-    private static void sixBytes(ByteBuffer buffer, long value) {
-        long clamped = Math.max(0, Math.min(MAX_SIX_BYTES, value));
+    private static void putUint48(ByteBuffer buffer, long value) {
+        long clamped = Math.max(0, Math.min(MAX_UINT48, value));
         buffer.putShort((short) (clamped >>> Integer.SIZE)).putInt((int) clamped);
     }
 
-    private static long sixBytes(ByteBuffer buffer) {
+    private static long getUint48(ByteBuffer buffer) {
         long high = Short.toUnsignedLong(buffer.getShort());
         return high << Integer.SIZE | Integer.toUnsignedLong(buffer.getInt());
     }
@@ -132,20 +132,20 @@
         ByteBuffer buffer = ByteBuffer.wrap(bytes, 2, bytes.length - 2);
         int flags = buffer.get();
         int state = buffer.get();
-        if (!areFlags(flags) || !isState(state) || Short.toUnsignedInt(buffer.getShort()) != from) {
+        if (!areValidFlags(flags) || !isValidState(state) || Short.toUnsignedInt(buffer.getShort()) != from) {
             // A number other than the sender's: the settings of the two differ, and it must not speak for another.
             return null;
         }
-        MemberStatus status = MemberStatus.values()[state & (1 << STATUS_BITS) - 1];
-        long incarnation = sixBytes(buffer);
+        MemberStatus status = MemberStatus.values()[state & (1 << STATUS_BIT_COUNT) - 1];
+        long incarnation = getUint48(buffer);
         int zone = Byte.toUnsignedInt(buffer.get());
         MemberUpdate sender = MemberUpdate.ofSelf(from, status, incarnation, zone, buffer.getInt());
         long sentAtUs = buffer.getLong();
         int heartbeatMs = Short.toUnsignedInt(buffer.getShort());
         int digest = buffer.getInt();
         int count = Byte.toUnsignedInt(buffer.get());
-        boolean hasBuckets = (flags & HAS_BUCKETS) != 0;
-        int[] bucketDigests = new int[hasBuckets ? BUCKETS : 0];
+        boolean hasBucketDigests = (flags & HAS_BUCKET_DIGESTS) != 0;
+        int[] bucketDigests = new int[hasBucketDigests ? BUCKETS : 0];
         if (incarnation == 0
                 || heartbeatMs == 0
                 || sentAtUs < 0
@@ -155,15 +155,15 @@
         for (int i = 0; i < bucketDigests.length; i++) {
             bucketDigests[i] = buffer.getInt();
         }
-        List<MemberUpdate> updates = updates(buffer);
+        List<MemberUpdate> updates = readUpdates(buffer);
         return updates == null || updates.size() != count
                 ? null
                 : new MembershipMessage(
-                        hasBuckets ? Kind.BUCKET_DIGESTS : Kind.UPDATES,
+                        hasBucketDigests ? Kind.BUCKET_DIGESTS : Kind.UPDATES,
                         sender,
                         (flags & HEARS_RECEIVER) != 0,
                         (flags & WANTS_REPLY) != 0,
-                        PartitionVerdict.values()[state >>> STATUS_BITS],
+                        PartitionVerdict.values()[state >>> STATUS_BIT_COUNT],
                         sentAtUs,
                         heartbeatMs,
                         digest,
@@ -171,24 +171,24 @@
                         bucketDigests);
     }
 
-    private static boolean areFlags(int flags) {
-        return flags >= 0 && flags <= (HEARS_RECEIVER | WANTS_REPLY | HAS_BUCKETS);
+    private static boolean areValidFlags(int flags) {
+        return flags >= 0 && flags <= (HEARS_RECEIVER | WANTS_REPLY | HAS_BUCKET_DIGESTS);
     }
 
     /** Whether a verdict is known, and the status one that a member says of itself: it joins, serves or leaves. */
-    private static boolean isState(int state) {
-        int status = state & (1 << STATUS_BITS) - 1;
-        boolean ofItself = status == MemberStatus.JOINING.ordinal()
+    private static boolean isValidState(int state) {
+        int status = state & (1 << STATUS_BIT_COUNT) - 1;
+        boolean selfReported = status == MemberStatus.JOINING.ordinal()
                 || status == MemberStatus.ALIVE.ordinal()
                 || status == MemberStatus.LEFT.ordinal();
-        return state >= 0 && state >>> STATUS_BITS < PartitionVerdict.values().length && ofItself;
+        return state >= 0 && state >>> STATUS_BIT_COUNT < PartitionVerdict.values().length && selfReported;
     }
 
     /** The updates to the end of a message; null where they are malformed. */
-    private static List<MemberUpdate> updates(ByteBuffer buffer) {
+    private static List<MemberUpdate> readUpdates(ByteBuffer buffer) {
         List<MemberUpdate> updates = new ArrayList<>();
         while (buffer.hasRemaining()) {
-            MemberUpdate update = buffer.remaining() < UPDATE_BYTES ? null : update(buffer);
+            MemberUpdate update = buffer.remaining() < UPDATE_BYTES ? null : readUpdate(buffer);
             if (update == null) {
                 return null;
             }
@@ -197,12 +197,12 @@
         return updates;
     }
 
-    private static MemberUpdate update(ByteBuffer buffer) {
+    private static MemberUpdate readUpdate(ByteBuffer buffer) {
         int memberId = Short.toUnsignedInt(buffer.getShort());
         int state = Byte.toUnsignedInt(buffer.get());
-        boolean proven = (state & PROVEN) != 0;
-        int status = state & ~PROVEN;
-        long incarnation = sixBytes(buffer);
+        boolean proven = (state & PROOF_FLAG) != 0;
+        int status = state & ~PROOF_FLAG;
+        long incarnation = getUint48(buffer);
         int zone = Byte.toUnsignedInt(buffer.get());
         int address = buffer.getInt();
         boolean suspect = status == MemberStatus.SUSPECT.ordinal();
@@ -212,7 +212,7 @@
         }
         int firstAccuser = suspect ? Short.toUnsignedInt(buffer.getShort()) : MemberUpdate.NO_MEMBER;
         int secondAccuser = suspect ? Short.toUnsignedInt(buffer.getShort()) : MemberUpdate.NO_MEMBER;
-        long suspectedForUs = suspect ? Short.toUnsignedLong(buffer.getShort()) * AGE_STEP_US : 0;
+        long suspectedForUs = suspect ? Short.toUnsignedLong(buffer.getShort()) * SUSPECTED_FOR_UNIT_US : 0;
         return new MemberUpdate(
                 memberId,
                 MemberStatus.values()[status],
@@ -222,6 +222,6 @@
                 firstAccuser,
                 secondAccuser,
                 suspectedForUs,
-                proven ? sixBytes(buffer) : 0);
+                proven ? getUint48(buffer) : 0);
     }
 }
--- a/src/main/java/magpiewheel/membership/MembershipProtocol.java
+++ b/src/main/java/magpiewheel/membership/MembershipProtocol.java
@@ -84,11 +84,11 @@
     private void check(long now) {
         updateNeighbours(now);
         if (config.reachabilityProbes()) {
-            prober.probeSilent(now, neighbours.list(), monitor.awakeAt());
+            prober.probeSilent(now, neighbours.list(), monitor.resumedAt());
         }
-        boolean reached = partition.isReached(now);
+        boolean inContact = partition.hasTwoWayContact(now);
         detector.check(now, neighbours.list());
-        partition.judge(now, reached, neighbours.list());
+        partition.update(now, inContact, neighbours.list());
     }
 
     private void updateNeighbours(long now) {
@@ -111,7 +111,7 @@
             deadMemberProber.probe(now);
         }
         if (dissemination.overflowed()) {
-            schedule.flushRest(now);
+            schedule.flushRemaining(now);
         }
     }
 
@@ -128,7 +128,7 @@
         }
         Member from = members.get(sender);
         local.datagramReceived(now);
-        boolean newer = heartbeat(now, from, message);
+        boolean newer = recordHeartbeat(now, from, message);
         merger.merge(now, message.sender());
         message.updates().forEach(update -> merger.merge(now, update));
         if (message.kind() == MembershipMessage.Kind.BUCKET_DIGESTS) {
@@ -136,37 +136,37 @@
             antiEntropy.repair(now, from, message.bucketDigests());
         }
         if (newer) {
-            answer(now, from, message);
+            respond(now, from, message);
         } else if (message.sender().incarnation() < from.incarnation && !from.isInRing()) {
             // The older of two processes, whose younger one has ended: it may speak for the member again.
-            messenger.correct(now, from);
+            messenger.requestRefutation(now, from);
         }
     }
 
     /** Counts the message as a heartbeat; returns whether it is newer than all before. */
-    private boolean heartbeat(long now, Member from, MembershipMessage message) {
-        boolean wasLost = partition.isIsolated() && !partition.isReached(now);
+    private boolean recordHeartbeat(long now, Member from, MembershipMessage message) {
+        boolean wasOutOfContact = partition.isIsolated() && !partition.hasTwoWayContact(now);
         if (!from.heartbeatReceived(now, message.sender().incarnation(), message.sentAtUs())) {
             return false;
         }
         from.heartbeatUs = message.heartbeatMs() * US_PER_MS;
         from.resetProbes();
-        monitor.heard();
-        if (partition.heardBy(from, message.hearsReceiver()) && wasLost) {
+        monitor.heartbeatReceived();
+        if (partition.recordHearer(from, message.hearsReceiver()) && wasOutOfContact) {
             members.forgetOthers();
         }
         if (monitor.isHeard(now, from)) {
-            detector.heard(now, from);
+            detector.heartbeatReceived(now, from);
         }
         return true;
     }
 
-    private void answer(long now, Member from, MembershipMessage message) {
+    private void respond(long now, Member from, MembershipMessage message) {
         if (message.wantsReply() && !neighbours.contains(from)) {
             round.reply(now, from);
         }
         if (from.status == MemberStatus.SUSPECT || from.status == MemberStatus.DEAD) {
-            messenger.correct(now, from);
+            messenger.requestRefutation(now, from);
         }
         antiEntropy.compare(now, from, message.digest());
     }
@@ -175,20 +175,20 @@
     public void probeRefused(long now, int memberId, long probedAt) {
         if (!members.contains(memberId)
                 || memberId == config.memberId()
-                || now - probedAt > DatagramSender.PROBE_REPLY_US) {
+                || now - probedAt > DatagramSender.PROBE_REPLY_TIMEOUT_US) {
             return;
         }
         Member member = members.get(memberId);
         if (!member.isInRing()) {
-            deadMemberProber.refused(now, member, probedAt);
+            deadMemberProber.probeRefused(now, member, probedAt);
         } else if (prober.isRefusalProof(now, member, probedAt)) {
-            members.lossAt(now);
+            members.recordLoss(now);
             members.markChanged();
-            if (member.probesRefused >= ReachabilityProber.REFUSALS_NEEDED) {
+            if (member.probesRefused >= ReachabilityProber.REQUIRED_REFUSALS) {
                 detector.probesRefused(now, member, probedAt / US_PER_MS);
             }
             updateNeighbours(now);
-            prober.probeSilent(now, neighbours.list(), monitor.awakeAt());
+            prober.probeSilent(now, neighbours.list(), monitor.resumedAt());
         }
     }
 
@@ -200,8 +200,8 @@
     }
 
     /** This member drains from now on, or no longer. */
-    public void setDraining(long now, boolean drains) {
-        local.setDraining(now, drains);
+    public void setDraining(long now, boolean draining) {
+        local.setDraining(now, draining);
     }
 
     // ---------------------------------------------------------------- the view
--- a/src/main/java/magpiewheel/membership/Messenger.java
+++ b/src/main/java/magpiewheel/membership/Messenger.java
@@ -50,14 +50,14 @@
 
     /** Answers a message that came a short while ago, unless an answer was sent just now. */
     void reply(long now, Member to, List<MemberUpdate> updates) {
-        if (now - to.repliedAt >= schedule.partUs()) {
-            to.repliedAt = now;
+        if (now - to.lastReplyAt >= schedule.checkIntervalUs()) {
+            to.lastReplyAt = now;
             sendUpdates(now, to, updates, false);
         }
     }
 
     /** Notifies a member of what is thought of it, so that it refutes that. */
-    void correct(long now, Member to) {
+    void requestRefutation(long now, Member to) {
         if (!partition.isIsolated()) {
             reply(now, to, List.of(to.toUpdate(now)));
         }
--- a/src/main/java/magpiewheel/membership/Neighbours.java
+++ b/src/main/java/magpiewheel/membership/Neighbours.java
@@ -68,7 +68,7 @@
             // It is to answer at once.
             schedule.flushSoon(now);
         }
-        long recentUs = HeartbeatMonitor.SILENT_HEARTBEATS * config.heartbeatUs();
+        long recentUs = HeartbeatMonitor.SUSPECT_AFTER_HEARTBEATS * config.heartbeatUs();
         if (!member.isObserved() && now - members.lastLossAt() <= recentUs) {
             // Others that observed it may have failed together with it.
             member.possiblyUnobserved = true;
--- a/src/main/java/magpiewheel/membership/ObserverRings.java
+++ b/src/main/java/magpiewheel/membership/ObserverRings.java
@@ -38,8 +38,8 @@
     }
 
     /** 64 well-mixed bits of two numbers. */
-    static long mix(long one, long two) {
-        long z = one * 0x9e3779b97f4a7c15L + (two + 1) * 0xd1b54a32d192ed03L;
+    static long mix(long first, long second) {
+        long z = first * 0x9e3779b97f4a7c15L + (second + 1) * 0xd1b54a32d192ed03L;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
         return z ^ z >>> 31;
@@ -62,11 +62,11 @@
             int ring, int member, int step, IntPredicate isInRing, IntPredicate isSilent, Set<Integer> found) {
         int memberCount = rings[ring].length;
         int silentMembers = 0;
-        int soundMembers = 0;
+        int respondingMembers = 0;
         for (int i = 1;
                 i < memberCount
                         && silentMembers <= MAX_LOOKAHEAD
-                        && soundMembers < Math.max(1, Math.min(MAX_LOOKAHEAD, silentMembers));
+                        && respondingMembers < Math.max(1, Math.min(MAX_LOOKAHEAD, silentMembers));
                 i++) {
             int next = rings[ring][Math.floorMod(positions[ring][member] + step * i, memberCount)];
             if (isInRing.test(next)) {
@@ -74,7 +74,7 @@
                 if (isSilent.test(next)) {
                     silentMembers++;
                 } else {
-                    soundMembers++;
+                    respondingMembers++;
                 }
             }
         }
--- a/src/main/java/magpiewheel/membership/PartitionDetector.java
+++ b/src/main/java/magpiewheel/membership/PartitionDetector.java
@@ -26,7 +26,7 @@
         members = context.members;
         monitor = context.monitor;
         refutationUs = FailureDetector.refutationUs(config);
-        verdict = new VerdictHysteresis(HeartbeatMonitor.SILENT_HEARTBEATS * config.heartbeatUs(), RECOVERY_US);
+        verdict = new VerdictHysteresis(HeartbeatMonitor.SUSPECT_AFTER_HEARTBEATS * config.heartbeatUs(), RECOVERY_US);
     }
 
     /** The verdict on this member's own view. */
@@ -40,7 +40,7 @@
     }
 
     /** A datagram said whether its sender hears this member; returns whether that is new. */
-    boolean heardBy(Member sender, boolean hears) {
+    boolean recordHearer(Member sender, boolean hears) {
         if (!hears) {
             hearers.remove(sender);
             return false;
@@ -49,16 +49,16 @@
     }
 
     /** Whether some member both hears this one and is heard by it. */
-    boolean isReached(long now) {
+    boolean hasTwoWayContact(long now) {
         hearers.removeIf(member -> !monitor.isHeard(now, member));
         return !hearers.isEmpty();
     }
 
     /** Judges the view anew. */
-    void judge(long now, boolean reached, List<Member> neighbours) {
+    void update(long now, boolean inContact, List<Member> neighbours) {
         boolean meaningful =
                 monitor.heardAnyone() || monitor.uptimeUs(now) > ISOLATED_AFTER_HEARTBEATS * config.heartbeatUs();
-        boolean isolated = !reached && meaningful && members.self().status != MemberStatus.LEFT;
+        boolean isolated = !inContact && meaningful && members.self().status != MemberStatus.LEFT;
         verdict.update(now, isolated ? PartitionVerdict.ISOLATED : completeness(now, neighbours));
     }
 
@@ -69,8 +69,9 @@
 
     /** Whether a neighbour is silent for longer than it takes to be declared dead: others must hear it. */
     private boolean isHeardByOthersOnly(long now, Member member) {
-        long declaredAfterUs =
-                monitor.silenceUs(member) + refutationUs + HeartbeatMonitor.SILENT_HEARTBEATS * config.heartbeatUs();
+        long declaredAfterUs = monitor.silenceUs(member)
+                + refutationUs
+                + HeartbeatMonitor.SUSPECT_AFTER_HEARTBEATS * config.heartbeatUs();
         return member.incarnation > 0
                 && member.isInRing()
                 && member.isObserved()
@@ -79,17 +80,17 @@
 
     /** Determines whether a zone with members that were heard is dead as a whole, and nobody proved it. */
     void updateLostZones() {
-        int[] dead = new int[MemberUpdate.UNKNOWN_ZONE + 1];
-        boolean[] runs = new boolean[MemberUpdate.UNKNOWN_ZONE + 1];
+        int[] deadCount = new int[MemberUpdate.UNKNOWN_ZONE + 1];
+        boolean[] hasRunning = new boolean[MemberUpdate.UNKNOWN_ZONE + 1];
         for (Member member : members.all()) {
             if (member.incarnation > 0 && member.zone != MemberUpdate.UNKNOWN_ZONE) {
-                runs[member.zone] |= member.isInRing();
-                dead[member.zone] += member.status == MemberStatus.DEAD && member.unreachableProvenMs == 0 ? 1 : 0;
+                hasRunning[member.zone] |= member.isInRing();
+                deadCount[member.zone] += member.status == MemberStatus.DEAD && member.unreachableProvenMs == 0 ? 1 : 0;
             }
         }
         zoneLost = false;
-        for (int zone = 0; zone < dead.length; zone++) {
-            zoneLost |= dead[zone] > 0 && !runs[zone];
+        for (int zone = 0; zone < deadCount.length; zone++) {
+            zoneLost |= deadCount[zone] > 0 && !hasRunning[zone];
         }
     }
 }
--- a/src/main/java/magpiewheel/membership/QuotaDivision.java
+++ b/src/main/java/magpiewheel/membership/QuotaDivision.java
@@ -31,17 +31,17 @@
     }
 
     private double shares(long now, int zone) {
-        double named = zone < 0
+        double configured = zone < 0
                 ? members.size()
                 : zone < config.membersByZone().length ? config.membersByZone()[zone] : members.size();
         if (!config.reachabilityProbes()) {
-            return Math.max(1, named);
+            return Math.max(1, configured);
         }
         int unreachable = 0;
         for (Member member : members.all()) {
             unreachable += (zone < 0 || member.zone == zone) && isProvenUnreachable(now, member) ? 1 : 0;
         }
-        return Math.max(1, named - unreachable * (1 - REDUCED_SHARE));
+        return Math.max(1, configured - unreachable * (1 - REDUCED_SHARE));
     }
 
     /**
--- a/src/main/java/magpiewheel/membership/ReachabilityProber.java
+++ b/src/main/java/magpiewheel/membership/ReachabilityProber.java
@@ -8,14 +8,14 @@
  */
 final class ReachabilityProber {
     /** Refusals in a row until a member takes another one for ended. */
-    static final int REFUSALS_NEEDED = 2;
+    static final int REQUIRED_REFUSALS = 2;
     /**
      * Heartbeats of silence until the first probe: one lost message is nothing, and with short heartbeats neither is a
      * late one.
      */
-    private static final int SILENT_HEARTBEATS = 2;
+    private static final int PROBE_AFTER_HEARTBEATS = 2;
     /** Probes without an answer in one silence: a host that does not answer proves nothing. */
-    private static final int MAX_UNANSWERED = 4;
+    private static final int MAX_UNANSWERED_PROBES = 4;
     /** us; from a probe without an answer to the next: longer than the transport waits for one. */
     private static final long MIN_RETRY_US = 50_000;
 
@@ -33,13 +33,13 @@
     /** us; silence after which a member is probed. */
     long probeAfterUs(Member member) {
         long heartbeatUs = Math.max(config.heartbeatUs(), member.heartbeatUs);
-        return Math.max(SILENT_HEARTBEATS * heartbeatUs, heartbeatUs + 2 * HeartbeatMonitor.MAX_DELAY_US);
+        return Math.max(PROBE_AFTER_HEARTBEATS * heartbeatUs, heartbeatUs + 2 * HeartbeatMonitor.MAX_DELAY_US);
     }
 
     /** Probes the neighbours for which that is due; silence from before this process resumed does not count. */
-    void probeSilent(long now, List<Member> neighbours, long awakeAt) {
+    void probeSilent(long now, List<Member> neighbours, long resumedAt) {
         for (Member member : neighbours) {
-            if (isProbeDue(now, member, awakeAt)) {
+            if (isProbeDue(now, member, resumedAt)) {
                 member.unansweredProbes++;
                 member.probedAt = now;
                 member.possiblyUnobserved = false;
@@ -48,17 +48,17 @@
         }
     }
 
-    private boolean isProbeDue(long now, Member member, long awakeAt) {
+    private boolean isProbeDue(long now, Member member, long resumedAt) {
         if (!member.isObserved()
                 || !member.isInRing()
                 || member.incarnation == 0
-                || member.probesRefused >= REFUSALS_NEEDED
+                || member.probesRefused >= REQUIRED_REFUSALS
                 || now < member.nextAccusationAt
-                || member.unansweredProbes >= MAX_UNANSWERED
+                || member.unansweredProbes >= MAX_UNANSWERED_PROBES
                 || now - member.probedAt < retryAfterUs(member)) {
             return false;
         }
-        long since = Math.max(awakeAt, Math.max(member.observedSince, member.lastAliveAt));
+        long since = Math.max(resumedAt, Math.max(member.observedSince, member.lastAliveAt));
         // Where others failed with it or were refused, there is more reason to probe than its silence here.
         boolean isDoubtful = member.possiblyUnobserved
                 || member.probesRefused > 0
--- a/src/main/java/magpiewheel/membership/RoundSchedule.java
+++ b/src/main/java/magpiewheel/membership/RoundSchedule.java
@@ -3,7 +3,7 @@
 /** When the next check and the next round of messages are due: one a heartbeat, and sooner where there are updates. */
 final class RoundSchedule {
     /** Parts of a heartbeat: members are checked once in each, and updates wait for one at most. */
-    private static final int PARTS = 5;
+    private static final int CHECKS_PER_HEARTBEAT = 5;
 
     private final long heartbeatUs;
     private long nextCheckAt;
@@ -34,7 +34,7 @@
         if (now < nextCheckAt) {
             return false;
         }
-        nextCheckAt = now + partUs();
+        nextCheckAt = now + checkIntervalUs();
         return true;
     }
 
@@ -57,21 +57,21 @@
 
     /** Schedules a round soon, but not sooner than a part of a heartbeat after the last one. */
     void flushSoon(long now) {
-        flushAt = Math.min(flushAt, Math.max(now, lastRoundAt + partUs()));
+        flushAt = Math.min(flushAt, Math.max(now, lastRoundAt + checkIntervalUs()));
     }
 
     /** Schedules the next round after a part of a heartbeat: the last one could not hold all updates. */
-    void flushRest(long now) {
-        flushAt = now + partUs();
+    void flushRemaining(long now) {
+        flushAt = now + checkIntervalUs();
     }
 
     /** A part of a heartbeat, us. */
-    long partUs() {
-        return heartbeatUs / PARTS;
+    long checkIntervalUs() {
+        return heartbeatUs / CHECKS_PER_HEARTBEAT;
     }
 
     /** Whether this is one of the heartbeats that come every so many. */
-    boolean isEvery(int count) {
+    boolean isMultipleOf(int count) {
         return heartbeats % count == 0;
     }
 }
--- a/src/main/java/magpiewheel/membership/UpdateDissemination.java
+++ b/src/main/java/magpiewheel/membership/UpdateDissemination.java
@@ -7,9 +7,9 @@
 /** The updates that are still to be sent, each with several rounds of messages (infection-style dissemination). */
 final class UpdateDissemination {
     /** Rounds in which an update is sent; one for a member that joins, since it is soon announced as alive. */
-    private static final int ROUNDS = 3;
+    private static final int ROUNDS_PER_UPDATE = 3;
     /** us; with heartbeats no longer than this updates of others are sent at once, too: lookups depend on them. */
-    private static final long FAST_HEARTBEAT_US = 100_000;
+    private static final long MAX_FAST_HEARTBEAT_US = 100_000;
 
     private final MembershipConfig config;
     private final MemberTable members;
@@ -25,12 +25,12 @@
 
     /** The state of a member changed: it is sent soon, and again with the next rounds. */
     void announce(long now, Member member) {
-        if (!member.queued) {
-            member.queued = true;
+        if (!member.updateQueued) {
+            member.updateQueued = true;
             queue.addLast(member);
         }
-        member.sendsLeft = member.status == MemberStatus.JOINING ? 1 : ROUNDS;
-        if (member == members.self() || config.heartbeatUs() <= FAST_HEARTBEAT_US) {
+        member.sendsRemaining = member.status == MemberStatus.JOINING ? 1 : ROUNDS_PER_UPDATE;
+        if (member == members.self() || config.heartbeatUs() <= MAX_FAST_HEARTBEAT_US) {
             schedule.flushSoon(now);
         }
     }
@@ -49,12 +49,12 @@
                 - MembershipMessage.SUSPECT_BYTES
                 - MembershipMessage.PROOF_BYTES;
         overflowed = false;
-        int queued = queue.size();
-        for (int i = 0; i < queued; i++) {
+        int queueLength = queue.size();
+        for (int i = 0; i < queueLength; i++) {
             Member member = queue.pollFirst();
             MemberUpdate update = member.toUpdate(now);
             if (isSendable(member, update, isolated)) {
-                int bytes = MembershipMessage.bytes(update);
+                int bytes = MembershipMessage.encodedBytes(update);
                 if (bytes > space) {
                     queue.addFirst(member);
                     overflowed = true;
@@ -62,12 +62,12 @@
                 }
                 space -= bytes;
                 updates.add(update);
-                member.sendsLeft--;
+                member.sendsRemaining--;
             } else {
-                member.sendsLeft = 0;
+                member.sendsRemaining = 0;
             }
-            member.queued = member.sendsLeft > 0;
-            if (member.queued) {
+            member.updateQueued = member.sendsRemaining > 0;
+            if (member.updateQueued) {
                 queue.addLast(member);
             }
         }
@@ -75,7 +75,7 @@
     }
 
     private static boolean isSendable(Member member, MemberUpdate update, boolean isolated) {
-        return member.sendsLeft > 0
+        return member.sendsRemaining > 0
                 && update.status() != MemberStatus.UNKNOWN
                 && !(isolated && update.declaresFailure());
     }
--- a/src/main/java/magpiewheel/membership/UpdateMerger.java
+++ b/src/main/java/magpiewheel/membership/UpdateMerger.java
@@ -30,21 +30,22 @@
             local.merge(now, update);
             return;
         }
-        boolean same = update.incarnation() == member.incarnation;
-        if (update.incarnation() < member.incarnation || same && update.status().compareTo(member.status) < 0) {
+        boolean sameIncarnation = update.incarnation() == member.incarnation;
+        if (update.incarnation() < member.incarnation
+                || sameIncarnation && update.status().compareTo(member.status) < 0) {
             return;
         }
-        if (same && update.status() == member.status) {
+        if (sameIncarnation && update.status() == member.status) {
             mergeDetails(now, member, update);
-        } else if (same && isUnconfirmedDeath(now, member, update)) {
-            declaredDead(now, member, update);
+        } else if (sameIncarnation && isUnconfirmedDeath(now, member, update)) {
+            suspectDeclaredDead(now, member, update);
         } else {
             replace(now, member, update, update.status());
         }
     }
 
     /** The Unix millisecond of the proof that comes with an update of a death; 0 where there is none. */
-    private long proofOf(MemberUpdate update) {
+    private long deathProofMs(MemberUpdate update) {
         return config.reachabilityProbes() && update.status() == MemberStatus.DEAD ? update.unreachableProvenMs() : 0;
     }
 
@@ -52,12 +53,12 @@
     private boolean isUnconfirmedDeath(long now, Member member, MemberUpdate update) {
         return update.status() == MemberStatus.DEAD
                 && member.status.compareTo(MemberStatus.SUSPECT) <= 0
-                && (proofOf(update) == 0 || member.isFresh(now, prober.probeAfterUs(member)));
+                && (deathProofMs(update) == 0 || member.isFresh(now, prober.probeAfterUs(member)));
     }
 
     /** The member becomes a suspect that may refute its death. */
-    private void declaredDead(long now, Member member, MemberUpdate update) {
-        long proof = proofOf(update);
+    private void suspectDeclaredDead(long now, Member member, MemberUpdate update) {
+        long proof = deathProofMs(update);
         if (member.status == MemberStatus.SUSPECT) {
             member.declaredDead = true;
             member.declaredUnreachableMs = Math.max(member.declaredUnreachableMs, proof);
@@ -72,13 +73,13 @@
         boolean sameIncarnation = update.incarnation() == member.incarnation;
         member.clearSuspicion();
         member.declaredDead = !asSent;
-        member.declaredUnreachableMs = asSent ? 0 : proofOf(update);
+        member.declaredUnreachableMs = asSent ? 0 : deathProofMs(update);
         if (!sameIncarnation) {
             member.incarnationKnownAt = now;
         }
         members.set(member, status, update.incarnation(), update.zone(), update.address());
         if (!member.isInRing()) {
-            detector.leftRing(now, member);
+            detector.recordRingLeave(now, member);
         }
         if (status == MemberStatus.SUSPECT) {
             member.suspectedAt = now - update.suspectedForUs();
@@ -98,7 +99,7 @@
         if (member.status == MemberStatus.SUSPECT) {
             if (isSecondProof(member, update)) {
                 long olderMs = Math.min(update.unreachableProvenMs(), member.unreachableProvenMs);
-                detector.provenDead(now, member, olderMs);
+                detector.declareProvenDead(now, member, olderMs);
                 return;
             }
             changed = mergeSuspicion(now, member, update);
@@ -111,9 +112,9 @@
         }
         if (changed) {
             dissemination.announce(now, member);
-        } else if (member.sendsLeft > 0) {
+        } else if (member.sendsRemaining > 0) {
             // Others disseminate it, too.
-            member.sendsLeft--;
+            member.sendsRemaining--;
         }
     }
 
@@ -127,7 +128,7 @@
     private static boolean mergeSuspicion(long now, Member suspect, MemberUpdate update) {
         boolean changed = false;
         if (update.unreachableProvenMs() > 0 && suspect.unreachableProvenMs == 0) {
-            suspect.probeRefusedTo(update.firstAccuser(), update.unreachableProvenMs());
+            suspect.addRefusedAccuser(update.firstAccuser(), update.unreachableProvenMs());
             changed = true;
         }
         changed |= suspect.addAccuser(update.firstAccuser()) | suspect.addAccuser(update.secondAccuser());
--- a/src/main/java/magpiewheel/membership/VerdictHysteresis.java
+++ b/src/main/java/magpiewheel/membership/VerdictHysteresis.java
@@ -15,23 +15,23 @@
     }
 
     /** Takes an observation; returns the verdict. */
-    PartitionVerdict update(long now, PartitionVerdict verdict) {
-        if (verdict.compareTo(current) > 0) {
+    PartitionVerdict update(long now, PartitionVerdict observation) {
+        if (observation.compareTo(current) > 0) {
             if (observed.compareTo(current) <= 0) {
                 worseSince = now;
             }
             if (now - worseSince >= worseAfterUs) {
-                current = verdict;
+                current = observation;
             }
-        } else if (verdict.compareTo(current) < 0) {
+        } else if (observation.compareTo(current) < 0) {
             if (observed.compareTo(current) >= 0) {
                 betterSince = now;
             }
             if (now - betterSince >= betterAfterUs) {
-                current = verdict;
+                current = observation;
             }
         }
-        observed = verdict;
+        observed = observation;
         return current;
     }
 
--- a/src/test/java/magpiewheel/membership/MutationsTest.java
+++ b/src/test/java/magpiewheel/membership/MutationsTest.java
@@ -42,8 +42,8 @@
                 new Mistake(
                         "an observer waits eight heartbeats",
                         "HeartbeatMonitor",
-                        "SILENT_HEARTBEATS = 4;",
-                        "SILENT_HEARTBEATS = 8;",
+                        "SUSPECT_AFTER_HEARTBEATS = 4;",
+                        "SUSPECT_AFTER_HEARTBEATS = 8;",
                         "aKilledFrontOfEightIsOutWithinHalfASecond"),
                 new Mistake(
                         "a suspect's time grows six times as fast with the fleet",
@@ -54,8 +54,8 @@
                 new Mistake(
                         "an observer waits one heartbeat",
                         "HeartbeatMonitor",
-                        "SILENT_HEARTBEATS = 4;",
-                        "SILENT_HEARTBEATS = 1;",
+                        "SUSPECT_AFTER_HEARTBEATS = 4;",
+                        "SUSPECT_AFTER_HEARTBEATS = 1;",
                         "lossMakesFewSuspects"),
                 new Mistake(
                         "a suspect is dead at once",
@@ -78,13 +78,13 @@
                 new Mistake(
                         "who is thought dead is never tried",
                         "GossipRound",
-                        "REACH_HEARTBEATS = 5;",
-                        "REACH_HEARTBEATS = 1_000_000;",
+                        "CONTACT_INTERVAL_HEARTBEATS = 5;",
+                        "CONTACT_INTERVAL_HEARTBEATS = 1_000_000;",
                         "allAgreeSoonAfterASplitHeals"),
                 new Mistake(
                         "tables are never compared",
                         "AntiEntropy",
-                        "if (with.digestMismatches >= MISMATCHES",
+                        "if (sender.digestMismatches >= MIN_MISMATCHES",
                         "if (false",
                         "whatOneSideMissedIsMadeGood"),
                 new Mistake(
@@ -103,9 +103,9 @@
                 new Mistake(
                         "without probes the dead count as gone",
                         "QuotaDivision",
-                        "return Math.max(1, named);",
+                        "return Math.max(1, configured);",
                         "int dead = 0; for (Member member : members.all()) { dead += member.status == "
-                                + "MemberStatus.DEAD ? 1 : 0; } return Math.max(1, named - dead);",
+                                + "MemberStatus.DEAD ? 1 : 0; } return Math.max(1, configured - dead);",
                         "hardLimitsHoldWithoutRefusals"),
                 new Mistake(
                         "who returns has its whole share at once",
@@ -122,7 +122,7 @@
                 new Mistake(
                         "a verdict follows at once",
                         "PartitionDetector",
-                        "new VerdictHysteresis(HeartbeatMonitor.SILENT_HEARTBEATS * "
+                        "new VerdictHysteresis(HeartbeatMonitor.SUSPECT_AFTER_HEARTBEATS * "
                                 + "config.heartbeatUs(), RECOVERY_US)",
                         "new VerdictHysteresis(0, 0)",
                         "aVerdictDoesNotFlap"),
@@ -154,8 +154,8 @@
                 new Mistake(
                         "a silent neighbour is probed late",
                         "ReachabilityProber",
-                        "SILENT_HEARTBEATS = 2;",
-                        "SILENT_HEARTBEATS = 5;",
+                        "PROBE_AFTER_HEARTBEATS = 2;",
+                        "PROBE_AFTER_HEARTBEATS = 5;",
                         "halfOfEightKilledAtOnceIsOutAsSoonAsOne"),
                 new Mistake(
                         "who comes to be observed when others die is probed like all",
@@ -172,8 +172,8 @@
                 new Mistake(
                         "one member's refusals are proof",
                         "FailureDetector",
-                        "boolean another = ",
-                        "boolean another = true || ",
+                        "boolean refusedToAnother = ",
+                        "boolean refusedToAnother = true || ",
                         "aFilterThatAnswersForAFrontKillsNobody"),
                 new Mistake(
                         "a proof frees its share at once",
