--- a/src/main/java/magpiewheel/config/Settings.java
+++ b/src/main/java/magpiewheel/config/Settings.java
@@ -165,7 +165,7 @@
         for (int i = 0; i < count; i++) {
             Json at = root.item("profiles", i);
             all.add(RequestClass.builder(at.micros("goal_time_us"), at.micros("deadline_us"))
-                    .objectiveStretch(at.number("aim_stretch", 0))
+                    .transferTimeFactor(at.number("aim_stretch", 0))
                     .priorityWeight(at.number("worth", 1))
                     .latePriorityWeight(at.number("late_worth", 0))
                     .idempotency(choice(at, "effect", "pure", EFFECTS))
--- a/src/main/java/magpiewheel/routing/AnswerRateBySize.java
+++ b/src/main/java/magpiewheel/routing/AnswerRateBySize.java
@@ -10,34 +10,34 @@
     /** Requests of a class after which all earlier ones count half. */
     private static final int HALF_LIFE_REQUESTS = 256;
     /** Share of a class's requests that are its largest, and those with the next largest. */
-    private static final double LARGEST = 0.1;
+    private static final double LARGEST_SHARE = 0.1;
 
-    private static final double LARGE = 0.3;
+    private static final double LARGE_SHARE = 0.3;
 
     private static final class Tally {
-        final double[] ended = new double[LogBuckets.STEPS];
-        final double[] answered = new double[LogBuckets.STEPS];
-        int counted;
+        final double[] ended = new double[LogBuckets.COUNT];
+        final double[] answered = new double[LogBuckets.COUNT];
+        int samples;
     }
 
-    private static final Steps ALL = new Steps(0, LogBuckets.STEPS);
+    private static final BucketRange ALL = new BucketRange(0, LogBuckets.COUNT);
 
-    private record Steps(int from, int to) {}
+    private record BucketRange(int from, int to) {}
 
     private final Tally[] classes;
 
     /** For so many classes. */
-    AnswerRateBySize(int count) {
-        classes = IntStream.range(0, count).mapToObj(number -> new Tally()).toArray(Tally[]::new);
+    AnswerRateBySize(int classCount) {
+        classes = IntStream.range(0, classCount).mapToObj(number -> new Tally()).toArray(Tally[]::new);
     }
 
     /** A request of a class with such a transfer time ended. */
-    void add(int profile, double sendingUs, boolean answered) {
-        Tally tally = classes[profile];
-        int step = LogBuckets.step(sendingUs);
-        tally.ended[step]++;
-        tally.answered[step] += answered ? 1 : 0;
-        if (++tally.counted % HALF_LIFE_REQUESTS == 0) {
+    void add(int requestClass, double transferUs, boolean answered) {
+        Tally tally = classes[requestClass];
+        int bucket = LogBuckets.bucketOf(transferUs);
+        tally.ended[bucket]++;
+        tally.answered[bucket] += answered ? 1 : 0;
+        if (++tally.samples % HALF_LIFE_REQUESTS == 0) {
             halve(tally.ended);
             halve(tally.answered);
         }
@@ -53,41 +53,41 @@
      * Whether requests with such a transfer time are among the largest tenth of their class, or the fifth below it, and
      * that group's answered share is below that of the class, times the floor.
      */
-    boolean fallsShort(int profile, double sendingUs, double floor) {
-        Tally tally = classes[profile];
-        Steps group = group(tally, LogBuckets.step(sendingUs));
+    boolean isUnderserved(int requestClass, double transferUs, double floor) {
+        Tally tally = classes[requestClass];
+        BucketRange group = group(tally, LogBuckets.bucketOf(transferUs));
         if (group == null) {
             return false;
         }
-        double endedHere = sum(tally.ended, group);
-        double answeredHere = sum(tally.answered, group);
-        return answeredHere * sum(tally.ended, ALL) < floor * sum(tally.answered, ALL) * endedHere;
+        double endedInGroup = sum(tally.ended, group);
+        double answeredInGroup = sum(tally.answered, group);
+        return answeredInGroup * sum(tally.ended, ALL) < floor * sum(tally.answered, ALL) * endedInGroup;
     }
 
     /** The steps of the group that a step belongs to, or null. */
-    private static Steps group(Tally tally, int step) {
+    private static BucketRange group(Tally tally, int bucket) {
         double all = sum(tally.ended, ALL);
-        int largestFrom = stepBelow(tally, LARGEST * all);
-        int largeFrom = Math.min(largestFrom, stepBelow(tally, LARGE * all));
-        if (step >= largestFrom) {
-            return new Steps(largestFrom, LogBuckets.STEPS);
+        int largestFrom = firstBucketOfLargest(tally, LARGEST_SHARE * all);
+        int largeFrom = Math.min(largestFrom, firstBucketOfLargest(tally, LARGE_SHARE * all));
+        if (bucket >= largestFrom) {
+            return new BucketRange(largestFrom, LogBuckets.COUNT);
         }
-        return step >= largeFrom ? new Steps(largeFrom, largestFrom) : null;
+        return bucket >= largeFrom ? new BucketRange(largeFrom, largestFrom) : null;
     }
 
     /** The highest step from which on so many requests are counted. */
-    private static int stepBelow(Tally tally, double count) {
-        int step = LogBuckets.STEPS;
-        for (double above = 0; step > 0 && above < count; ) {
-            above += tally.ended[--step];
+    private static int firstBucketOfLargest(Tally tally, double count) {
+        int bucket = LogBuckets.COUNT;
+        for (double counted = 0; bucket > 0 && counted < count; ) {
+            counted += tally.ended[--bucket];
         }
-        return step;
+        return bucket;
     }
 
-    private static double sum(double[] counts, Steps steps) {
+    private static double sum(double[] counts, BucketRange buckets) {
         double sum = 0;
-        for (int step = steps.from(); step < steps.to(); step++) {
-            sum += counts[step];
+        for (int bucket = buckets.from(); bucket < buckets.to(); bucket++) {
+            sum += counts[bucket];
         }
         return sum;
     }
--- a/src/main/java/magpiewheel/routing/AttemptStarter.java
+++ b/src/main/java/magpiewheel/routing/AttemptStarter.java
@@ -96,7 +96,7 @@
     }
 
     private void countAttempt(long now, InFlightRequest request, Attempt attempt) {
-        double workUs = transfers.carefulUs(request.request.requestClass());
+        double workUs = transfers.conservativeUs(request.request.requestClass());
         // A write only waits for the origin: counted in flight, a slow one would crowd hits out of sound caches.
         attempt.start(now, workUs, request.requestClass.write() ? 0 : 1);
         limiter.fillStarted(attempt.fillProbability);
--- a/src/main/java/magpiewheel/routing/CacheSelector.java
+++ b/src/main/java/magpiewheel/routing/CacheSelector.java
@@ -76,7 +76,7 @@
     /** Caches that may be sent the request, without those that already failed it. */
     private List<Endpoint> candidates(
             long now, InFlightRequest request, RetryPolicy.Permit permit, boolean includeUnhealthy) {
-        double workUs = transfers.carefulUs(request.request.requestClass());
+        double workUs = transfers.conservativeUs(request.request.requestClass());
         List<Endpoint> allowed = new ArrayList<>(endpoints.caches());
         allowed.removeIf(cache ->
                 !request.isInKeyScope(permit.keyScopeEndpoint(), cache) || !slowStart.hasBudget(now, cache, workUs));
@@ -94,7 +94,7 @@
 
     /** The cache of a zone that a client should go to by itself for an object; null where none is usable. */
     Endpoint forClient(long now, int zone, long objectId) {
-        double workUs = transfers.longestReadUs();
+        double workUs = transfers.longestConservativeReadUs();
         List<Endpoint> usable = new ArrayList<>(endpoints.all());
         usable.removeIf(cache -> !cache.isReady() || !cache.isCacheOf(zone));
         usable.removeIf(cache -> !slowStart.hasBudget(now, cache, workUs) || !outliers.isUsable(now, cache));
--- a/src/main/java/magpiewheel/routing/CachedOnlyPolicy.java
+++ b/src/main/java/magpiewheel/routing/CachedOnlyPolicy.java
@@ -62,7 +62,7 @@
         return cache.isReady()
                 && outliers.isUsable(now, cache)
                 && cache.inFlight() < cache.concurrencyLimit
-                && slowStart.hasBudget(now, cache, transfers.carefulUs(request.request.requestClass()));
+                && slowStart.hasBudget(now, cache, transfers.conservativeUs(request.request.requestClass()));
     }
 
     /**
--- a/src/main/java/magpiewheel/routing/ConcurrencyLimiter.java
+++ b/src/main/java/magpiewheel/routing/ConcurrencyLimiter.java
@@ -32,7 +32,7 @@
         this.endpoints = endpoints;
         this.peers = peers;
         this.originHealth = originHealth;
-        linkTransfers = Math.max(MIN_LIMIT, topology.transfersOfOwnLink());
+        linkTransfers = Math.max(MIN_LIMIT, topology.transferCapacityOfOwnLink());
         fillLimit = INITIAL_FILLS_PER_LINK_TRANSFER * linkTransfers;
     }
 
--- a/src/main/java/magpiewheel/routing/DemandDistribution.java
+++ b/src/main/java/magpiewheel/routing/DemandDistribution.java
@@ -8,33 +8,33 @@
     /** Samples after which all earlier ones count half: some busy ten seconds of one router. */
     private static final int HALF_LIFE_SAMPLES = 256;
 
-    private final double[] timeBy = new double[LogBuckets.STEPS];
-    private double total;
+    private final double[] transferUsByBucket = new double[LogBuckets.COUNT];
+    private double totalTransferUs;
     private int samples;
 
     /** A request of such a value density needs so much transfer time. */
-    void add(double density, double time) {
+    void add(double density, double transferUs) {
         if (++samples % HALF_LIFE_SAMPLES == 0) {
-            total = 0;
-            for (int i = 0; i < LogBuckets.STEPS; i++) {
-                timeBy[i] /= 2;
-                total += timeBy[i];
+            totalTransferUs = 0;
+            for (int i = 0; i < LogBuckets.COUNT; i++) {
+                transferUsByBucket[i] /= 2;
+                totalTransferUs += transferUsByBucket[i];
             }
         }
-        timeBy[LogBuckets.step(density)] += time;
-        total += time;
+        transferUsByBucket[LogBuckets.bucketOf(density)] += transferUs;
+        totalTransferUs += transferUs;
     }
 
     /** The share of transfer time with a lower density, from 0 to 1; of the same density half counts as lower. */
-    double below(double density) {
-        if (total <= 0) {
+    double shareBelow(double density) {
+        if (totalTransferUs <= 0) {
             return 0;
         }
-        int own = LogBuckets.step(density);
-        double less = timeBy[own] / 2;
-        for (int i = 0; i < own; i++) {
-            less += timeBy[i];
+        int bucket = LogBuckets.bucketOf(density);
+        double lowerUs = transferUsByBucket[bucket] / 2;
+        for (int i = 0; i < bucket; i++) {
+            lowerUs += transferUsByBucket[i];
         }
-        return Math.min(1, less / total);
+        return Math.min(1, lowerUs / totalTransferUs);
     }
 }
--- a/src/main/java/magpiewheel/routing/Endpoint.java
+++ b/src/main/java/magpiewheel/routing/Endpoint.java
@@ -24,7 +24,7 @@
     /** When it last responded, as a target or as a source, and how many connections it refused or lost since. */
     long lastAnsweredAt;
 
-    int refusedConnects;
+    int connectionFailures;
     int overdueAttempts;
 
     /** An endpoint of which nothing is known; work sent to it is remembered for the overload window. */
@@ -42,23 +42,23 @@
     }
 
     /** Its process was restarted: what was measured of the one before no longer counts. */
-    void restarted(double firstLimit) {
+    void restarted(double initialLimit) {
         failureRate.forget();
-        concurrencyLimit = firstLimit;
+        concurrencyLimit = initialLimit;
         ejectedUntil = 0;
         ejectionUs = 0;
     }
 
     /** An attempt ended: with a response of its own, or by a connection that it refused or lost. */
     void attemptEnded(long now, boolean answered) {
-        refusedConnects = answered ? 0 : refusedConnects + 1;
+        connectionFailures = answered ? 0 : connectionFailures + 1;
         lastAnsweredAt = answered ? now : lastAnsweredAt;
     }
 
     /** It gets nothing for so long, and then one request at a time until one succeeds. */
-    void eject(long now, long us) {
-        ejectionUs = us;
-        ejectedUntil = now + us;
+    void eject(long now, long durationUs) {
+        ejectionUs = durationUs;
+        ejectedUntil = now + durationUs;
         onProbation = true;
     }
 
--- a/src/main/java/magpiewheel/routing/EndpointTable.java
+++ b/src/main/java/magpiewheel/routing/EndpointTable.java
@@ -31,9 +31,9 @@
         infos.forEach(this::update);
         // One that returns within the overload window still bears what it was sent before.
         endpoints.values().removeIf(endpoint -> endpoint.state == EndpointState.REMOVED && endpoint.isIdle(now));
-        refill(caches, endpoint -> endpoint.isCacheOf(topology.zone()));
-        refill(parents, Endpoint::isParent);
-        refill(origins, Endpoint::isOrigin);
+        rebuildTier(caches, endpoint -> endpoint.isCacheOf(topology.zone()));
+        rebuildTier(parents, Endpoint::isParent);
+        rebuildTier(origins, Endpoint::isOrigin);
     }
 
     private void update(EndpointInfo info) {
@@ -44,9 +44,9 @@
         endpoint.update(info, topology);
     }
 
-    private void refill(List<Endpoint> tier, Predicate<Endpoint> belongs) {
+    private void rebuildTier(List<Endpoint> tier, Predicate<Endpoint> isMember) {
         tier.clear();
-        endpoints.values().stream().filter(Endpoint::isReady).filter(belongs).forEach(tier::add);
+        endpoints.values().stream().filter(Endpoint::isReady).filter(isMember).forEach(tier::add);
     }
 
     /** The endpoint of an id, or null. */
@@ -90,7 +90,7 @@
     }
 
     /** How many endpoints get nothing new now: those that drain and those that are ejected. */
-    int avoided(long now) {
+    int countAvoided(long now) {
         return (int) endpoints.values().stream()
                 .filter(endpoint -> endpoint.isAvoided(now))
                 .count();
--- a/src/main/java/magpiewheel/routing/FillSourceSelector.java
+++ b/src/main/java/magpiewheel/routing/FillSourceSelector.java
@@ -54,7 +54,7 @@
      */
     Endpoint parent(long now, InFlightRequest request, boolean includeUnhealthy) {
         long objectId = request.request.objectId();
-        double workUs = transfers.carefulUs(request.request.requestClass());
+        double workUs = transfers.conservativeUs(request.request.requestClass());
         List<Endpoint> usable = new ArrayList<>(endpoints.parents());
         usable.removeIf(parent -> !slowStart.hasBudget(now, parent, workUs));
         usable.removeIf(parent -> !includeUnhealthy && (!outliers.isUsable(now, parent) || request.failedVia(parent)));
--- a/src/main/java/magpiewheel/routing/FleetProtocols.java
+++ b/src/main/java/magpiewheel/routing/FleetProtocols.java
@@ -41,7 +41,7 @@
     private RegionCoordinator region;
     private boolean started;
     /** When the timer expires; {@link Long#MAX_VALUE} for none: before the start, or where messages are not allowed. */
-    private long timerAt = Long.MAX_VALUE;
+    private long timerDueAt = Long.MAX_VALUE;
     /** Until when only the membership is called. */
     private long pausedUntil = Long.MIN_VALUE;
 
@@ -117,7 +117,7 @@
 
     /** The timer expired. */
     void timerExpired(long now) {
-        timerAt = now < timerAt ? timerAt : Long.MAX_VALUE;
+        timerDueAt = now < timerDueAt ? timerDueAt : Long.MAX_VALUE;
         // The membership expects a call with every expiry, whether or not it is due.
         membership.tick(now);
         boolean anyTicked = false;
@@ -144,19 +144,19 @@
     void scheduleTimer(long now) {
         if (enabled && started) {
             long due = due(now);
-            if (due < timerAt) {
-                timerAt = due;
+            if (due < timerDueAt) {
+                timerDueAt = due;
                 actions.setTimer(due, timerHandle);
             }
         }
     }
 
     /** Whether this router serves from now on, or drains. */
-    void serving(long now, boolean serves) {
-        if (serves) {
+    void setServing(long now, boolean serving) {
+        if (serving) {
             membership.startServing(now);
         }
-        membership.setDraining(now, !serves);
+        membership.setDraining(now, !serving);
         scheduleTimer(now);
     }
 
--- a/src/main/java/magpiewheel/routing/LoadShedder.java
+++ b/src/main/java/magpiewheel/routing/LoadShedder.java
@@ -28,8 +28,8 @@
 
     /** The multiple of a limit up to which a request is admitted. */
     double limitFactor(InFlightRequest request) {
-        double rank = demand.below(valueDensity(request));
-        boolean underserved = transfers.fallsShort(request.request, SIZE_FAIRNESS_FLOOR);
+        double rank = demand.shareBelow(valueDensity(request));
+        boolean underserved = transfers.isUnderserved(request.request, SIZE_FAIRNESS_FLOOR);
         double fairRank = underserved ? Math.max(MIN_UNDERSERVED_RANK, rank) : rank;
         return MIN_LIMIT_FACTOR + (MAX_LIMIT_FACTOR - MIN_LIMIT_FACTOR) * fairRank;
     }
--- a/src/main/java/magpiewheel/routing/LogBuckets.java
+++ b/src/main/java/magpiewheel/routing/LogBuckets.java
@@ -5,15 +5,15 @@
  */
 final class LogBuckets {
     /** How many steps there are. */
-    static final int STEPS = 256;
+    static final int COUNT = 256;
 
-    private static final double STEPS_AN_OCTAVE = 4;
+    private static final double BUCKETS_PER_OCTAVE = 4;
 
     private LogBuckets() {}
 
     /** The number of a value's step, from 0. */
-    static int step(double value) {
-        double octave = Math.log(value) / Math.log(2);
-        return (int) Math.max(0, Math.min(STEPS - 1, STEPS / 2 + Math.floor(STEPS_AN_OCTAVE * octave)));
+    static int bucketOf(double value) {
+        double octaves = Math.log(value) / Math.log(2);
+        return (int) Math.max(0, Math.min(COUNT - 1, COUNT / 2 + Math.floor(BUCKETS_PER_OCTAVE * octaves)));
     }
 }
--- a/src/main/java/magpiewheel/routing/OutcomeProcessor.java
+++ b/src/main/java/magpiewheel/routing/OutcomeProcessor.java
@@ -58,7 +58,7 @@
     private void served(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome) {
         outliers.succeeded(attempt.target);
         request.attempts.stream().filter(other -> other.ambiguousError).forEach(other -> countFailure(now, other));
-        transfers.ended(request.request, true);
+        transfers.requestEnded(request.request, true);
         if (request.requestClass.write()) {
             return;
         }
@@ -89,7 +89,7 @@
         if (holder == null || holder == cache) {
             object.cached(cache, now, request.request.part());
             if (!hit) {
-                peerExchange.report(HolderHint.of(request.request, cache.id, 0));
+                peerExchange.queueHolderReport(HolderHint.of(request.request, cache.id, 0));
             }
         }
     }
@@ -99,7 +99,7 @@
             long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome, boolean hit) {
         if (hit) {
             boolean lowLoad = attempt.target.inFlight() < ConcurrencyLimiter.MIN_LIMIT;
-            transfers.measured(request.request, outcome.durationUs(), lowLoad);
+            transfers.hitMeasured(request.request, outcome.durationUs(), lowLoad);
         }
         boolean late = outcome.durationUs() > transfers.latencyObjectiveUs(request);
         if (attempt.fillProbability > 0 && attempt.target.isCache()) {
--- a/src/main/java/magpiewheel/routing/OutlierDetector.java
+++ b/src/main/java/magpiewheel/routing/OutlierDetector.java
@@ -76,7 +76,7 @@
     void connectionEnded(long now, Endpoint endpoint, AttemptResult result) {
         boolean unreachable = result == AttemptResult.UNREACHABLE || result == AttemptResult.CONNECTION_LOST;
         endpoint.attemptEnded(now, !unreachable);
-        if (endpoint.refusedConnects >= OVERDUE_ATTEMPTS) {
+        if (endpoint.connectionFailures >= OVERDUE_ATTEMPTS) {
             eject(now, endpoint, true);
         }
     }
--- a/src/main/java/magpiewheel/routing/PeerExchange.java
+++ b/src/main/java/magpiewheel/routing/PeerExchange.java
@@ -10,7 +10,7 @@
     /** The most ticks from one message to the next. */
     private static final int MAX_TICKS = 50;
     /** Messages that a peer may miss until the load that it reported last is forgotten. */
-    private static final int SILENT_MESSAGES = 3;
+    private static final int MAX_MISSED_MESSAGES = 3;
 
     private final RouterTopology topology;
     private final boolean mayMessagePeers;
@@ -38,15 +38,15 @@
     }
 
     /** A cache was filled: peers are to hear of it with the next message. */
-    void report(HolderHint holder) {
+    void queueHolderReport(HolderHint holder) {
         unreportedHolders.add(holder);
     }
 
     /** Called once a tick; sends messages with every so many. */
     void tick(long now) {
         if (mayMessagePeers && topology.routers() > 1) {
-            long silentUs = SILENT_MESSAGES * ticksPerMessage() * RequestRouter.TICK_INTERVAL_US;
-            peers.updatePeers(now, fleet.membershipView().runningMembersIn(topology.zone()), silentUs);
+            long silenceTimeoutUs = MAX_MISSED_MESSAGES * ticksPerMessage() * RequestRouter.TICK_INTERVAL_US;
+            peers.updatePeers(now, fleet.membershipView().runningMembersIn(topology.zone()), silenceTimeoutUs);
             if (ticks % ticksPerMessage() == 0) {
                 sendReports(now);
                 unreportedHolders.clear();
@@ -67,7 +67,7 @@
                 state.fills().takeUnreported(now),
                 unreportedHolders);
         List<byte[]> datagrams = PeerMessageCodec.encode(message);
-        peers.current().forEach(peer -> datagrams.forEach(datagram -> actions.sendToPeer(peer, datagram)));
+        peers.recipients().forEach(peer -> datagrams.forEach(datagram -> actions.sendToPeer(peer, datagram)));
     }
 
     private int ticksPerMessage() {
@@ -75,15 +75,15 @@
     }
 
     /** Takes a peer's message in; what can't be used has no effect. */
-    void received(long now, long sender, byte[] bytes) {
-        PeerReports.Heard heard = peers.received(now, sender, PeerMessageCodec.decode(bytes));
-        if (heard == null) {
+    void messageReceived(long now, long sender, byte[] bytes) {
+        PeerReports.AcceptedReport report = peers.received(now, sender, PeerMessageCodec.decode(bytes));
+        if (report == null) {
             return;
         }
-        PeerMessage message = heard.message();
-        message.holders().forEach(hint -> holderReported(heard.sentAt() - hint.ageUs(), hint));
-        message.fillsStarted().forEach(hint -> fillReported(heard.sentAt() - hint.ageUs(), hint));
-        if (heard.first()) {
+        PeerMessage message = report.message();
+        message.holders().forEach(hint -> holderReported(report.sentAt() - hint.ageUs(), hint));
+        message.fillsStarted().forEach(hint -> fillReported(report.sentAt() - hint.ageUs(), hint));
+        if (report.first()) {
             originHealth.reportedByPeer(now, message.originLateRatio());
             limiter.reportedByPeer(message.fillLimit(), message.loads());
         }
@@ -98,11 +98,11 @@
     /** A report counts of a ready cache of this zone, if nothing was purged since. */
     private boolean fillReported(long at, HolderHint hint) {
         Endpoint cache = state.endpoints().get(hint.endpointId());
-        boolean ours = cache != null && cache.isReady() && cache.isCacheOf(topology.zone());
-        boolean counts = ours && at > state.purges().lastPurge(hint.objectId(), hint.group());
-        if (counts && hint.part() != PeerMessageCodec.NO_PART) {
+        boolean isReadyCacheOfZone = cache != null && cache.isReady() && cache.isCacheOf(topology.zone());
+        boolean accepted = isReadyCacheOfZone && at > state.purges().lastPurge(hint.objectId(), hint.group());
+        if (accepted && hint.part() != PeerMessageCodec.UNKNOWN_PART) {
             state.fills().recordFill(new FillCoalescer.Fill(hint.objectId(), hint.part(), hint.group(), cache, at));
         }
-        return counts;
+        return accepted;
     }
 }
--- a/src/main/java/magpiewheel/routing/PeerMessageCodec.java
+++ b/src/main/java/magpiewheel/routing/PeerMessageCodec.java
@@ -10,30 +10,30 @@
     static final int MAX_MESSAGE_BYTES = 256;
 
     private static final byte VERSION = 4;
-    private static final int HEAD_BYTES = 17;
+    private static final int HEADER_BYTES = 17;
     private static final int LOAD_BYTES = 9;
-    private static final int HOLDER_BYTES = 18;
+    private static final int HINT_BYTES = 18;
     /** Loads leave space for one holder. */
-    private static final int MAX_LOADS = (MAX_MESSAGE_BYTES - HEAD_BYTES - HOLDER_BYTES) / LOAD_BYTES;
+    private static final int MAX_LOADS = (MAX_MESSAGE_BYTES - HEADER_BYTES - HINT_BYTES) / LOAD_BYTES;
 
     private static final int PORT_BITS = 16;
     private static final int MAX_BYTE = 255;
     private static final int MAX_SHORT = 65_535;
     /** Limits are encoded in these steps: whole numbers would pull an average down. */
-    private static final double LIMIT_STEPS = 64;
+    private static final double LIMIT_STEPS_PER_UNIT = 64;
 
     private static final int AGE_STEP_MS = 50;
 
     private PeerMessageCodec() {}
 
     /** An unknown part of an object. */
-    static final int NO_PART = MAX_BYTE;
+    static final int UNKNOWN_PART = MAX_BYTE;
 
     /** The loads of the caches at which attempts are in flight. */
     static List<EndpointLoad> loads(List<Endpoint> caches) {
         return caches.stream()
-                .filter(endpointId -> endpointId.ownInFlight > 0)
-                .map(endpointId -> new EndpointLoad(endpointId.id, endpointId.ownInFlight, endpointId.concurrencyLimit))
+                .filter(endpoint -> endpoint.ownInFlight > 0)
+                .map(endpoint -> new EndpointLoad(endpoint.id, endpoint.ownInFlight, endpoint.concurrencyLimit))
                 .toList();
     }
 
@@ -42,32 +42,33 @@
         List<byte[]> messages = new ArrayList<>();
         List<EndpointLoad> loads =
                 message.loads().subList(0, Math.min(message.loads().size(), MAX_LOADS));
-        int holdersPerMessage = (MAX_MESSAGE_BYTES - HEAD_BYTES - loads.size() * LOAD_BYTES) / HOLDER_BYTES;
-        List<HolderHint> all = new ArrayList<>(message.fillsStarted());
-        all.addAll(message.holders());
+        int hintsPerMessage = (MAX_MESSAGE_BYTES - HEADER_BYTES - loads.size() * LOAD_BYTES) / HINT_BYTES;
+        List<HolderHint> hints = new ArrayList<>(message.fillsStarted());
+        hints.addAll(message.holders());
         int from = 0;
         do {
-            int to = Math.min(all.size(), from + holdersPerMessage);
-            int sent = Math.max(0, Math.min(to, message.fillsStarted().size()) - from);
-            messages.add(encodeOne(message, loads, sent, all.subList(from, to)));
+            int to = Math.min(hints.size(), from + hintsPerMessage);
+            int fillCount = Math.max(0, Math.min(to, message.fillsStarted().size()) - from);
+            messages.add(encodeDatagram(message, loads, fillCount, hints.subList(from, to)));
             from = to;
-        } while (from < all.size());
+        } while (from < hints.size());
         return messages;
     }
 
-    private static byte[] encodeOne(PeerMessage message, List<EndpointLoad> loads, int sent, List<HolderHint> holders) {
-        ByteBuffer buffer = ByteBuffer.allocate(HEAD_BYTES + loads.size() * LOAD_BYTES + holders.size() * HOLDER_BYTES);
+    private static byte[] encodeDatagram(
+            PeerMessage message, List<EndpointLoad> loads, int fillCount, List<HolderHint> holders) {
+        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + loads.size() * LOAD_BYTES + holders.size() * HINT_BYTES);
         buffer.put(VERSION).putShort((short) message.zone()).putLong(message.sentAtUs());
-        buffer.put(toByte(message.fillsInFlight())).putShort(steps(message.fillLimit()));
+        buffer.put(toByte(message.fillsInFlight())).putShort(encodeLimit(message.fillLimit()));
         buffer.put(toByte(Math.max(0, Math.min(1, message.originLateRatio())) * MAX_BYTE));
-        buffer.put((byte) sent).put((byte) loads.size());
+        buffer.put((byte) fillCount).put((byte) loads.size());
         for (EndpointLoad load : loads) {
-            endpointId(buffer, load.endpointId());
-            buffer.put(toByte(load.inFlight())).putShort(steps(load.concurrencyLimit()));
+            putEndpointId(buffer, load.endpointId());
+            buffer.put(toByte(load.inFlight())).putShort(encodeLimit(load.concurrencyLimit()));
         }
         for (HolderHint holder : holders) {
             buffer.putLong(holder.objectId());
-            endpointId(buffer, holder.endpointId());
+            putEndpointId(buffer, holder.endpointId());
             // Ages are rounded up: what was reported before a purge must not seem to come after it.
             buffer.putShort((short) holder.group())
                     .put(toByte(Math.ceil((double) holder.ageMs() / AGE_STEP_MS)))
@@ -80,19 +81,19 @@
         return (byte) Math.min(MAX_BYTE, Math.round(value));
     }
 
-    private static short steps(double limit) {
-        return (short) Math.min(MAX_SHORT, Math.round(limit * LIMIT_STEPS));
+    private static short encodeLimit(double limit) {
+        return (short) Math.min(MAX_SHORT, Math.round(limit * LIMIT_STEPS_PER_UNIT));
     }
 
-    private static double steps(ByteBuffer buffer) {
-        return Short.toUnsignedInt(buffer.getShort()) / LIMIT_STEPS;
+    private static double decodeLimit(ByteBuffer buffer) {
+        return Short.toUnsignedInt(buffer.getShort()) / LIMIT_STEPS_PER_UNIT;
     }
 
-    private static void endpointId(ByteBuffer buffer, long endpointId) {
+    private static void putEndpointId(ByteBuffer buffer, long endpointId) {
         buffer.putInt((int) (endpointId >>> PORT_BITS)).putShort((short) endpointId);
     }
 
-    private static long endpointId(ByteBuffer buffer) {
+    private static long getEndpointId(ByteBuffer buffer) {
         long address = Integer.toUnsignedLong(buffer.getInt());
         return address << PORT_BITS | Short.toUnsignedLong(buffer.getShort());
     }
@@ -102,48 +103,54 @@
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         byte version = bytes.length > 0 ? buffer.get() : 0;
         // Version 3, of the release before, has neither fills nor parts: its header is a byte shorter.
-        int head = version == VERSION ? HEAD_BYTES : HEAD_BYTES - 1;
-        if (bytes.length < head || bytes.length > MAX_MESSAGE_BYTES || version != VERSION && version != VERSION - 1) {
+        int headerBytes = version == VERSION ? HEADER_BYTES : HEADER_BYTES - 1;
+        if (bytes.length < headerBytes
+                || bytes.length > MAX_MESSAGE_BYTES
+                || version != VERSION && version != VERSION - 1) {
             return null;
         }
         int zone = Short.toUnsignedInt(buffer.getShort());
-        long clock = buffer.getLong();
-        int fills = Byte.toUnsignedInt(buffer.get());
-        double fillLimit = steps(buffer);
-        double originLate = Byte.toUnsignedInt(buffer.get()) / (double) MAX_BYTE;
-        int sent = version == VERSION ? Byte.toUnsignedInt(buffer.get()) : 0;
-        int count = Byte.toUnsignedInt(buffer.get());
-        int rest = bytes.length - head - count * LOAD_BYTES;
-        if (rest < sent * HOLDER_BYTES || rest % HOLDER_BYTES != 0) {
+        long sentAtUs = buffer.getLong();
+        int fillsInFlight = Byte.toUnsignedInt(buffer.get());
+        double fillLimit = decodeLimit(buffer);
+        double originLateRatio = Byte.toUnsignedInt(buffer.get()) / (double) MAX_BYTE;
+        int fillCount = version == VERSION ? Byte.toUnsignedInt(buffer.get()) : 0;
+        int loadCount = Byte.toUnsignedInt(buffer.get());
+        int hintBytes = bytes.length - headerBytes - loadCount * LOAD_BYTES;
+        if (hintBytes < fillCount * HINT_BYTES || hintBytes % HINT_BYTES != 0) {
             return null;
         }
         List<EndpointLoad> loads = new ArrayList<>();
-        while (loads.size() < count) {
-            loads.add(new EndpointLoad(endpointId(buffer), Byte.toUnsignedInt(buffer.get()), steps(buffer)));
+        while (loads.size() < loadCount) {
+            loads.add(new EndpointLoad(getEndpointId(buffer), Byte.toUnsignedInt(buffer.get()), decodeLimit(buffer)));
         }
         List<HolderHint> holders = new ArrayList<>();
         while (buffer.hasRemaining()) {
-            holders.add(holder(buffer, version));
+            holders.add(decodeHint(buffer, version));
         }
         return new PeerMessage(
                 zone,
-                clock,
-                fills,
+                sentAtUs,
+                fillsInFlight,
                 fillLimit,
-                originLate,
+                originLateRatio,
                 loads,
-                holders.subList(0, sent),
-                holders.subList(sent, holders.size()));
+                holders.subList(0, fillCount),
+                holders.subList(fillCount, holders.size()));
     }
 
-    private static HolderHint holder(ByteBuffer buffer, byte version) {
+    private static HolderHint decodeHint(ByteBuffer buffer, byte version) {
         long objectId = buffer.getLong();
-        long endpointId = endpointId(buffer);
+        long endpointId = getEndpointId(buffer);
         int group = Short.toUnsignedInt(buffer.getShort());
-        int age = version == VERSION
+        int ageMs = version == VERSION
                 ? AGE_STEP_MS * Byte.toUnsignedInt(buffer.get())
                 : Short.toUnsignedInt(buffer.getShort());
         return new HolderHint(
-                objectId, version == VERSION ? Byte.toUnsignedInt(buffer.get()) : NO_PART, endpointId, group, age);
+                objectId,
+                version == VERSION ? Byte.toUnsignedInt(buffer.get()) : UNKNOWN_PART,
+                endpointId,
+                group,
+                ageMs);
     }
 }
--- a/src/main/java/magpiewheel/routing/PeerState.java
+++ b/src/main/java/magpiewheel/routing/PeerState.java
@@ -12,16 +12,16 @@
     List<EndpointLoad> loads = List.of();
 
     /** Replaces what it reported before; returns the change in its fills. */
-    double update(double newFills, List<EndpointLoad> newLoads, Map<Long, Endpoint> endpoints) {
-        double change = newFills - fillsInFlight;
-        fillsInFlight = newFills;
-        count(endpoints, -1);
+    double update(double newFillsInFlight, List<EndpointLoad> newLoads, Map<Long, Endpoint> endpoints) {
+        double change = newFillsInFlight - fillsInFlight;
+        fillsInFlight = newFillsInFlight;
+        addLoads(endpoints, -1);
         loads = newLoads;
-        count(endpoints, 1);
+        addLoads(endpoints, 1);
         return change;
     }
 
-    private void count(Map<Long, Endpoint> endpoints, int sign) {
+    private void addLoads(Map<Long, Endpoint> endpoints, int sign) {
         for (EndpointLoad load : loads) {
             Endpoint endpoint = endpoints.get(load.endpointId());
             if (endpoint != null) {
--- a/src/main/java/magpiewheel/routing/RegionBridge.java
+++ b/src/main/java/magpiewheel/routing/RegionBridge.java
@@ -22,17 +22,17 @@
  */
 final class RegionBridge {
     /** us; load and free capacity are measured over so long. */
-    private static final long MEASURED_US = 2_000_000;
+    private static final long MEASUREMENT_WINDOW_US = 2_000_000;
 
     private static final long REPORT_INTERVAL_US = 500_000;
     /**
      * us; a response is overdue that takes so much longer than twice its transfer time and the parent's usual wait. A
      * parent that waits for a slow origin does not hang.
      */
-    private static final long OVERDUE_AFTER_US = 400_000;
+    private static final long OVERDUE_MARGIN_US = 400_000;
 
-    private static final double USUAL_WAIT_FACTOR = 2;
-    private static final double SECOND_US = 1e6;
+    private static final double EXPECTED_WAIT_FACTOR = 2;
+    private static final double US_PER_SECOND = 1e6;
 
     /** A fill that waits for the response of a parent. */
     private static final class PendingFill {
@@ -54,7 +54,7 @@
     private final PriorityQueue<PendingFill> pendingFills =
             new PriorityQueue<>(Comparator.comparingLong(fill -> fill.dueAt));
     private final List<PendingFill> overdueFills = new ArrayList<>();
-    private final SlidingWindowSum filledTransfers = new SlidingWindowSum(MEASURED_US);
+    private final SlidingWindowSum filledTransfers = new SlidingWindowSum(MEASUREMENT_WINDOW_US);
     private final Map<Long, SlidingWindowSum> sentTransfers = new HashMap<>();
     private List<Parent> parents = List.of();
     private long nextReportAt = Long.MAX_VALUE;
@@ -64,7 +64,7 @@
         this.topology = settings.topology();
         this.windowUs = settings.safetyLimits().overloadWindowUs() > 0
                 ? settings.safetyLimits().overloadWindowUs()
-                : SECOND_US;
+                : US_PER_SECOND;
     }
 
     /** The list changed; the function returns the concurrent transfers that an endpoint carries. */
@@ -119,20 +119,20 @@
         if (region == null || attempt.fillProbability <= 0) {
             return;
         }
-        double transfers = attempt.fillProbability * transferUs / SECOND_US;
+        double transfers = attempt.fillProbability * transferUs / US_PER_SECOND;
         filledTransfers.add(now, transfers);
         Endpoint parent = parentOf(attempt);
         if (parent != null) {
             region.fillStarted(now, parent.id, objectId, workUs / windowUs, transfers);
             sentTransfers
-                    .computeIfAbsent(parent.id, id -> new SlidingWindowSum(MEASURED_US))
+                    .computeIfAbsent(parent.id, id -> new SlidingWindowSum(MEASUREMENT_WINDOW_US))
                     .add(now, transfers);
             pendingFills.add(new PendingFill(
                     attempt,
                     parent,
                     now
-                            + OVERDUE_AFTER_US
-                            + (long) (USUAL_WAIT_FACTOR * (transferUs + parent.fillLatency.or(now, 0)))));
+                            + OVERDUE_MARGIN_US
+                            + (long) (EXPECTED_WAIT_FACTOR * (transferUs + parent.fillLatency.or(now, 0)))));
             fleet.scheduleTimer(now);
         }
     }
@@ -218,7 +218,7 @@
      */
     private void reportLoad(long now) {
         RegionCoordinator region = fleet.region();
-        double seconds = MEASURED_US / SECOND_US;
+        double seconds = MEASUREMENT_WINDOW_US / US_PER_SECOND;
         region.zoneLoadMeasured(
                 now,
                 filledTransfers.at(now)
@@ -229,16 +229,17 @@
                                         .size()));
         Leader leader = region.leader(now);
         int otherRouters = fleet.membershipView().runningMembers().size();
-        int routersOfRegion = region.region() == null
+        int otherRoutersOfRegion = region.region() == null
                 ? otherRouters
                 : region.region().zones().stream()
-                        .mapToInt(branch ->
-                                fleet.membershipView().runningMembersIn(branch).size())
+                        .mapToInt(regionZone -> fleet.membershipView()
+                                .runningMembersIn(regionZone)
+                                .size())
                         .sum();
         for (Parent parent : parents) {
             SlidingWindowSum transfersOfParent = sentTransfers.get(parent.id());
             // The leader gets its region's fills, another parent those of all routers that choose for themselves.
-            int routers = 1 + (leader != null && leader.parent() == parent.id() ? routersOfRegion : otherRouters);
+            int routers = 1 + (leader != null && leader.parent() == parent.id() ? otherRoutersOfRegion : otherRouters);
             double utilization = transfersOfParent == null
                     ? 0
                     : transfersOfParent.at(now) / seconds * routers / parent.linkCapacity();
--- a/src/main/java/magpiewheel/routing/RequestClass.java
+++ b/src/main/java/magpiewheel/routing/RequestClass.java
@@ -4,7 +4,7 @@
  * A class of requests.
  *
  * @param latencyObjectiveUs the latency objective of a request whose transfer takes no time
- * @param objectiveStretch how often the transfer time of a request is added to the objective
+ * @param transferTimeFactor how often the transfer time of a request is added to the objective
  * @param priorityWeight what a response in time is worth
  * @param latePriorityWeight what a late response is worth
  * @param idempotencyWindowUs how long idempotency keys are remembered
@@ -15,7 +15,7 @@
  */
 public record RequestClass(
         long latencyObjectiveUs,
-        double objectiveStretch,
+        double transferTimeFactor,
         long deadlineUs,
         double priorityWeight,
         double latePriorityWeight,
@@ -38,7 +38,7 @@
     public static final class Builder {
         private final long latencyObjectiveUs;
         private final long deadlineUs;
-        private double objectiveStretch;
+        private double transferTimeFactor;
         private double priorityWeight = 1;
         private double latePriorityWeight;
         private Idempotency idempotency = Idempotency.IDEMPOTENT;
@@ -56,9 +56,9 @@
             this.deadlineUs = deadlineUs;
         }
 
-        /** Sets {@link RequestClass#objectiveStretch}. */
-        public Builder objectiveStretch(double value) {
-            objectiveStretch = value;
+        /** Sets {@link RequestClass#transferTimeFactor}. */
+        public Builder transferTimeFactor(double value) {
+            transferTimeFactor = value;
             return this;
         }
 
@@ -132,7 +132,7 @@
         public RequestClass build() {
             return new RequestClass(
                     latencyObjectiveUs,
-                    objectiveStretch,
+                    transferTimeFactor,
                     deadlineUs,
                     priorityWeight,
                     latePriorityWeight,
--- a/src/main/java/magpiewheel/routing/RequestRouter.java
+++ b/src/main/java/magpiewheel/routing/RequestRouter.java
@@ -180,7 +180,7 @@
         inFlight.put(request.id(), arrived);
         if (!requestClass.write()) {
             state.holders().record(request.objectId()).requested(request);
-            transfers.requested(request);
+            transfers.requestArrived(request);
             state.shedder().requested(arrived);
         }
         advance(now, arrived);
@@ -251,7 +251,7 @@
             return;
         }
         request.completed = true;
-        transfers.ended(request.request, false);
+        transfers.requestEnded(request.request, false);
         if (permit.mayReject()) {
             long waitUs = request.boundUnproven
                     ? staleness.retryAfterUs(now)
@@ -265,7 +265,7 @@
 
     private void serveLocalCopy(InFlightRequest request) {
         request.completed = true;
-        transfers.ended(request.request, true);
+        transfers.requestEnded(request.request, true);
         actions.serveLocalCopy(request.request.id());
         inFlight.remove(request.request.id());
     }
@@ -354,7 +354,7 @@
     @Override
     public void peerMessageReceived(long now, long sender, byte[] message) {
         if (!fleet.dispatch(now, sender, message)) {
-            peerExchange.received(now, sender, message);
+            peerExchange.messageReceived(now, sender, message);
         }
     }
 
@@ -365,7 +365,7 @@
 
     @Override
     public void setServing(long now, boolean serves) {
-        fleet.serving(now, serves);
+        fleet.setServing(now, serves);
     }
 
     // ---------------------------------------------------------------- queries
@@ -378,7 +378,7 @@
 
     @Override
     public int avoidedEndpoints(long now) {
-        return state.endpoints().avoided(now);
+        return state.endpoints().countAvoided(now);
     }
 
     @Override
--- a/src/main/java/magpiewheel/routing/RouteSelector.java
+++ b/src/main/java/magpiewheel/routing/RouteSelector.java
@@ -64,7 +64,7 @@
     }
 
     private boolean regionAdmitsFill(long now, InFlightRequest request, double probability) {
-        double workUs = transfers.workUs(request.request.requestClass());
+        double workUs = transfers.meanUs(request.request.requestClass());
         return regions.admitsFill(now, request.request.objectId(), probability * workUs);
     }
 }
--- a/src/main/java/magpiewheel/routing/RouterTopology.java
+++ b/src/main/java/magpiewheel/routing/RouterTopology.java
@@ -47,12 +47,12 @@
     }
 
     /** Transfers at a client's pace that the links into all zones carry; 0 where the pace is unknown. */
-    double transfersOfAllLinks() {
+    double transferCapacityOfAllLinks() {
         return transferKbPerS > 0 ? Arrays.stream(linkKbPerSByZone).sum() / transferKbPerS : 0;
     }
 
     /** Transfers at a client's pace that the link into the own zone carries; 0 where the pace is unknown. */
-    double transfersOfOwnLink() {
+    double transferCapacityOfOwnLink() {
         return transferKbPerS > 0 && zone < linkKbPerSByZone.length ? linkKbPerSByZone[zone] / transferKbPerS : 0;
     }
 
--- a/src/main/java/magpiewheel/routing/RoutingSettings.java
+++ b/src/main/java/magpiewheel/routing/RoutingSettings.java
@@ -26,9 +26,9 @@
         WeightSource weightSource,
         List<LoadMetric> loadMetrics) {
     /** us; the overload window where the settings have none. */
-    private static final long DEFAULT_WINDOW_US = 1_000_000;
+    private static final long DEFAULT_OVERLOAD_WINDOW_US = 1_000_000;
     /** Transfers at once of an origin whose capacity is unknown. */
-    private static final double UNBOUNDED = 1e9;
+    private static final double UNLIMITED_TRANSFERS = 1e9;
 
     /** The longest time that a request of any class may take, us. */
     long longestDeadlineUs() {
@@ -49,7 +49,8 @@
                 || topology.zone() >= hubs.length) {
             return null;
         }
-        long window = safetyLimits.overloadWindowUs() > 0 ? safetyLimits.overloadWindowUs() : DEFAULT_WINDOW_US;
+        long windowUs =
+                safetyLimits.overloadWindowUs() > 0 ? safetyLimits.overloadWindowUs() : DEFAULT_OVERLOAD_WINDOW_US;
         // No load until it is measured: too low an estimate is corrected before much of it has moved to a leader.
         return new RegionConfig(
                 topology.routerId(),
@@ -57,8 +58,8 @@
                 topology.routersByZone(),
                 hubs,
                 new double[hubs.length],
-                safetyLimits.parentSlowStart().withOverloadWindow(window),
-                originTransfers > 0 ? originTransfers * 1e6 / window : UNBOUNDED,
+                safetyLimits.parentSlowStart().withOverloadWindow(windowUs),
+                originTransfers > 0 ? originTransfers * 1e6 / windowUs : UNLIMITED_TRANSFERS,
                 startedMs);
     }
 
--- a/src/main/java/magpiewheel/routing/SlowStart.java
+++ b/src/main/java/magpiewheel/routing/SlowStart.java
@@ -66,7 +66,7 @@
             return Math.min(weight, Math.max(MIN_CAPACITY, weight * SAFETY_FACTOR));
         }
         double share = PARENT_CAPACITY_SHARE
-                * topology.transfersOfAllLinks()
+                * topology.transferCapacityOfAllLinks()
                 / Math.max(1, endpoints.parents().size());
         return endpoint.isParent() ? Math.max(MIN_CAPACITY, share) : MIN_CAPACITY;
     }
--- a/src/test/java/magpiewheel/routing/DemandDistributionTest.java
+++ b/src/test/java/magpiewheel/routing/DemandDistributionTest.java
@@ -9,7 +9,7 @@
 class DemandDistributionTest {
     @Test
     void nothingAskedForIsBelowNothing() {
-        assertEquals(0, new DemandDistribution().below(1));
+        assertEquals(0, new DemandDistribution().shareBelow(1));
     }
 
     @Test
@@ -17,11 +17,11 @@
         DemandDistribution demand = new DemandDistribution();
         demand.add(1, 30);
         demand.add(4, 10);
-        assertEquals(0.375, demand.below(1), 1e-9, "half of its like");
-        assertEquals(0.75, demand.below(2), 1e-9);
-        assertEquals(0.875, demand.below(4), 1e-9);
-        assertEquals(1, demand.below(Double.MAX_VALUE), 1e-9);
-        assertEquals(0, demand.below(Double.MIN_VALUE), 1e-9);
+        assertEquals(0.375, demand.shareBelow(1), 1e-9, "half of its like");
+        assertEquals(0.75, demand.shareBelow(2), 1e-9);
+        assertEquals(0.875, demand.shareBelow(4), 1e-9);
+        assertEquals(1, demand.shareBelow(Double.MAX_VALUE), 1e-9);
+        assertEquals(0, demand.shareBelow(Double.MIN_VALUE), 1e-9);
     }
 
     @Test
@@ -35,7 +35,7 @@
         double sum = 0;
         double all = 0;
         for (double time : times) {
-            sum += time * demand.below(1 / time);
+            sum += time * demand.shareBelow(1 / time);
             all += time;
         }
         assertEquals(0.5, sum / all, 1e-9);
@@ -50,6 +50,6 @@
         for (int i = 0; i < 2_048; i++) {
             demand.add(1, 1);
         }
-        assertTrue(demand.below(2) > 0.99, "" + demand.below(2));
+        assertTrue(demand.shareBelow(2) > 0.99, "" + demand.shareBelow(2));
     }
 }
--- a/src/test/java/magpiewheel/routing/DesignWorld.java
+++ b/src/test/java/magpiewheel/routing/DesignWorld.java
@@ -86,7 +86,7 @@
 
     private static RequestClass profile(Idempotency effect, boolean write) {
         return RequestClass.builder(500 * MS, 3 * SECOND)
-                .objectiveStretch(2)
+                .transferTimeFactor(2)
                 .latePriorityWeight(0.2)
                 .idempotency(effect)
                 .idempotencyWindowUs(2 * SECOND)
--- a/src/test/java/magpiewheel/routing/EndpointTableTest.java
+++ b/src/test/java/magpiewheel/routing/EndpointTableTest.java
@@ -33,7 +33,7 @@
         assertEquals(List.of(table.get(1)), table.caches(), "of the own zone, and ready");
         assertEquals(List.of(table.get(7)), table.parents());
         assertSame(table.get(9), table.origin());
-        assertEquals(1, table.avoided(NOW), "the one that drains");
+        assertEquals(1, table.countAvoided(NOW), "the one that drains");
     }
 
     @Test
--- a/src/test/java/magpiewheel/routing/OverloadedLocation.java
+++ b/src/test/java/magpiewheel/routing/OverloadedLocation.java
@@ -231,7 +231,7 @@
     private RoutingSettings settings(int me) {
         List<RequestClass> profiles = kinds.stream()
                 .map(kind -> RequestClass.builder(kind.aimUs(), kind.deadlineUs())
-                        .objectiveStretch(2)
+                        .transferTimeFactor(2)
                         .priorityWeight(kind.worth())
                         .latePriorityWeight(0.2)
                         .stalePriorityWeight(0.5)
--- a/src/test/java/magpiewheel/routing/PeerMessageCodecGoldenTest.java
+++ b/src/test/java/magpiewheel/routing/PeerMessageCodecGoldenTest.java
@@ -29,7 +29,7 @@
                 List.of(new EndpointLoad(CACHE, 5, 9.5), new EndpointLoad(CACHE + 1, 300, 2_000)),
                 List.of(new HolderHint(0x1122334455667788L, 4, CACHE, 300, 120)),
                 List.of(
-                        new HolderHint(0x99L, PeerMessageCodec.NO_PART, CACHE, 5, 50),
+                        new HolderHint(0x99L, PeerMessageCodec.UNKNOWN_PART, CACHE, 5, 50),
                         new HolderHint(-2L, 0, CACHE, 65_535, 90_000)));
         assertEquals(
                 "040007000644df5daaa2400303109901020a124a07c32b0502600a124a07c32cffffff1122334455"
--- a/src/test/java/magpiewheel/routing/PeerMessageCodecTest.java
+++ b/src/test/java/magpiewheel/routing/PeerMessageCodecTest.java
@@ -76,7 +76,7 @@
         before[before.length - 1] = 50;
         before[before.length - 2] = 0;
         PeerMessage heard = PeerMessageCodec.decode(before);
-        HolderHint told = new HolderHint(1_000, PeerMessageCodec.NO_PART, 0x0a124a07c32bL, 300, 50);
+        HolderHint told = new HolderHint(1_000, PeerMessageCodec.UNKNOWN_PART, 0x0a124a07c32bL, 300, 50);
         assertEquals(
                 new PeerMessage(7, 123_456_789L, 3, 12.25, 0.6, message(1).loads(), List.of(), List.of(told)), heard);
         before[0] = 2;
--- a/src/test/java/magpiewheel/routing/RandomEvents.java
+++ b/src/test/java/magpiewheel/routing/RandomEvents.java
@@ -118,7 +118,7 @@
 
     private static RequestClass profile(Idempotency effect, IdempotencyKeyScope scope, boolean write, long freshUs) {
         return RequestClass.builder(400 * MS, 3 * SECOND)
-                .objectiveStretch(2)
+                .transferTimeFactor(2)
                 .latePriorityWeight(0.2)
                 .idempotency(effect)
                 .keyScope(scope)
--- a/src/test/java/magpiewheel/routing/RegionalFleetWorld.java
+++ b/src/test/java/magpiewheel/routing/RegionalFleetWorld.java
@@ -258,7 +258,7 @@
                                 .transferKbPerS(10_000)
                                 .build(),
                         List.of(RequestClass.builder(500 * MS, 3 * SECOND)
-                                .objectiveStretch(2)
+                                .transferTimeFactor(2)
                                 .latePriorityWeight(0.2)
                                 .idempotencyWindowUs(2 * SECOND)
                                 .stalePriorityWeight(0.5)
--- a/src/test/java/magpiewheel/routing/RequestRouterFixture.java
+++ b/src/test/java/magpiewheel/routing/RequestRouterFixture.java
@@ -59,7 +59,7 @@
 
     static RequestClass profile(Idempotency effect, boolean write, long freshUs) {
         return RequestClass.builder(500_000, 3 * SECOND)
-                .objectiveStretch(2)
+                .transferTimeFactor(2)
                 .latePriorityWeight(0.2)
                 .idempotency(effect)
                 .idempotencyWindowUs(2 * SECOND)
--- a/src/test/java/magpiewheel/routing/WarmingFleet.java
+++ b/src/test/java/magpiewheel/routing/WarmingFleet.java
@@ -281,7 +281,7 @@
 
     private static RequestClass profile(long aimUs) {
         return RequestClass.builder(aimUs, 6 * SECOND)
-                .objectiveStretch(2)
+                .transferTimeFactor(2)
                 .latePriorityWeight(0.2)
                 .stalePriorityWeight(0.5)
                 .build();
--- a/src/test/java/magpiewheel/routing/WarmingFleetTest.java
+++ b/src/test/java/magpiewheel/routing/WarmingFleetTest.java
@@ -121,15 +121,15 @@
     void theFirstFewTransfersDoNotTellHowLongTheyTake() {
         RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
         TransferTimes transfers = new TransferTimes(settings.requestClasses(), 10_000);
-        assertEquals(500_000, transfers.carefulUs(0));
+        assertEquals(500_000, transfers.conservativeUs(0));
         for (int i = 0; i < 3; i++) {
             transfers.add(0, 5_000, true);
         }
-        assertEquals(5_000, transfers.workUs(0));
-        assertTrue(transfers.carefulUs(0) > 300_000, "careful: " + transfers.carefulUs(0));
+        assertEquals(5_000, transfers.meanUs(0));
+        assertTrue(transfers.conservativeUs(0) > 300_000, "careful: " + transfers.conservativeUs(0));
         for (int i = 0; i < 100; i++) {
             transfers.add(0, 5_000, true);
         }
-        assertEquals(5_000, transfers.carefulUs(0), 100);
+        assertEquals(5_000, transfers.conservativeUs(0), 100);
     }
 }
