--- a/src/main/java/magpiewheel/routing/AnswerRateBySize.java
+++ b/src/main/java/magpiewheel/routing/AnswerRateBySize.java
@@ -3,13 +3,13 @@
 import java.util.stream.IntStream;
 
 /**
- * How many of each class's requests ended and how many of them were answered, by transfer time: whether the largest of
- * a class are answered less often than the rest. It only counts; older requests fade by halves.
+ * Counts the ended and the answered requests of each class by transfer time, to tell whether the largest requests of a
+ * class are answered less often than the rest. Older requests decay exponentially.
  */
 final class AnswerRateBySize {
-    /** Requests of a class after which all earlier ones count half. */
+    /** Number of requests of a class after which all earlier ones count half. */
     private static final int HALF_LIFE_REQUESTS = 256;
-    /** Share of a class's requests that are its largest, and those with the next largest. */
+    /** Share of a class's requests in the group of the largest, and in that group together with the next largest. */
     private static final double LARGEST_SHARE = 0.1;
 
     private static final double LARGE_SHARE = 0.3;
@@ -26,12 +26,12 @@
 
     private final Tally[] classes;
 
-    /** For so many classes. */
+    /** Creates the counts of a number of request classes. */
     AnswerRateBySize(int classCount) {
         classes = IntStream.range(0, classCount).mapToObj(number -> new Tally()).toArray(Tally[]::new);
     }
 
-    /** A request of a class with such a transfer time ended. */
+    /** Counts a request of a class, with its transfer time, that ended. */
     void add(int requestClass, double transferUs, boolean answered) {
         Tally tally = classes[requestClass];
         int bucket = LogBuckets.bucketOf(transferUs);
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Whether requests with such a transfer time are among the largest tenth of their class, or the fifth below it, and
-     * that group's answered share is below that of the class, times the floor.
+     * Whether a transfer time is among the largest tenth of its class or the fifth below it, and the answer rate of
+     * that group is below that of the class, times the floor.
      */
     boolean isUnderserved(int requestClass, double transferUs, double floor) {
         Tally tally = classes[requestClass];
@@ -64,7 +64,7 @@
         return answeredInGroup * sum(tally.ended, ALL) < floor * sum(tally.answered, ALL) * endedInGroup;
     }
 
-    /** The steps of the group that a step belongs to, or null. */
+    /** Returns the buckets of the group that a bucket belongs to; null where it is in neither. */
     private static BucketRange group(Tally tally, int bucket) {
         double all = sum(tally.ended, ALL);
         int largestFrom = firstBucketOfLargest(tally, LARGEST_SHARE * all);
@@ -75,7 +75,7 @@
         return bucket >= largeFrom ? new BucketRange(largeFrom, largestFrom) : null;
     }
 
-    /** The highest step from which on so many requests are counted. */
+    /** Returns the highest bucket such that it and those above hold at least a number of requests. */
     private static int firstBucketOfLargest(Tally tally, double count) {
         int bucket = LogBuckets.COUNT;
         for (double counted = 0; bucket > 0 && counted < count; ) {
--- a/src/main/java/magpiewheel/routing/AttemptOutcome.java
+++ b/src/main/java/magpiewheel/routing/AttemptOutcome.java
@@ -1,12 +1,14 @@
 package magpiewheel.routing;
 
 /**
- * How an attempt ended.
+ * The outcome of an attempt.
  *
+ * @param attempt the index of the attempt within its request
+ * @param durationUs the time from the start of the attempt to its end
  * @param requestCompleted whether the client needs no further answer
- * @param firstByteUs how long the first byte took; 0 where that was not measured
- * @param originTimeMs when the origin gave out the copy that came, Unix milliseconds: -1 where the response did not
- *     say, 0 where none came. With {@code MISS} that copy was not acceptable
+ * @param firstByteUs the time to the first byte of the response; 0 where it was not measured
+ * @param originTimeMs the origin time of the copy in the response, Unix milliseconds: -1 where the response did not
+ *     state it, 0 where there was no copy. With {@code MISS} the copy was not acceptable
  */
 public record AttemptOutcome(
         long requestId,
@@ -19,20 +21,21 @@
         long firstByteUs,
         long originTimeMs) {
     /**
-     * How long the attempt waited: to the first byte or, where that is longer, beyond its transfer time.
+     * Returns the waiting time of the attempt, us: the time to the first byte or the time beyond the transfer itself,
+     * whichever is longer.
      *
-     * @param transferUs the time that the transfer alone takes
+     * @param transferUs the estimated time of the transfer alone
      */
     double waitUs(double transferUs) {
         return Math.max(firstByteUs > 0 ? firstByteUs : durationUs, durationUs - transferUs);
     }
 
-    /** Starts an attempt outcome with what it can't do without; all else has its preset. */
+    /** Returns a builder with the required values; the other values have their defaults. */
     public static Builder builder(long requestId, int attempt, long endpointId, AttemptResult result) {
         return new Builder(requestId, attempt, endpointId, result);
     }
 
-    /** Collects the parts of an attempt outcome; for one thread. */
+    /** Builder of {@link AttemptOutcome}; not thread-safe. */
     public static final class Builder {
         private final long requestId;
         private final int attempt;
@@ -81,7 +84,7 @@
             return this;
         }
 
-        /** The attempt outcome as set so far. */
+        /** Returns the attempt outcome. */
         public AttemptOutcome build() {
             return new AttemptOutcome(
                     requestId,
--- a/src/main/java/magpiewheel/routing/AttemptResult.java
+++ b/src/main/java/magpiewheel/routing/AttemptResult.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** How an attempt or a health check ended; {@code CORRUPT} is a good response that was damaged on its way. */
+/** The result of an attempt or a health check; {@code CORRUPT} is a successful response that was damaged in transit. */
 public enum AttemptResult {
     OK(false),
     ERROR(false),
@@ -13,7 +13,7 @@
     MISS(true),
     CORRUPT(false);
 
-    /** Whether this result proves that the request did not run. */
+    /** Whether this result proves that the endpoint did not execute the request. */
     public final boolean neverRan;
 
     AttemptResult(boolean neverRan) {
--- a/src/main/java/magpiewheel/routing/BoundedReads.java
+++ b/src/main/java/magpiewheel/routing/BoundedReads.java
@@ -1,26 +1,27 @@
 package magpiewheel.routing;
 
-/** Reads with a staleness bound, as whoever delivers responses sees them. */
+/** Bounded-staleness reads, as seen by the code that delivers responses. */
 public interface BoundedReads {
     /**
-     * Whether a response may be delivered, by the time at which the origin gave its copy out. It changes nothing, and
-     * may be called from inside an action of the policy.
+     * Decides whether a response may be delivered, by the origin time of its copy. Changes no state, and may be called
+     * from inside an action of the policy.
      *
-     * @param originTimeMs Unix milliseconds of the origin's clock; 0 or less where the response does not say
+     * @param originTimeMs Unix milliseconds of the origin's clock; 0 or less where the response does not state it
      */
     DeliveryDecision evaluateDelivery(long now, long requestId, long originTimeMs);
 
     /**
-     * A response to an attempt came at a time. Called before {@link #evaluateDelivery}: a copy may prove by itself what
-     * no clock did.
+     * Records the response to an attempt. Must be called before {@link #evaluateDelivery}: the copy may itself prove a
+     * bound that could not be proven without the origin's clock.
      *
-     * @param originTimeMs Unix milliseconds of the origin's clock; 0 or less where the response does not say
+     * @param at the time at which the response arrived
+     * @param originTimeMs Unix milliseconds of the origin's clock; 0 or less where the response does not state it
      */
     void responseReceived(long requestId, int attempt, long at, CacheStatus status, long originTimeMs);
 
-    /** Whether the bound of a request can't be proven, or a copy came that violates it. */
+    /** Whether the bound of a request can't be proven, or a response violated it. */
     boolean isUnproven(long requestId);
 
-    /** Discovery was heard at a time, with all that it sent before. */
+    /** Records that discovery was heard from at a time, and that everything it sent earlier has been received. */
     void discoveryHeard(long at);
 }
--- a/src/main/java/magpiewheel/routing/CacheStatus.java
+++ b/src/main/java/magpiewheel/routing/CacheStatus.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** How a cache handled an attempt, as its response says; {@code UNKNOWN} where it does not say. */
+/** How a cache handled an attempt, as stated in its response; {@code UNKNOWN} where the response does not state it. */
 public enum CacheStatus {
     UNKNOWN,
     HIT,
@@ -14,12 +14,12 @@
     NO_CAPACITY,
     ORIGIN_FAILED;
 
-    /** Whether the response came from a copy that the cache held. */
+    /** Whether the response came from a copy in the cache, fresh or stale. */
     boolean isHit() {
         return this == HIT || this == STALE;
     }
 
-    /** Whether the response came from a fill of its own, from a parent or the origin. */
+    /** Whether the response came from a fill that this attempt started, from a parent or the origin. */
     public boolean isFilled() {
         return this == FILLED || this == FILLED_BY_ORIGIN;
     }
--- a/src/main/java/magpiewheel/routing/DemandDistribution.java
+++ b/src/main/java/magpiewheel/routing/DemandDistribution.java
@@ -1,18 +1,19 @@
 package magpiewheel.routing;
 
 /**
- * The demand of late: transfer time by its value density, the priority weight per transfer time. It answers how much of
- * the demand has a lower density than a request, in steps of a quarter of an octave; older demand fades by halves.
+ * The recent demand: transfer time by value density, which is the priority weight per transfer time. Estimates the
+ * share of the demand with a lower density than a request, in buckets of a quarter of an octave. Older demand decays
+ * exponentially.
  */
 final class DemandDistribution {
-    /** Samples after which all earlier ones count half: some busy ten seconds of one router. */
+    /** Number of samples after which all earlier ones count half: about ten busy seconds of one router. */
     private static final int HALF_LIFE_SAMPLES = 256;
 
     private final double[] transferUsByBucket = new double[LogBuckets.COUNT];
     private double totalTransferUs;
     private int samples;
 
-    /** A request of such a value density needs so much transfer time. */
+    /** Adds the transfer time of a request at its value density. */
     void add(double density, double transferUs) {
         if (++samples % HALF_LIFE_SAMPLES == 0) {
             totalTransferUs = 0;
@@ -25,7 +26,10 @@
         totalTransferUs += transferUs;
     }
 
-    /** The share of transfer time with a lower density, from 0 to 1; of the same density half counts as lower. */
+    /**
+     * Returns the share of transfer time at a lower density, from 0 to 1; half of that in the same bucket counts as
+     * lower.
+     */
     double shareBelow(double density) {
         if (totalTransferUs <= 0) {
             return 0;
--- a/src/main/java/magpiewheel/routing/Endpoint.java
+++ b/src/main/java/magpiewheel/routing/Endpoint.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 
-/** A cache, a parent or the origin, with what this router measured of it. */
+/** A cache, a parent or the origin, with this router's measurements of it. */
 final class Endpoint {
     final long id;
     final long hash;
@@ -21,13 +21,15 @@
     long ejectedUntil;
     long ejectionUs;
     boolean onProbation;
-    /** When it last responded, as a target or as a source, and how many connections it refused or lost since. */
+    /** When it last responded, as a target or as a fill source. */
     long lastAnsweredAt;
 
+    /** Connections in a row that were refused or lost. */
     int connectionFailures;
+
     int overdueAttempts;
 
-    /** An endpoint of which nothing is known; work sent to it is remembered for the overload window. */
+    /** Creates an endpoint without measurements; work sent to it is summed over the overload window. */
     Endpoint(long id, long overloadWindowUs) {
         this.id = id;
         this.hash = RendezvousHash.mix(id);
@@ -36,12 +38,12 @@
         this.recentWork = new SlidingWindowSum(overloadWindowUs);
     }
 
-    /** The mean of a value over endpoints; 0 for none. */
+    /** Returns the mean of a value over endpoints; 0 without endpoints. */
     static double mean(List<Endpoint> endpoints, ToDoubleFunction<Endpoint> value) {
         return endpoints.stream().mapToDouble(value).average().orElse(0);
     }
 
-    /** Its process was restarted: what was measured of the one before no longer counts. */
+    /** Discards the health and the concurrency limit that were measured before its process was restarted. */
     void restarted(double initialLimit) {
         failureRate.forget();
         concurrencyLimit = initialLimit;
@@ -49,27 +51,27 @@
         ejectionUs = 0;
     }
 
-    /** An attempt ended: with a response of its own, or by a connection that it refused or lost. */
+    /** Records the end of an attempt: with a response, or with a connection that was refused or lost. */
     void attemptEnded(long now, boolean answered) {
         connectionFailures = answered ? 0 : connectionFailures + 1;
         lastAnsweredAt = answered ? now : lastAnsweredAt;
     }
 
-    /** It gets nothing for so long, and then one request at a time until one succeeds. */
+    /** Ejects it for a time; afterwards it is on probation, and gets one request at a time until one succeeds. */
     void eject(long now, long durationUs) {
         ejectionUs = durationUs;
         ejectedUntil = now + durationUs;
         onProbation = true;
     }
 
-    /** Its probation ended with a success. */
+    /** Ends its probation, after a success. */
     void readmit() {
         onProbation = false;
         failureRate.forget();
         ejectionUs = 0;
     }
 
-    /** Takes over what discovery says of it. */
+    /** Updates it with an entry from discovery. */
     void update(EndpointInfo newInfo, RouterTopology topology) {
         info = newInfo;
         state = newInfo.state();
@@ -93,22 +95,22 @@
         return isCache() && info.zone() == zone;
     }
 
-    /** Whether it may be a target or a source at all: draining and removed endpoints may not, from the notice on. */
+    /** Whether it may be a target or a fill source; from its notice on, a draining or removed endpoint may not. */
     boolean isReady() {
         return state == EndpointState.READY;
     }
 
-    /** Whether it gets nothing new now, since it drains or is ejected. */
+    /** Whether it gets no new requests now because it is draining or ejected. */
     boolean isAvoided(long now) {
         return state == EndpointState.DRAINING || isReady() && now < ejectedUntil;
     }
 
-    /** Whether nothing is in flight there, and nothing was sent within the overload window. */
+    /** Whether this router has nothing in flight there, and sent it nothing within the overload window. */
     boolean isIdle(long now) {
         return ownInFlight + fillsInFlight == 0 && recentWork.at(now) == 0;
     }
 
-    /** Attempts in flight: this router's and those that its peers reported. */
+    /** Returns the attempts in flight there: this router's and those that its peers reported. */
     int inFlight() {
         return ownInFlight + peersInFlight;
     }
--- a/src/main/java/magpiewheel/routing/EndpointInfo.java
+++ b/src/main/java/magpiewheel/routing/EndpointInfo.java
@@ -1,20 +1,21 @@
 package magpiewheel.routing;
 
 /**
- * One endpoint in discovery's list.
+ * One endpoint in the list from discovery.
  *
- * @param kind its kind of machine, by which caches, parents and the origin are told apart
- * @param startedUs when it started; 0 for one that has run for long
- * @param cell the part of its zone in which idempotency keys may be shared
+ * @param kind the machine kind, which distinguishes caches, parents and the origin
+ * @param startedUs the time at which it started; 0 where it has been running longer than its warm-up
+ * @param weight the weight; see {@link WeightSource}
+ * @param cell the subdivision of its zone within which idempotency keys may be shared
  */
 public record EndpointInfo(long id, int kind, long startedUs, int zone, double weight, EndpointState state, int cell) {
 
-    /** Starts an endpoint info with what it can't do without; all else has its preset. */
+    /** Returns a builder with the required values; the other values have their defaults. */
     public static Builder builder(long id, int kind, int zone) {
         return new Builder(id, kind, zone);
     }
 
-    /** Collects the parts of an endpoint info; for one thread. */
+    /** Builder of {@link EndpointInfo}; not thread-safe. */
     public static final class Builder {
         private final long id;
         private final int kind;
@@ -54,7 +55,7 @@
             return this;
         }
 
-        /** The endpoint info as set so far. */
+        /** Returns the endpoint info. */
         public EndpointInfo build() {
             return new EndpointInfo(id, kind, startedUs, zone, weight, state, cell);
         }
--- a/src/main/java/magpiewheel/routing/EndpointLoad.java
+++ b/src/main/java/magpiewheel/routing/EndpointLoad.java
@@ -1,4 +1,4 @@
 package magpiewheel.routing;
 
-/** The attempts that the sender has in flight at a cache, and its concurrency limit there. */
+/** The number of attempts that a router has in flight at a cache, and its concurrency limit for that cache. */
 record EndpointLoad(long endpointId, int inFlight, double concurrencyLimit) {}
--- a/src/main/java/magpiewheel/routing/EndpointState.java
+++ b/src/main/java/magpiewheel/routing/EndpointState.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** What discovery says of an endpoint. */
+/** The state of an endpoint in the list from discovery. */
 public enum EndpointState {
     REMOVED,
     READY,
--- a/src/main/java/magpiewheel/routing/EndpointTable.java
+++ b/src/main/java/magpiewheel/routing/EndpointTable.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** The endpoints that discovery has named, and those of them that are ready, by tier. */
+/** The endpoints listed by discovery, and the ready ones by tier. */
 final class EndpointTable {
     private final RouterTopology topology;
     private final long overloadWindowUs;
@@ -17,19 +17,19 @@
     private final List<Endpoint> parents = new ArrayList<>();
     private final List<Endpoint> origins = new ArrayList<>();
 
-    /** An empty table; work sent to an endpoint is remembered for the overload window. */
+    /** Creates an empty table; work sent to an endpoint is summed over the overload window. */
     EndpointTable(RouterTopology topology, long overloadWindowUs) {
         this.topology = topology;
         this.overloadWindowUs = overloadWindowUs;
     }
 
-    /** Takes a list of discovery in: a change, or a complete list that replaces what was there. */
+    /** Applies a list from discovery: a change, or a complete list that replaces the previous one. */
     void update(long now, EndpointListMode mode, List<EndpointInfo> infos) {
         if (mode != EndpointListMode.DELTA) {
             endpoints.values().forEach(endpoint -> endpoint.state = EndpointState.REMOVED);
         }
         infos.forEach(this::update);
-        // One that returns within the overload window still bears what it was sent before.
+        // An endpoint that returns within the overload window still carries the work it was sent before.
         endpoints.values().removeIf(endpoint -> endpoint.state == EndpointState.REMOVED && endpoint.isIdle(now));
         rebuildTier(caches, endpoint -> endpoint.isCacheOf(topology.zone()));
         rebuildTier(parents, Endpoint::isParent);
@@ -49,32 +49,32 @@
         endpoints.values().stream().filter(Endpoint::isReady).filter(isMember).forEach(tier::add);
     }
 
-    /** The endpoint of an id, or null. */
+    /** Returns the endpoint with an id, or null. */
     Endpoint get(long id) {
         return endpoints.get(id);
     }
 
-    /** All endpoints by id, also those that drain or were removed with something still in flight. */
+    /** Returns all endpoints by id, including draining ones and removed ones that are not idle yet. */
     Map<Long, Endpoint> byId() {
         return Collections.unmodifiableMap(endpoints);
     }
 
-    /** All endpoints in the order of their ids. */
+    /** Returns all endpoints in the order of their ids. */
     Collection<Endpoint> all() {
         return Collections.unmodifiableCollection(endpoints.values());
     }
 
-    /** The ready caches of the router's own zone. */
+    /** Returns the ready caches of this router's zone. */
     List<Endpoint> caches() {
         return caches;
     }
 
-    /** The ready parents. */
+    /** Returns the ready parents. */
     List<Endpoint> parents() {
         return parents;
     }
 
-    /** The ready origin, or null where the list has none. */
+    /** Returns the ready origin, or null where there is none. */
     Endpoint origin() {
         return origins.isEmpty() ? null : origins.get(0);
     }
@@ -84,12 +84,12 @@
         return origins.contains(endpoint);
     }
 
-    /** The ready endpoints of the tier that an endpoint belongs to. */
+    /** Returns the ready endpoints of the tier that an endpoint belongs to. */
     List<Endpoint> tierOf(Endpoint endpoint) {
         return endpoint.isParent() ? parents : endpoint.isCache() ? caches : origins;
     }
 
-    /** How many endpoints get nothing new now: those that drain and those that are ejected. */
+    /** Counts the endpoints that get no new requests now because they are draining or ejected. */
     int countAvoided(long now) {
         return (int) endpoints.values().stream()
                 .filter(endpoint -> endpoint.isAvoided(now))
--- a/src/main/java/magpiewheel/routing/Ewma.java
+++ b/src/main/java/magpiewheel/routing/Ewma.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** An exponentially weighted moving average whose early values count as a plain mean. */
+/** An exponentially weighted moving average that starts as the plain mean of the first samples. */
 final class Ewma {
     private final double weight;
     private double value;
@@ -19,7 +19,7 @@
         return samples > 0;
     }
 
-    /** The average, or the fallback before the first sample. */
+    /** Returns the average, or the fallback before the first sample. */
     double or(double fallback) {
         return samples > 0 ? value : fallback;
     }
--- a/src/main/java/magpiewheel/routing/FleetProtocols.java
+++ b/src/main/java/magpiewheel/routing/FleetProtocols.java
@@ -13,22 +13,29 @@
 import magpiewheel.region.RegionCoordinator;
 
 /**
- * Drives the protocols between routers: the membership, and others that are enabled. Each message is dispatched by its
- * first byte, and one timer serves all of them. Nothing is decided here.
+ * Drives the protocols between routers: membership and the optional ones that are enabled. Messages are dispatched by
+ * their first byte, and one timer serves all protocols. This class makes no routing decisions.
  */
 final class FleetProtocols {
-    /** A protocol besides the membership: which messages are its own, and when it wants to be called. */
+    /**
+     * A protocol other than membership.
+     *
+     * @param accepts whether a message belongs to the protocol
+     * @param handler handles such a message
+     * @param due returns the time of the next call that the protocol needs, given the current time
+     * @param tick is called with the current time once the protocol is due
+     */
     record PeerProtocol(Predicate<byte[]> accepts, MessageHandler handler, LongUnaryOperator due, LongConsumer tick) {}
 
     /** Handles the messages of a protocol. */
     interface MessageHandler {
-        /** A message came from the address of a router. */
+        /** Handles a message that arrived from the address of a router. */
         void handle(long now, int sender, byte[] message);
     }
 
     /**
-     * us; least time from one call of the other protocols to the next: one may be due again at once for something that
-     * it can not do yet, such as to propose while no peer is reachable.
+     * Minimum interval between calls of the optional protocols. Without it, a protocol with work that it can't do yet,
+     * such as a proposal while no peer is reachable, would be due again immediately.
      */
     private static final long MIN_INTERVAL_US = 5_000;
 
@@ -40,16 +47,19 @@
     private final List<PeerProtocol> protocols = new ArrayList<>();
     private RegionCoordinator region;
     private boolean started;
-    /** When the timer expires; {@link Long#MAX_VALUE} for none: before the start, or where messages are not allowed. */
+    /**
+     * When the timer expires; {@link Long#MAX_VALUE} while none is set: before the start, or where routers may not send
+     * messages.
+     */
     private long timerDueAt = Long.MAX_VALUE;
-    /** Until when only the membership is called. */
+    /** Time until which only membership is called. */
     private long pausedUntil = Long.MIN_VALUE;
 
     /**
-     * The protocols of one router.
+     * Creates the protocols of one router; only membership at first.
      *
-     * @param regions the configuration of its regions; null where they are off
-     * @param timerHandle the handle of the timers that it sets
+     * @param regions the configuration of its regions; null where they are disabled
+     * @param timerHandle the handle of the timers that this class sets
      * @param enabled whether routers may send messages
      */
     FleetProtocols(
@@ -71,16 +81,16 @@
         });
     }
 
-    /** Adds a protocol, which is driven from now on. */
+    /** Adds a protocol; it is called from now on. */
     void add(PeerProtocol protocol) {
         protocols.add(protocol);
     }
 
-    /** The first list came: from now on the other routers hear of this one. */
+    /** Starts the protocols, when the first endpoint list has arrived; from now on this router sends messages. */
     void start(long now) {
         started = true;
         if (regions != null) {
-            // Its clock starts now: a promise of an earlier process may still support a lease.
+            // Its clock starts now: a promise that the previous process gave may still support a lease.
             region = new RegionCoordinator(now, regions, membership, actions::sendToPeer);
             add(new PeerProtocol(
                     RegionCoordinator::isRegionMessage, region::messageReceived, region::due, region::tick));
@@ -88,17 +98,17 @@
         scheduleTimer(now);
     }
 
-    /** The routers of the fleet, as far as is known. */
+    /** Returns this router's view of the routers of the site. */
     MembershipView membershipView() {
         return membership;
     }
 
-    /** The regions; null while they are off, or before the start. */
+    /** Returns the region coordinator; null where regions are disabled, or before the start. */
     RegionCoordinator region() {
         return region;
     }
 
-    /** Dispatches a message to its protocol; false where it belongs to none. */
+    /** Dispatches a message to its protocol; returns false if no protocol accepts it. */
     boolean dispatch(long now, long sender, byte[] message) {
         if (MembershipProtocol.isMembershipMessage(message)) {
             membership.messageReceived(now, (int) sender, message);
@@ -115,10 +125,10 @@
         return false;
     }
 
-    /** The timer expired. */
+    /** Calls the protocols that are due, when the timer has expired. */
     void timerExpired(long now) {
         timerDueAt = now < timerDueAt ? timerDueAt : Long.MAX_VALUE;
-        // The membership expects a call with every expiry, whether or not it is due.
+        // Membership expects a call on every expiry, whether or not it is due.
         membership.tick(now);
         boolean anyTicked = false;
         for (PeerProtocol protocol : protocols) {
@@ -131,7 +141,7 @@
         scheduleTimer(now);
     }
 
-    /** When a protocol wants to be called next. */
+    /** Returns the time at which the next protocol is due. */
     long due(long now) {
         long due = Long.MAX_VALUE;
         for (PeerProtocol protocol : protocols) {
@@ -140,7 +150,7 @@
         return Math.min(membership.due(), Math.max(pausedUntil, due));
     }
 
-    /** Sets the timer where a protocol wants to be called sooner. */
+    /** Sets the timer if a protocol is due before it expires. */
     void scheduleTimer(long now) {
         if (enabled && started) {
             long due = due(now);
@@ -151,7 +161,7 @@
         }
     }
 
-    /** Whether this router serves from now on, or drains. */
+    /** Sets whether this router serves or drains from now on. */
     void setServing(long now, boolean serving) {
         if (serving) {
             membership.startServing(now);
@@ -160,7 +170,7 @@
         scheduleTimer(now);
     }
 
-    /** The host of another router refused a reachability probe that was sent at a time. */
+    /** Handles the refusal, by the host of another router, of a reachability probe sent at {@code probedAt}. */
     void reachabilityRefused(long now, int router, long probedAt) {
         membership.probeRefused(now, router, probedAt);
         scheduleTimer(now);
--- a/src/main/java/magpiewheel/routing/HealthCheckResult.java
+++ b/src/main/java/magpiewheel/routing/HealthCheckResult.java
@@ -1,4 +1,4 @@
 package magpiewheel.routing;
 
-/** How one health check ended. */
+/** The result of one health check. */
 public record HealthCheckResult(long endpointId, AttemptResult result, long durationUs) {}
--- a/src/main/java/magpiewheel/routing/Idempotency.java
+++ b/src/main/java/magpiewheel/routing/Idempotency.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** What running a request twice does: nothing, nothing while its idempotency key is remembered, or harm. */
+/** Whether a request may be executed twice: always, while its idempotency key is remembered, or never without harm. */
 public enum Idempotency {
     IDEMPOTENT,
     KEYED,
--- a/src/main/java/magpiewheel/routing/IdempotencyKeyScope.java
+++ b/src/main/java/magpiewheel/routing/IdempotencyKeyScope.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** Which endpoints together recognise the idempotency key of a request. */
+/** Which endpoints share idempotency keys: all, those of one zone, or those of one cell. */
 public enum IdempotencyKeyScope {
     ALL,
     ZONE,
--- a/src/main/java/magpiewheel/routing/LateRatio.java
+++ b/src/main/java/magpiewheel/routing/LateRatio.java
@@ -1,12 +1,17 @@
 package magpiewheel.routing;
 
-/** The ratio of late responses among the last ones; 0 once none was late for a while. */
+/** A moving ratio of late responses; 0 when no response was late for a while. */
 final class LateRatio {
     private final Ewma ratio;
     private final long memoryUs;
     private long lateAt = Long.MIN_VALUE / 2;
 
-    /** A ratio of this weight, remembered for so long after the last late response. */
+    /**
+     * Creates a ratio without samples.
+     *
+     * @param weight the weight of the newest sample
+     * @param memoryUs how long after the last late response the ratio is kept
+     */
     LateRatio(double weight, long memoryUs) {
         this.ratio = new Ewma(weight);
         this.memoryUs = memoryUs;
@@ -17,7 +22,7 @@
         lateAt = late ? now : lateAt;
     }
 
-    /** A ratio that another router measured: it counts as one sample, and as late now if it is above 0. */
+    /** Adds the ratio of a peer as one sample; a ratio above 0 counts as a late response now, 0 is ignored. */
     void reportedByPeer(long now, double lateRatio) {
         if (lateRatio > 0) {
             this.ratio.add(lateRatio);
@@ -25,7 +30,7 @@
         }
     }
 
-    /** The ratio at a time; 0 before the first sample. */
+    /** Returns the ratio at a time; 0 before the first sample. */
     double at(long now) {
         return now - lateAt < memoryUs ? ratio.or(0) : 0;
     }
--- a/src/main/java/magpiewheel/routing/LoadMetric.java
+++ b/src/main/java/magpiewheel/routing/LoadMetric.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** The meaning of one value of a load report. */
+/** The metric that one value of an endpoint's load report stands for. */
 public enum LoadMetric {
     IN_FLIGHT,
     QUEUED,
--- a/src/main/java/magpiewheel/routing/PeerExchange.java
+++ b/src/main/java/magpiewheel/routing/PeerExchange.java
@@ -3,13 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the routers of a zone report to each other: their load, their limits, new holders and fills they started. */
+/** Exchanges reports with the routers of the zone: loads, limits, new holders and fills that were started. */
 final class PeerExchange {
-    /** Peers that a message goes to in a tick: more get them less often, so that messages grow with requests only. */
+    /**
+     * Peers for each tick of the message interval: the more peers, the rarer the messages to each, so that the total
+     * grows with the requests only.
+     */
     private static final int PEERS_PER_TICK = 6;
-    /** The most ticks from one message to the next. */
+    /** Maximum number of ticks between messages. */
     private static final int MAX_TICKS = 50;
-    /** Messages that a peer may miss until the load that it reported last is forgotten. */
+    /** Number of messages that a peer may miss before the load that it last reported is discarded. */
     private static final int MAX_MISSED_MESSAGES = 3;
 
     private final RouterTopology topology;
@@ -23,7 +26,7 @@
     private final List<HolderHint> unreportedHolders = new ArrayList<>();
     private int ticks;
 
-    /** The parts that peers' reports come from and go to, besides the shared state. */
+    /** The collaborators that supply and use reports, besides the shared state. */
     record Parts(FleetProtocols fleet, PeerReports peers, OriginHealth originHealth, ConcurrencyLimiter limiter) {}
 
     PeerExchange(RoutingSettings settings, RoutingState state, Parts parts, RoutingActions actions) {
@@ -37,12 +40,12 @@
         this.actions = actions;
     }
 
-    /** A cache was filled: peers are to hear of it with the next message. */
+    /** Adds a cache that was filled to the next message to peers. */
     void queueHolderReport(HolderHint holder) {
         unreportedHolders.add(holder);
     }
 
-    /** Called once a tick; sends messages with every so many. */
+    /** Updates the peers; sends messages once per message interval. */
     void tick(long now) {
         if (mayMessagePeers && topology.routers() > 1) {
             long silenceTimeoutUs = MAX_MISSED_MESSAGES * ticksPerMessage() * RequestRouter.TICK_INTERVAL_US;
@@ -55,7 +58,7 @@
         ticks++;
     }
 
-    /** A message to all now and then, also an empty one, lets new peers be found. */
+    /** Sends a message to all peers, even an empty one: peers that are not members are found by their messages. */
     private void sendReports(long now) {
         PeerMessage message = new PeerMessage(
                 topology.zone(),
@@ -74,7 +77,7 @@
         return Math.min(MAX_TICKS, 1 + peers.size() / PEERS_PER_TICK);
     }
 
-    /** Takes a peer's message in; what can't be used has no effect. */
+    /** Handles a message of a peer; ignores one that is malformed, outdated or from another zone. */
     void messageReceived(long now, long sender, byte[] bytes) {
         PeerReports.AcceptedReport report = peers.received(now, sender, PeerMessageCodec.decode(bytes));
         if (report == null) {
@@ -95,7 +98,7 @@
         }
     }
 
-    /** A report counts of a ready cache of this zone, if nothing was purged since. */
+    /** Records a fill and returns true if its cache is a ready one of this zone and the object was not purged since. */
     private boolean fillReported(long at, HolderHint hint) {
         Endpoint cache = state.endpoints().get(hint.endpointId());
         boolean isReadyCacheOfZone = cache != null && cache.isReady() && cache.isCacheOf(topology.zone());
--- a/src/main/java/magpiewheel/routing/PeerMessage.java
+++ b/src/main/java/magpiewheel/routing/PeerMessage.java
@@ -3,13 +3,16 @@
 import java.util.List;
 
 /**
- * A message to a peer.
+ * A report of a router to its peers.
  *
- * @param fillsInFlight the sender's fills in flight
- * @param fillLimit the fills that the sender thinks the zone's link carries
- * @param originLateRatio the share of its fills from the origin that were late lately, 0 to 1
- * @param fillsStarted the fills that it started since its last message
- * @param holders the caches that it saw filled since
+ * @param zone the sender's zone
+ * @param sentAtUs the sender's clock when it sent the report
+ * @param fillsInFlight the estimated number of the sender's fills in flight
+ * @param fillLimit the sender's limit of concurrent fills into the zone
+ * @param originLateRatio the ratio of the sender's recent fills from the origin that were late, 0 to 1
+ * @param loads the sender's loads of the caches of the zone
+ * @param fillsStarted the fills that the sender started since its last report
+ * @param holders the caches that were filled for the sender's requests since its last report
  */
 record PeerMessage(
         int zone,
--- a/src/main/java/magpiewheel/routing/PeerMessageCodec.java
+++ b/src/main/java/magpiewheel/routing/PeerMessageCodec.java
@@ -4,32 +4,37 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Encodes the reports between the routers of a zone: a header, then loads, fills that were started, and holders. */
+/**
+ * Encodes and decodes the reports between the routers of a zone: a header, then loads, fills that were started, and
+ * holders.
+ */
 final class PeerMessageCodec {
-    /** The largest message. */
+    /** Maximum size of a message. */
     static final int MAX_MESSAGE_BYTES = 256;
 
     private static final byte VERSION = 4;
     private static final int HEADER_BYTES = 17;
     private static final int LOAD_BYTES = 9;
     private static final int HINT_BYTES = 18;
-    /** Loads leave space for one holder. */
+    /** Leaves space for one hint, so that each message carries at least one. */
     private static final int MAX_LOADS = (MAX_MESSAGE_BYTES - HEADER_BYTES - HINT_BYTES) / LOAD_BYTES;
 
     private static final int PORT_BITS = 16;
     private static final int MAX_BYTE = 255;
     private static final int MAX_SHORT = 65_535;
-    /** Limits are encoded in these steps: whole numbers would pull an average down. */
+    /**
+     * Limits are encoded as multiples of 1/64: truncated to whole numbers, they would lower the average of the zone.
+     */
     private static final double LIMIT_STEPS_PER_UNIT = 64;
 
     private static final int AGE_STEP_MS = 50;
 
     private PeerMessageCodec() {}
 
-    /** An unknown part of an object. */
+    /** Part number of a hint whose part is unknown. */
     static final int UNKNOWN_PART = MAX_BYTE;
 
-    /** The loads of the caches at which attempts are in flight. */
+    /** Returns the loads of the caches at which this router has attempts in flight. */
     static List<EndpointLoad> loads(List<Endpoint> caches) {
         return caches.stream()
                 .filter(endpoint -> endpoint.ownInFlight > 0)
@@ -37,7 +42,7 @@
                 .toList();
     }
 
-    /** As many messages as the fills and holders need; each repeats the loads, which leave space for a holder. */
+    /** Encodes a report as the number of datagrams that its fills and holders need; each repeats the loads. */
     static List<byte[]> encode(PeerMessage message) {
         List<byte[]> messages = new ArrayList<>();
         List<EndpointLoad> loads =
@@ -69,7 +74,7 @@
         for (HolderHint holder : holders) {
             buffer.putLong(holder.objectId());
             putEndpointId(buffer, holder.endpointId());
-            // Ages are rounded up: what was reported before a purge must not seem to come after it.
+            // Ages are rounded up: a copy seen before a purge must not appear to be newer than the purge.
             buffer.putShort((short) holder.group())
                     .put(toByte(Math.ceil((double) holder.ageMs() / AGE_STEP_MS)))
                     .put(toByte(holder.part()));
@@ -98,11 +103,11 @@
         return address << PORT_BITS | Short.toUnsignedLong(buffer.getShort());
     }
 
-    /** The message, or null where the bytes are not one: of another version, or with a wrong length. */
+    /** Decodes a message; returns null if its version is unknown or its length is wrong. */
     static PeerMessage decode(byte[] bytes) {
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         byte version = bytes.length > 0 ? buffer.get() : 0;
-        // Version 3, of the release before, has neither fills nor parts: its header is a byte shorter.
+        // Version 3, of the previous release, has neither fills nor parts: its header is one byte shorter.
         int headerBytes = version == VERSION ? HEADER_BYTES : HEADER_BYTES - 1;
         if (bytes.length < headerBytes
                 || bytes.length > MAX_MESSAGE_BYTES
--- a/src/main/java/magpiewheel/routing/PeerReports.java
+++ b/src/main/java/magpiewheel/routing/PeerReports.java
@@ -5,11 +5,13 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** The other routers of this zone: who gets reports, and what each reported last. It only stores. */
+/** The peers in this zone: which ones receive reports, and the last report of each. Makes no decisions. */
 final class PeerReports {
     /**
-     * A report that is not older than its sender's last: when it was sent, and whether it is the first datagram of its
-     * time.
+     * A report that is not older than the previous one of its sender.
+     *
+     * @param sentAt the estimated time at which it was sent, by this router's clock
+     * @param first whether it is the first datagram of the report
      */
     record AcceptedReport(PeerMessage message, long sentAt, boolean first) {}
 
@@ -21,7 +23,13 @@
     private List<Integer> recipients = List.of();
     private double fillsInFlight;
 
-    /** The peers of a zone: so many at most, remembered for so long. Their loads are counted at the endpoints. */
+    /**
+     * Creates an empty table.
+     *
+     * @param maxPeers the maximum number of peers whose reports are stored
+     * @param retentionUs how long a silent peer is kept
+     * @param endpoints the endpoints by id, to whose load the peers' attempts are added
+     */
     PeerReports(int zone, int maxPeers, long retentionUs, Map<Long, Endpoint> endpoints) {
         this.zone = zone;
         this.maxPeers = maxPeers;
@@ -29,15 +37,15 @@
         this.endpoints = endpoints;
     }
 
-    /** Sets who gets reports: the members of the zone, and those that sent a report not too long ago. */
+    /** Updates the recipients: the members of the zone, and the peers that were silent for no longer than a time. */
     void updatePeers(long now, List<Integer> members, long silenceTimeoutUs) {
         TreeSet<Integer> updated = new TreeSet<>(members);
         peers.forEach((id, peer) -> {
             if (now - peer.receivedAt > silenceTimeoutUs) {
-                // The load that it reported is out of date, whether it runs or not.
+                // The load that it reported is outdated, whether or not it still runs.
                 fillsInFlight += peer.update(0, List.of(), endpoints);
             } else {
-                // Routers of the release before are no members; they are found by their reports.
+                // Routers of the previous release are not members; they are found by their reports.
                 updated.add(id.intValue());
             }
         });
@@ -45,7 +53,10 @@
         recipients = List.copyOf(updated);
     }
 
-    /** Takes a report in; null where it is none, comes from another zone, or is older than its sender's last. */
+    /**
+     * Stores a report. Returns null, and ignores the report, if it is null, comes from another zone or is older than
+     * the previous one of its sender, or if the table is full.
+     */
     AcceptedReport received(long now, long sender, PeerMessage message) {
         if (message == null || message.zone() != zone || peers.size() >= maxPeers) {
             return null;
@@ -72,7 +83,7 @@
         return recipients.size();
     }
 
-    /** Their fills in flight, as far as they reported. */
+    /** Returns the number of fills in flight that the peers reported. */
     double fillsInFlight() {
         return fillsInFlight;
     }
--- a/src/main/java/magpiewheel/routing/PeerState.java
+++ b/src/main/java/magpiewheel/routing/PeerState.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a peer reported last, and how late its messages are. */
+/** The last report of a peer and the minimum delay of its messages. */
 final class PeerState {
     long lastSentAt = Long.MIN_VALUE;
     long minDelay = Long.MAX_VALUE;
@@ -11,7 +11,7 @@
     double fillsInFlight;
     List<EndpointLoad> loads = List.of();
 
-    /** Replaces what it reported before; returns the change in its fills. */
+    /** Replaces the previous report, also in the endpoints' load; returns the change in the number of fills. */
     double update(double newFillsInFlight, List<EndpointLoad> newLoads, Map<Long, Endpoint> endpoints) {
         double change = newFillsInFlight - fillsInFlight;
         fillsInFlight = newFillsInFlight;
--- a/src/main/java/magpiewheel/routing/RegionBridge.java
+++ b/src/main/java/magpiewheel/routing/RegionBridge.java
@@ -16,25 +16,25 @@
 import magpiewheel.region.RouteReason;
 
 /**
- * Connects the routing decisions with the regions: passes parents on, measures what the own zone fills, and finds
- * responses of parents that are overdue. Work is counted in transfers that last the whole overload window, load in
- * concurrent transfers. It decides nothing itself, and does nothing while regions are disabled.
+ * Connects the routing decisions with the region coordinator: passes the parents on, measures the fills of this
+ * router's zone, and detects overdue responses of parents. Work is counted in transfers that last one overload window,
+ * load in concurrent transfers. The bridge makes no decisions, and does nothing while regions are disabled.
  */
 final class RegionBridge {
-    /** us; load and free capacity are measured over so long. */
+    /** Window over which load and free capacity are measured. */
     private static final long MEASUREMENT_WINDOW_US = 2_000_000;
 
     private static final long REPORT_INTERVAL_US = 500_000;
     /**
-     * us; a response is overdue that takes so much longer than twice its transfer time and the parent's usual wait. A
-     * parent that waits for a slow origin does not hang.
+     * A response is overdue if it takes this much longer than twice the sum of its transfer time and the parent's mean
+     * latency. The margin keeps a parent that waits for a slow origin from being taken for unresponsive.
      */
     private static final long OVERDUE_MARGIN_US = 400_000;
 
     private static final double EXPECTED_WAIT_FACTOR = 2;
     private static final double US_PER_SECOND = 1e6;
 
-    /** A fill that waits for the response of a parent. */
+    /** A fill for which the response of a parent is pending. */
     private static final class PendingFill {
         final Attempt attempt;
         final Endpoint parent;
@@ -67,7 +67,11 @@
                 : US_PER_SECOND;
     }
 
-    /** The list changed; the function returns the concurrent transfers that an endpoint carries. */
+    /**
+     * Passes the parents of a changed endpoint list on.
+     *
+     * @param capacity returns the number of concurrent transfers that an endpoint can carry
+     */
     void endpointsChanged(long now, Collection<Endpoint> endpoints, ToDoubleFunction<Endpoint> capacity) {
         RegionCoordinator region = fleet.region();
         if (region == null) {
@@ -96,7 +100,7 @@
         fleet.scheduleTimer(now);
     }
 
-    /** The candidate that leads for an object of this zone, or null. */
+    /** Returns the candidate that is the leader for an object in this zone; null where none is. */
     Endpoint leaderAmong(long now, List<Endpoint> candidates, long objectId, double workUs) {
         RegionCoordinator region = fleet.region();
         Leader leader = region == null ? null : region.leaderFor(now, topology.zone(), objectId, workUs / windowUs);
@@ -108,12 +112,17 @@
                         .orElse(null);
     }
 
-    /** Whether the region admits a fill now. */
+    /** Whether the region admits a fill now; always while regions are disabled. */
     boolean admitsFill(long now, long objectId, double workUs) {
         return fleet.region() == null || fleet.region().admitsFill(now, objectId, workUs / windowUs);
     }
 
-    /** An attempt starts that may become a fill; {@code transferUs} is its own transfer time. */
+    /**
+     * Counts an attempt that starts, where it may become a fill.
+     *
+     * @param workUs the conservative estimate of the transfer time
+     * @param transferUs the estimated transfer time of this request
+     */
     void attemptStarted(long now, Attempt attempt, long objectId, double workUs, double transferUs) {
         RegionCoordinator region = fleet.region();
         if (region == null || attempt.fillProbability <= 0) {
@@ -137,12 +146,12 @@
         }
     }
 
-    /** The parent that serves an attempt or fills for it; null where there is none. */
+    /** Returns the parent that serves an attempt or is its fill source; null where no parent is involved. */
     private Endpoint parentOf(Attempt attempt) {
         return attempt.target.isParent() ? attempt.target : attempt.source.isParent() ? attempt.source : null;
     }
 
-    /** Such an attempt ended. */
+    /** Reports the end of an attempt that may have been a fill. */
     void attemptEnded(long now, Attempt attempt, long objectId, AttemptOutcome outcome, double transferUs) {
         RegionCoordinator region = fleet.region();
         if (region == null || attempt.fillProbability <= 0) {
@@ -204,7 +213,10 @@
         }
     }
 
-    /** Whether the parent is at fault: its cache responds to others, or a second cache waits for the same parent. */
+    /**
+     * Whether the parent and not the cache is at fault: the parent serves the attempt itself, the cache has responded
+     * since, or another cache waits for the same parent.
+     */
     private boolean isParentAtFault(PendingFill fill) {
         Endpoint target = fill.attempt.target;
         return target == fill.parent
@@ -214,7 +226,8 @@
     }
 
     /**
-     * Reports the load of the own zone, taking its routers to be alike, and the free capacity of each parent's link.
+     * Reports the load of this router's zone and the free capacity of each parent's link. Both are extrapolated from
+     * this router, assuming that all routers carry the same load.
      */
     private void reportLoad(long now) {
         RegionCoordinator region = fleet.region();
@@ -238,7 +251,8 @@
                         .sum();
         for (Parent parent : parents) {
             SlidingWindowSum transfersOfParent = sentTransfers.get(parent.id());
-            // The leader gets its region's fills, another parent those of all routers that choose for themselves.
+            // The leader receives the fills of its region, any other parent those of all routers that select it
+            // themselves.
             int routers = 1 + (leader != null && leader.parent() == parent.id() ? otherRoutersOfRegion : otherRouters);
             double utilization = transfersOfParent == null
                     ? 0
@@ -247,9 +261,9 @@
         }
     }
 
-    // ---------------------------------------------------------------- figures
+    // ---------------------------------------------------------------- statistics
 
-    /** Statistics by their external names; none while regions are disabled. */
+    /** Returns the statistics of the regions by their external names; none while regions are disabled. */
     Map<String, Long> statistics(long now) {
         RegionCoordinator region = fleet.region();
         Map<String, Long> statistics = new LinkedHashMap<>();
--- a/src/main/java/magpiewheel/routing/RequestClass.java
+++ b/src/main/java/magpiewheel/routing/RequestClass.java
@@ -1,17 +1,20 @@
 package magpiewheel.routing;
 
 /**
- * A class of requests.
+ * The properties that all requests of one class share.
  *
- * @param latencyObjectiveUs the latency objective of a request whose transfer takes no time
- * @param transferTimeFactor how often the transfer time of a request is added to the objective
- * @param priorityWeight what a response in time is worth
- * @param latePriorityWeight what a late response is worth
- * @param idempotencyWindowUs how long idempotency keys are remembered
+ * @param latencyObjectiveUs the latency objective, excluding transfer time
+ * @param transferTimeFactor the multiple of a request's transfer time that is added to its objective
+ * @param deadlineUs the deadline of a request, counted from its arrival
+ * @param priorityWeight the priority weight of a response that meets its latency objective
+ * @param latePriorityWeight the priority weight of a response that misses it
+ * @param idempotencyWindowUs how long endpoints remember idempotency keys
+ * @param streaming whether responses are streamed to the client
+ * @param write whether its requests are writes
  * @param multipart whether objects are requested in parts
- * @param freshUs how long copies are fresh; 0 where they never become stale
+ * @param freshUs how long a copy is fresh; 0 where copies never become stale
  * @param staleGraceUs how long a stale copy may be served as a last resort
- * @param stalePriorityWeight what a stale response is worth
+ * @param stalePriorityWeight the priority weight of a stale response
  */
 public record RequestClass(
         long latencyObjectiveUs,
@@ -29,12 +32,12 @@
         long staleGraceUs,
         double stalePriorityWeight) {
 
-    /** Starts a request class with what it can't do without; all else has its preset. */
+    /** Returns a builder with the required values; the other values have their defaults. */
     public static Builder builder(long latencyObjectiveUs, long deadlineUs) {
         return new Builder(latencyObjectiveUs, deadlineUs);
     }
 
-    /** Collects the parts of a request class; for one thread. */
+    /** Builder of {@link RequestClass}; not thread-safe. */
     public static final class Builder {
         private final long latencyObjectiveUs;
         private final long deadlineUs;
@@ -128,7 +131,7 @@
             return this;
         }
 
-        /** The request class as set so far. */
+        /** Returns the request class. */
         public RequestClass build() {
             return new RequestClass(
                     latencyObjectiveUs,
--- a/src/main/java/magpiewheel/routing/RequestLimits.java
+++ b/src/main/java/magpiewheel/routing/RequestLimits.java
@@ -1,11 +1,16 @@
 package magpiewheel.routing;
 
 /**
- * What the site allows routers to do.
+ * The actions that a site permits its routers, and their limits.
  *
+ * @param mayCancel whether routers may cancel attempts in flight
  * @param mayHedge whether two attempts of a request may be in flight at once
- * @param maxAttempts the most attempts of one request
- * @param maxInFlight the most requests in flight at a router
+ * @param mayMessagePeers whether routers may send messages to each other
+ * @param mayCheckHealth whether routers may send health checks
+ * @param maySendRetryAfter whether a rejection may tell the client when to retry
+ * @param maxAttempts the maximum number of attempts of one request
+ * @param maxInFlight the maximum number of requests in flight at one router
+ * @param maxRetryAfterUs the longest retry-after time of a rejection
  */
 public record RequestLimits(
         boolean mayCancel,
@@ -17,17 +22,17 @@
         int maxInFlight,
         long maxRetryAfterUs,
         long connectTimeoutUs) {
-    /** The Retry-After that a rejected client may be given where this one is wanted; 0 for none. */
+    /** Returns the permitted part of a retry-after time, us; 0 where rejections carry none. */
     public long retryAfterUs(long wantedUs) {
         return maySendRetryAfter ? Math.min(maxRetryAfterUs, wantedUs) : 0;
     }
 
-    /** Starts a request limits with what it can't do without; all else has its preset. */
+    /** Returns a builder with the required values; the other values have their defaults. */
     public static Builder builder(int maxAttempts) {
         return new Builder(maxAttempts);
     }
 
-    /** Collects the parts of a request limits; for one thread. */
+    /** Builder of {@link RequestLimits}; not thread-safe. */
     public static final class Builder {
         private final int maxAttempts;
         private boolean mayCancel;
@@ -91,7 +96,7 @@
             return this;
         }
 
-        /** The request limits as set so far. */
+        /** Returns the request limits. */
         public RequestLimits build() {
             return new RequestLimits(
                     mayCancel,
--- a/src/main/java/magpiewheel/routing/RouterTopology.java
+++ b/src/main/java/magpiewheel/routing/RouterTopology.java
@@ -4,15 +4,16 @@
 import magpiewheel.membership.MembershipConfig;
 
 /**
- * Which router this is, and where it stands.
+ * This router's identity, its zone, and the zones, links and machine kinds of its site.
  *
- * @param routers how many routers the site has
- * @param routersByZone how many routers the clients of each zone reach
+ * @param routers the number of routers of the site
+ * @param zone this router's zone
+ * @param routersByZone the number of routers that the clients of each zone can reach
  * @param hubByZone the hub that each zone is attached to
- * @param linkKbPerSByZone the capacity of the link into each zone
- * @param parentKind the kind of machine that is a parent; {@link #NO_KIND} where there is none
- * @param originKind the kind of machine that is the origin; {@link #NO_KIND} where there is none
- * @param transferKbPerS the pace of a client's transfer; 0 where the settings do not say
+ * @param linkKbPerSByZone the capacity of the link into each zone, KB/s
+ * @param parentKind the machine kind of parents; {@link #NO_KIND} where there are none
+ * @param originKind the machine kind of the origin; {@link #NO_KIND} where there is none
+ * @param transferKbPerS the transfer rate of a client, KB/s; 0 where the settings do not specify it
  */
 public record RouterTopology(
         int routerId,
@@ -24,19 +25,19 @@
         int parentKind,
         int originKind,
         double transferKbPerS) {
-    /** In the place of a kind of endpoints that the settings do not have. */
+    /** Machine kind of a tier that the site does not have. */
     public static final int NO_KIND = -1;
 
-    /** How many routers the clients of a zone reach. */
+    /** Returns the number of routers that the clients of a zone can reach, at least 1. */
     public int routersIn(int ofZone) {
         return Math.max(1, ofZone < routersByZone.length ? routersByZone[ofZone] : routers);
     }
 
     /**
-     * The configuration of this router's membership.
+     * Returns the configuration of this router's membership.
      *
-     * @param address the IPv4 address that clients are given
-     * @param heartbeatUs from one heartbeat to the next
+     * @param address the IPv4 address that clients are given for this router
+     * @param heartbeatUs the heartbeat interval, us
      * @param startedMs the Unix millisecond at which this process started
      * @param reachabilityProbes whether silent routers are probed
      */
@@ -46,22 +47,26 @@
                 routerId, routers, zone, address, routersByZone, heartbeatUs, startedMs, reachabilityProbes);
     }
 
-    /** Transfers at a client's pace that the links into all zones carry; 0 where the pace is unknown. */
+    /**
+     * Returns the concurrent client transfers that the links into all zones carry; 0 where a client's rate is unknown.
+     */
     double transferCapacityOfAllLinks() {
         return transferKbPerS > 0 ? Arrays.stream(linkKbPerSByZone).sum() / transferKbPerS : 0;
     }
 
-    /** Transfers at a client's pace that the link into the own zone carries; 0 where the pace is unknown. */
+    /**
+     * Returns the concurrent client transfers that the link into this zone carries; 0 where a client's rate is unknown.
+     */
     double transferCapacityOfOwnLink() {
         return transferKbPerS > 0 && zone < linkKbPerSByZone.length ? linkKbPerSByZone[zone] / transferKbPerS : 0;
     }
 
-    /** Starts a router topology with what it can't do without; all else has its preset. */
+    /** Returns a builder with the required values; the other values have their defaults. */
     public static Builder builder(int routerId, int routers, int zone) {
         return new Builder(routerId, routers, zone);
     }
 
-    /** Collects the parts of a router topology; for one thread. */
+    /** Builder of {@link RouterTopology}; not thread-safe. */
     public static final class Builder {
         private final int routerId;
         private final int routers;
@@ -115,7 +120,7 @@
             return this;
         }
 
-        /** The router topology as set so far. */
+        /** Returns the router topology. */
         public RouterTopology build() {
             return new RouterTopology(
                     routerId,
--- a/src/main/java/magpiewheel/routing/RoutingRequest.java
+++ b/src/main/java/magpiewheel/routing/RoutingRequest.java
@@ -5,11 +5,14 @@
 /**
  * A client's request.
  *
+ * @param requestClass the index of its request class
+ * @param tenant the index of its tenant
  * @param group the purge group of its object
  * @param sizeKb the size of the object; 0 where it is unknown
- * @param timeBudgetUs the time that the client leaves; 0 for the class's deadline
- * @param part the part of the object that is requested
+ * @param timeBudgetUs the client's time budget; 0 for the deadline of the request class
+ * @param part the requested part of the object
  * @param clientRetry whether the client retries an earlier request
+ * @param hint the read hint; {@link ReadHint#NONE} where the client sent none
  */
 public record RoutingRequest(
         long id,
@@ -24,12 +27,12 @@
         boolean write,
         ReadHint hint) {
 
-    /** Starts a routing request with what it can't do without; all else has its preset. */
+    /** Returns a builder with the required values; the other values have their defaults. */
     public static Builder builder(long id, int requestClass, long objectId) {
         return new Builder(id, requestClass, objectId);
     }
 
-    /** Collects the parts of a routing request; for one thread. */
+    /** Builder of {@link RoutingRequest}; not thread-safe. */
     public static final class Builder {
         private final long id;
         private final int requestClass;
@@ -97,7 +100,7 @@
             return this;
         }
 
-        /** The routing request as set so far. */
+        /** Returns the routing request. */
         public RoutingRequest build() {
             return new RoutingRequest(
                     id, requestClass, tenant, group, sizeKb, timeBudgetUs, part, objectId, clientRetry, write, hint);
--- a/src/main/java/magpiewheel/routing/RoutingSettings.java
+++ b/src/main/java/magpiewheel/routing/RoutingSettings.java
@@ -4,12 +4,14 @@
 import magpiewheel.region.RegionConfig;
 
 /**
- * The settings of a site, as the routing decisions need them.
+ * The settings of a site that the routing decisions depend on.
  *
+ * @param overQuotaPriorityWeight the priority weight of requests beyond their tenant's quota
  * @param mustSubscribe whether discovery sends changes only after a subscription
- * @param cachesJoinFills whether caches let a request join a fill in flight
- * @param mayBypassCaches whether routers reach parents and the origin themselves
- * @param detailedCacheStatus whether caches report how they handled a miss, not only hits
+ * @param cachesJoinFills whether a cache lets a request join a fill in flight
+ * @param mayBypassCaches whether routers may send requests to parents and the origin directly
+ * @param detailedCacheStatus whether caches report how they handled a miss, and not only hits
+ * @param loadMetrics the meaning of each value of a load report, in the order of the report
  */
 public record RoutingSettings(
         RouterTopology topology,
@@ -25,21 +27,22 @@
         boolean detailedCacheStatus,
         WeightSource weightSource,
         List<LoadMetric> loadMetrics) {
-    /** us; the overload window where the settings have none. */
+    /** Overload window in microseconds where the settings specify none. */
     private static final long DEFAULT_OVERLOAD_WINDOW_US = 1_000_000;
-    /** Transfers at once of an origin whose capacity is unknown. */
+    /** Work per second, in transfers that last one overload window, of an origin whose capacity is unknown. */
     private static final double UNLIMITED_TRANSFERS = 1e9;
 
-    /** The longest time that a request of any class may take, us. */
+    /** Returns the longest deadline of all request classes, us; 0 without classes. */
     long longestDeadlineUs() {
         return requestClasses.stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
     }
 
     /**
-     * The configuration of this router's regions; null where there are no parents, the zone is attached to no hub, or
-     * routers may not send messages.
+     * Returns the configuration of this router's regions; null where there are no parents, the router's zone has no hub
+     * or routers may not send messages to each other.
      *
-     * @param originTransfers the transfers that the origin carries at once; 0 where that is unknown
+     * @param startedMs the Unix millisecond at which this process started
+     * @param originTransfers the number of concurrent transfers that the origin can carry; 0 where it is unknown
      */
     public RegionConfig regionConfig(long startedMs, int originTransfers) {
         int[] hubs = topology.hubByZone();
@@ -51,7 +54,7 @@
         }
         long windowUs =
                 safetyLimits.overloadWindowUs() > 0 ? safetyLimits.overloadWindowUs() : DEFAULT_OVERLOAD_WINDOW_US;
-        // No load until it is measured: too low an estimate is corrected before much of it has moved to a leader.
+        // Loads start at 0: an estimate that is too low is corrected before much load has moved to a leader.
         return new RegionConfig(
                 topology.routerId(),
                 topology.zone(),
@@ -63,7 +66,7 @@
                 startedMs);
     }
 
-    /** Starts a routing settings with what it can't do without; all else has its preset. */
+    /** Returns a builder with the required values; the other values have their defaults. */
     public static Builder builder(
             RouterTopology topology,
             List<RequestClass> requestClasses,
@@ -72,7 +75,7 @@
         return new Builder(topology, requestClasses, limits, safetyLimits);
     }
 
-    /** Collects the parts of a routing settings; for one thread. */
+    /** Builder of {@link RoutingSettings}; not thread-safe. */
     public static final class Builder {
         private final RouterTopology topology;
         private final List<RequestClass> requestClasses;
@@ -153,7 +156,7 @@
             return this;
         }
 
-        /** The routing settings as set so far. */
+        /** Returns the routing settings. */
         public RoutingSettings build() {
             return new RoutingSettings(
                     topology,
--- a/src/main/java/magpiewheel/routing/SafetyLimits.java
+++ b/src/main/java/magpiewheel/routing/SafetyLimits.java
@@ -3,11 +3,11 @@
 import magpiewheel.region.SlowStartProfile;
 
 /**
- * Figures of the rules that no decision may break.
+ * Limits that no routing decision may violate.
  *
- * @param drainNoticeUs how long after the notice of a drain an endpoint may still be sent something, us
- * @param purgeNoticeUs how long after the notice of a purge an older copy may still be asked for, us
- * @param purgeCompletionUs how long after a purge every cache has dropped its older copies, us
+ * @param drainNoticeUs the time after the notice of a drain during which the endpoint may still receive attempts
+ * @param purgeNoticeUs the time after the notice of a purge during which older copies may still be requested
+ * @param purgeCompletionUs the time after a purge by which every cache has dropped its older copies
  * @param cacheSlowStart the load that a cache tolerates after its start
  * @param parentSlowStart the load that a parent tolerates after its start
  */
@@ -17,12 +17,12 @@
         long purgeCompletionUs,
         SlowStartProfile cacheSlowStart,
         SlowStartProfile parentSlowStart) {
-    /** The time within which too much work overloads an endpoint, us; 0 where the settings do not say. */
+    /** Returns the window over which work is summed to detect overload, us; 0 where the settings do not specify it. */
     long overloadWindowUs() {
         return cacheSlowStart.overloadWindowUs();
     }
 
-    /** The load that a parent, or else a cache, tolerates after its start. */
+    /** Returns the slow-start profile of parents or of caches. */
     SlowStartProfile slowStart(boolean parent) {
         return parent ? parentSlowStart : cacheSlowStart;
     }
--- a/src/main/java/magpiewheel/routing/SiblingFills.java
+++ b/src/main/java/magpiewheel/routing/SiblingFills.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** Which other caches may be named as the source of a fill. */
+/** Which sibling caches may be the source of a fill: none, those of the same location, or any. */
 public enum SiblingFills {
     OFF,
     LOCATION,
--- a/src/main/java/magpiewheel/routing/SlidingWindowSum.java
+++ b/src/main/java/magpiewheel/routing/SlidingWindowSum.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** The sum of the amounts that were added within the last window of time. */
+/** The sum of the amounts that were added within a sliding time window. */
 final class SlidingWindowSum {
     private record Entry(long at, double amount) {}
 
--- a/src/main/java/magpiewheel/routing/StalenessBridge.java
+++ b/src/main/java/magpiewheel/routing/StalenessBridge.java
@@ -10,11 +10,11 @@
 import magpiewheel.staleness.StalenessBound;
 
 /**
- * Connects the routing decisions with the reads of bounded staleness: passes endpoints, copies and purges on, and their
- * answers back. It decides nothing itself; while disabled it answers as if no request had a hint.
+ * Connects the routing decisions with the bounded-staleness reads: passes endpoints, copies and purges on, and returns
+ * the results. It makes no decisions; while disabled it behaves as if no request had a hint.
  */
 final class StalenessBridge implements BoundedReads {
-    /** us; the fresh time of a class whose copies never become stale. */
+    /** Fresh time of a class whose copies never become stale. */
     private static final long UNLIMITED_FRESH_US = Long.MAX_VALUE / 8;
 
     private static final long UNKNOWN_AGE = -1;
@@ -22,12 +22,12 @@
     private final BoundedStalenessReads reads;
     private final RouterTopology topology;
     private final Map<Long, InFlightRequest> inFlight;
-    /** The last request that was sent to the origin itself to learn its clock; null before the first. */
+    /** The last request that was routed to the origin to learn the origin's clock; null before the first. */
     private InFlightRequest originReader;
-    /** Purges by the origin's clock; {@link PurgeLog} of the routing decisions goes by this router's. */
+    /** Purges by the origin's clock; the {@link PurgeLog} of the routing decisions uses this router's clock. */
     private final PurgeLog purges = new PurgeLog();
 
-    /** A bridge that the fleet protocols drive; while disabled it exchanges no messages. */
+    /** Creates a bridge and adds its protocol to the fleet protocols, unless it is disabled. */
     StalenessBridge(
             boolean enabled,
             long now,
@@ -49,7 +49,7 @@
 
     // ---------------------------------------------------------------- queries of the routing decisions
 
-    /** The staleness bound that a request's hint asks for; writes ignore hints. */
+    /** Returns the staleness bound that a request's hint specifies; writes ignore hints. */
     private StalenessBound boundOf(long now, InFlightRequest request) {
         if (reads == null
                 || request.requestClass.write()
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Sets the staleness bound of a request. Where only the origin can prove it, the request goes there; while one such
-     * request is in flight, others are rejected.
+     * Sets the staleness bound of a request. Where only a response of the origin can prove the bound, the request is
+     * routed there; while one such request is in flight, others are rejected.
      */
     void applyHint(long now, InFlightRequest request) {
         request.setBound(boundOf(now, request));
@@ -80,12 +80,17 @@
         originReader = request.noMoreAttempts ? originReader : request;
     }
 
-    /** Whether the response must come from the origin itself, and not from a fill that is already in flight. */
+    /** Whether only a response of the origin can prove the bound; a fill that is already in flight can not. */
     boolean requiresOriginResponse(long now, InFlightRequest request) {
         return reads != null && reads.requiresOriginResponse(now, request.bound);
     }
 
-    /** The tighter of an age limit (0 for none) and the one that the bound leaves for an endpoint, us. */
+    /**
+     * Returns the lower of an age limit and the one that the bound sets for a target, us.
+     *
+     * @param limit the age limit; 0 for none
+     * @return the age limit; 0 for none
+     */
     long tightenAgeLimit(long now, InFlightRequest request, Endpoint target, long limit) {
         long bound = !request.bound.isBounded()
                 ? 0
@@ -97,7 +102,8 @@
     }
 
     /**
-     * The preferred one of the candidates: the session's sticky cache, or one with an acceptable copy, else the holder.
+     * Returns the preferred cache: the session's sticky cache or one with an acceptable copy, if it is a candidate;
+     * else the holder.
      */
     Endpoint preferredCache(long now, InFlightRequest request, List<Endpoint> candidates, Endpoint holder) {
         if (reads == null || request.request.hint().session() == 0 && !request.bound.isBounded()) {
@@ -123,12 +129,12 @@
                         .orElse(holder);
     }
 
-    /** Whether the bound itself prefers a cache: as the sticky one of the session, or for an acceptable copy. */
+    /** Whether the hint prefers a cache: it is the sticky cache of the session, or has an acceptable copy. */
     boolean prefers(long now, InFlightRequest request, Endpoint cache) {
         return cache != null && preferredCache(now, request, List.of(cache), null) == cache;
     }
 
-    /** Whether what an endpoint is known to hold may be acceptable; true where there is no bound. */
+    /** Whether the copy known at an endpoint may satisfy the bound; true without a bound or an endpoint. */
     boolean mayHoldAcceptableCopy(long now, InFlightRequest request, Endpoint endpoint) {
         return !request.bound.isBounded()
                 || endpoint == null
@@ -136,14 +142,15 @@
                         now, request.request.objectId(), request.request.part(), endpoint.id, request.bound);
     }
 
-    /** Whether a copy satisfies the bound, and is not older than a purge. */
+    /** Whether a copy satisfies the bound and is not older than a purge; true without a bound. */
     boolean accepts(long now, InFlightRequest request, long originTimeUs) {
         return !request.bound.isBounded()
                 || originTimeUs >= purgedUs(request) && reads.accepts(now, request.bound, originTimeUs);
     }
 
     /**
-     * The earliest acceptable origin time after the purges; a copy of a purge's own millisecond may be older than it.
+     * Returns the earliest origin time that is acceptable after the purges, us. A copy with the millisecond of a purge
+     * is not: it may be older than the purge.
      */
     private long purgedUs(InFlightRequest request) {
         long purge = purges.lastPurge(request.request.objectId(), request.request.group());
@@ -156,7 +163,7 @@
         return reads == null || request == null ? DeliveryDecision.UNCHANGED : decide(now, request, originTimeMs);
     }
 
-    /** A copy that violates the bound is delivered with its age or, for a strict read, not at all. */
+    /** Withholds a copy that violates the bound of a strict read; for a preferred read, delivers it with its age. */
     private DeliveryDecision decide(long now, InFlightRequest request, long originTimeMs) {
         long originTimeUs = Math.max(0, originTimeMs) * US_PER_MS;
         long mark = BoundedStalenessReads.markOf(originTimeUs, request.requestClass.write());
@@ -171,7 +178,7 @@
         return new DeliveryDecision(true, mark, ageMs == 0 ? UNKNOWN_AGE : ageMs);
     }
 
-    /** How long a client is to wait that was rejected for its bound, us. */
+    /** Returns the retry-after time of a client that was rejected because of its bound, us. */
     long retryAfterUs(long now) {
         return reads.retryAfterUs(now);
     }
@@ -198,7 +205,10 @@
                 fromOrigin && (!bypassed || attempt.source == attempt.target));
     }
 
-    /** An attempt ended; a copy that came with a miss was not acceptable, and proves only who holds it. */
+    /**
+     * Records the copies that the outcome of an attempt reveals. A copy reported with a miss was not acceptable: it
+     * shows only which cache holds it.
+     */
     void attemptEnded(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome) {
         if (reads == null || outcome.originTimeMs() <= 0 || request.requestClass.write()) {
             return;
@@ -220,17 +230,17 @@
         }
     }
 
-    /** A purge was made at the origin. */
+    /** Records a purge that was made at the origin. */
     void objectsPurged(long now, Purge purge) {
         if (reads != null) {
-            // Without the origin's own time, this router's stands for it.
+            // Where the origin's time is unknown, this router's clock replaces it.
             long at = purge.originTimeMs() > 0 ? purge.originTimeMs() * US_PER_MS : now - purge.ageUs();
             purges.add(at, purge);
             reads.objectPurged(now, purge.objectId(), purge.group(), at);
         }
     }
 
-    /** The list changed; only the caches of the router's own zone matter. */
+    /** Passes the caches of this router's zone on, when the endpoint list has changed. */
     void endpointsChanged(long now, Collection<Endpoint> endpoints) {
         if (reads != null) {
             reads.replicasChanged(
@@ -261,7 +271,7 @@
         }
     }
 
-    /** Adds the statistics of bounded reads; none while they are disabled. */
+    /** Adds the statistics of bounded reads, unless they are disabled. */
     Map<String, Long> addStatistics(long now, Map<String, Long> statistics) {
         if (reads != null) {
             statistics.put("pins_held", (long) reads.stickyReplicas());
--- a/src/main/java/magpiewheel/routing/Tenant.java
+++ b/src/main/java/magpiewheel/routing/Tenant.java
@@ -3,7 +3,7 @@
 /**
  * A tenant of the site.
  *
- * @param quotaPerS the requests a second, over all routers, that are inside its quota
- * @param demandShare its share of the demand
+ * @param quotaPerS the quota in requests per second, summed over all routers
+ * @param demandShare the tenant's share of the total demand
  */
 public record Tenant(double quotaPerS, double demandShare) {}
--- a/src/main/java/magpiewheel/routing/TransferTimes.java
+++ b/src/main/java/magpiewheel/routing/TransferTimes.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * How long transfers take: by the size of a request where it is known, else by the mean of its class; and how many of
- * each size were answered. It only counts.
+ * Estimates transfer times, by the size of a request where it is known, else by the mean of its class; and counts how
+ * many requests of each size were answered. Makes no decisions.
  */
 final class TransferTimes {
     private static final double US_PER_SECOND = 1e6;
@@ -15,9 +15,9 @@
     private final AnswerRateBySize answerRates;
 
     /**
-     * Times of these classes.
+     * Creates the estimates of the request classes.
      *
-     * @param transferKbPerS the pace of a client's transfer; 0 where the settings do not say
+     * @param transferKbPerS the transfer rate of a client; 0 where the settings do not specify it
      */
     TransferTimes(List<RequestClass> requestClasses, double transferKbPerS) {
         this.requestClasses = requestClasses;
@@ -32,12 +32,12 @@
         }
     }
 
-    /** Whether the request's own size determines how long its transfer takes. */
+    /** Whether the transfer time of a request follows from its size. */
     boolean hasKnownSize(RoutingRequest request) {
         return request.sizeKb() > 0 && transferKbPerS > 0;
     }
 
-    /** A request arrived; where its size is known, so is its transfer time. */
+    /** Counts the transfer time of an arriving request whose size is known. */
     void requestArrived(RoutingRequest request) {
         if (hasKnownSize(request)) {
             double deadlineUs = requestClasses.get(request.requestClass()).deadlineUs();
@@ -45,24 +45,28 @@
         }
     }
 
-    /** A request got its final answer: served, or rejected or failed. */
+    /** Counts a request that got its final answer: served, or else rejected or failed. */
     void requestEnded(RoutingRequest request, boolean served) {
         answerRates.add(request.requestClass(), transferUs(request), served);
     }
 
-    /** Whether requests as large as this one are answered less often than their class, times the floor. */
+    /** Whether the answer rate of requests as large as this one is below that of their class, times the floor. */
     boolean isUnderserved(RoutingRequest request, double floor) {
         return answerRates.isUnderserved(request.requestClass(), transferUs(request), floor);
     }
 
-    /** A hit took so long; it counts where the size is unknown. */
+    /** Counts the duration of a hit where the size of the request is unknown. */
     void hitMeasured(RoutingRequest request, double us, boolean lowLoad) {
         if (!hasKnownSize(request)) {
             add(request.requestClass(), us, lowLoad || !means[request.requestClass()].hasSamples());
         }
     }
 
-    /** A transfer took so long; {@code lowLoad} unless it may have shared a link with many others. */
+    /**
+     * Counts a transfer time.
+     *
+     * @param lowLoad false if the transfer may have shared a link with many others
+     */
     void add(int requestClass, double us, boolean lowLoad) {
         conservativeMeans[requestClass] += Smoothing.RECENT_WEIGHT * (us - conservativeMeans[requestClass]);
         if (lowLoad) {
@@ -70,20 +74,22 @@
         }
     }
 
-    /** Mean transfer time of a class, us; at first its latency objective, which is longer. */
+    /**
+     * Returns the mean transfer time of a class, us; before the first sample its latency objective, which is longer.
+     */
     double meanUs(int requestClass) {
         return means[requestClass].or(requestClasses.get(requestClass).latencyObjectiveUs());
     }
 
     /**
-     * The estimate for hard limits, us: a class's mean, but its objective until many were measured. The first few say
-     * little where sizes differ much, and those that end first are the short ones.
+     * Returns the estimate for hard limits, us: the mean of a class, approached from its latency objective over many
+     * samples. The first few samples say little where sizes vary, and the shortest transfers end first.
      */
     double conservativeUs(int requestClass) {
         return Math.max(conservativeMeans[requestClass], meanUs(requestClass));
     }
 
-    /** The longest such estimate of the classes that read. */
+    /** Returns the longest estimate for hard limits of the classes that are not writes, us. */
     double longestConservativeReadUs() {
         double longest = 0;
         for (int i = 0; i < means.length; i++) {
@@ -92,14 +98,14 @@
         return longest;
     }
 
-    /** The transfer time of this very request where its size is known, else the mean of its class, us. */
+    /** Returns the transfer time of a request by its size where that is known, else the mean of its class, us. */
     double transferUs(RoutingRequest request) {
         return hasKnownSize(request)
                 ? request.sizeKb() / transferKbPerS * US_PER_SECOND
                 : meanUs(request.requestClass());
     }
 
-    /** The latency objective grows with the request's own transfer time, but never past its deadline, us. */
+    /** Returns the latency objective of a request, us: it grows with the transfer time, up to the deadline. */
     double latencyObjectiveUs(InFlightRequest request) {
         RequestClass requestClass = request.requestClass;
         double objectiveUs =
--- a/src/main/java/magpiewheel/routing/WeightSource.java
+++ b/src/main/java/magpiewheel/routing/WeightSource.java
@@ -1,6 +1,9 @@
 package magpiewheel.routing;
 
-/** What the weight of an endpoint stands for. */
+/**
+ * The meaning of an endpoint's weight; {@code NOMINAL} and {@code ROUGH} weights are capacities in concurrent
+ * transfers.
+ */
 public enum WeightSource {
     OFF,
     NOMINAL,
