--- a/src/test/java/magpiewheel/conformance/PageTable.java
+++ b/src/test/java/magpiewheel/conformance/PageTable.java
@@ -21,34 +21,34 @@
      * The rows of the first table between this heading, as it stands on its line, and the next of its level or above.
      */
     public static List<Map<String, String>> read(Path page, String heading) throws IOException {
-        return of(Files.readAllLines(page), heading);
+        return parse(Files.readAllLines(page), heading);
     }
 
     /** Likewise of the lines of a page. */
-    public static List<Map<String, String>> of(List<String> lines, String heading) {
-        int at = heading(lines, heading);
-        int end = end(lines, at);
-        int from = at + 1;
-        while (from < end && !isRow(lines, from)) {
-            from++;
+    public static List<Map<String, String>> parse(List<String> lines, String heading) {
+        int headingLine = findHeading(lines, heading);
+        int endLine = findSectionEnd(lines, headingLine);
+        int tableLine = headingLine + 1;
+        while (tableLine < endLine && !isRow(lines, tableLine)) {
+            tableLine++;
         }
-        if (from == end) {
+        if (tableLine == endLine) {
             throw new IllegalArgumentException("no table under '" + heading + "'");
         }
-        List<String> names = cells(lines.get(from), from);
+        List<String> names = parseCells(lines.get(tableLine), tableLine);
         if (new HashSet<>(names).size() < names.size()) {
-            throw wrong(from, "a column comes twice");
+            throw parseError(tableLine, "a column comes twice");
         }
-        if (from + 1 == end
-                || !isRule(lines.get(from + 1))
-                || cells(lines.get(from + 1), from + 1).size() != names.size()) {
-            throw wrong(from + 1, "no line of dashes for " + names.size() + " columns");
+        if (tableLine + 1 == endLine
+                || !isDelimiterRow(lines.get(tableLine + 1))
+                || parseCells(lines.get(tableLine + 1), tableLine + 1).size() != names.size()) {
+            throw parseError(tableLine + 1, "no line of dashes for " + names.size() + " columns");
         }
         List<Map<String, String>> rows = new ArrayList<>();
-        for (int i = from + 2; i < end && isRow(lines, i); i++) {
-            List<String> cells = cells(lines.get(i), i);
+        for (int i = tableLine + 2; i < endLine && isRow(lines, i); i++) {
+            List<String> cells = parseCells(lines.get(i), i);
             if (cells.size() != names.size()) {
-                throw wrong(i, cells.size() + " cells under " + names.size() + " columns");
+                throw parseError(i, cells.size() + " cells under " + names.size() + " columns");
             }
             Map<String, String> row = new LinkedHashMap<>();
             for (int column = 0; column < cells.size(); column++) {
@@ -66,13 +66,13 @@
                     if (!row.containsKey(name)) {
                         throw new IllegalArgumentException("no column '" + name + "' among " + row.keySet());
                     }
-                    return plain(row.get(name));
+                    return stripCodeQuotes(row.get(name));
                 })
                 .toList();
     }
 
     /** A cell without the quotes of code around it. */
-    public static String plain(String cell) {
+    public static String stripCodeQuotes(String cell) {
         boolean quoted = cell.length() > 1
                 && cell.startsWith("`")
                 && cell.endsWith("`")
@@ -81,11 +81,11 @@
     }
 
     /** A cell for a table that is written: what would end it is escaped, what would end its line is a space. */
-    public static String cell(String text) {
+    public static String escapeCell(String text) {
         return text.replace("|", "\\|").replaceAll("\\s+", " ").strip();
     }
 
-    private static int heading(List<String> lines, String heading) {
+    private static int findHeading(List<String> lines, String heading) {
         boolean code = false;
         for (int i = 0; i < lines.size(); i++) {
             code ^= isFence(lines.get(i));
@@ -96,13 +96,14 @@
         throw new IllegalArgumentException("no heading '" + heading + "'");
     }
 
-    private static int end(List<String> lines, int heading) {
+    private static int findSectionEnd(List<String> lines, int heading) {
         boolean code = false;
         for (int i = heading + 1; i < lines.size(); i++) {
             code ^= isFence(lines.get(i));
             if (!code
-                    && level(lines.get(i)) > 0
-                    && level(lines.get(i)) <= level(lines.get(heading).strip())) {
+                    && headingLevel(lines.get(i)) > 0
+                    && headingLevel(lines.get(i))
+                            <= headingLevel(lines.get(heading).strip())) {
                 return i;
             }
         }
@@ -110,7 +111,7 @@
     }
 
     /** How deep a heading is; 0 for another line. */
-    private static int level(String line) {
+    private static int headingLevel(String line) {
         int level = 0;
         while (level < line.length() && line.charAt(level) == '#') {
             level++;
@@ -122,19 +123,19 @@
         return line.strip().startsWith("```");
     }
 
-    private static boolean isRow(List<String> lines, int at) {
-        return lines.get(at).strip().startsWith("|");
+    private static boolean isRow(List<String> lines, int line) {
+        return lines.get(line).strip().startsWith("|");
     }
 
-    private static boolean isRule(String line) {
+    private static boolean isDelimiterRow(String line) {
         return line.strip().matches("\\|(\\s*:?-+:?\\s*\\|)+");
     }
 
     /** The cells of a line; an escaped bar is a bar. */
-    private static List<String> cells(String line, int at) {
+    private static List<String> parseCells(String line, int lineIndex) {
         String row = line.strip();
         if (row.length() < 2 || !row.endsWith("|") || row.endsWith("\\|")) {
-            throw wrong(at, "the row does not end with a bar");
+            throw parseError(lineIndex, "the row does not end with a bar");
         }
         List<String> cells = new ArrayList<>();
         StringBuilder cell = new StringBuilder();
@@ -152,7 +153,7 @@
         return cells;
     }
 
-    private static IllegalArgumentException wrong(int at, String what) {
-        return new IllegalArgumentException("line " + (at + 1) + ": " + what);
+    private static IllegalArgumentException parseError(int lineIndex, String reason) {
+        return new IllegalArgumentException("line " + (lineIndex + 1) + ": " + reason);
     }
 }
--- a/src/test/java/magpiewheel/conformance/PageTableTest.java
+++ b/src/test/java/magpiewheel/conformance/PageTableTest.java
@@ -39,7 +39,7 @@
             """;
 
     private static List<Map<String, String>> under(String heading) {
-        return PageTable.of(PAGE.lines().toList(), heading);
+        return PageTable.parse(PAGE.lines().toList(), heading);
     }
 
     @Test
@@ -82,7 +82,7 @@
         lines.addAll(List.of(rows.split(",")));
         assertEquals(
                 says,
-                assertThrows(IllegalArgumentException.class, () -> PageTable.of(lines, "## T"))
+                assertThrows(IllegalArgumentException.class, () -> PageTable.parse(lines, "## T"))
                         .getMessage());
     }
 
@@ -94,10 +94,10 @@
         StringBuilder row = new StringBuilder("|");
         for (int i = 0; i < cells.size(); i++) {
             head.append(" c").append(i).append(" |");
-            row.append(' ').append(PageTable.cell(cells.get(i))).append(" |");
+            row.append(' ').append(PageTable.escapeCell(cells.get(i))).append(" |");
         }
         lines.addAll(List.of(head.toString(), "| --- ".repeat(cells.size()) + "|", row.toString()));
-        List<Map<String, String>> read = PageTable.of(lines, "## T");
+        List<Map<String, String>> read = PageTable.parse(lines, "## T");
         assertEquals(1, read.size());
         assertEquals(
                 cells.stream().map(cell -> cell.replaceAll("\\s+", " ").strip()).toList(),
--- a/src/test/java/magpiewheel/conformance/Report.java
+++ b/src/test/java/magpiewheel/conformance/Report.java
@@ -15,7 +15,7 @@
  */
 public final class Report {
     private static final Path PAGE = Path.of("docs/CONFORMANCE.md");
-    private static final String HEAD = """
+    private static final String PAGE_INTRODUCTION = """
             # Conformance
 
             What the program keeps of the page of its design, and what not, row by row. \
@@ -33,72 +33,74 @@
     private Report() {}
 
     /** A section, sorted by paragraph and name. */
-    static String section(String heading, List<Rows.Judged> rows) {
+    static String section(String heading, List<Rows.RowResult> rows) {
         StringBuilder text = new StringBuilder(heading)
                 .append("\n\n")
-                .append(rows.stream().filter(Rows.Judged::kept).count())
+                .append(rows.stream().filter(Rows.RowResult::kept).count())
                 .append(" of ")
                 .append(rows.size())
                 .append(" rows are kept.\n\n")
                 .append("| paragraph | row | what must follow | kept |\n| --- | --- | --- | --- |\n");
         rows.stream()
-                .sorted(Comparator.comparing((Rows.Judged j) -> j.row().paragraph())
+                .sorted(Comparator.comparing((Rows.RowResult j) -> j.row().paragraph())
                         .thenComparing(j -> j.row().name()))
                 .forEach(judged -> text.append("| ")
-                        .append(PageTable.cell(judged.row().paragraph()))
+                        .append(PageTable.escapeCell(judged.row().paragraph()))
                         .append(" | ")
-                        .append(PageTable.cell(judged.row().name()))
+                        .append(PageTable.escapeCell(judged.row().name()))
                         .append(" | ")
-                        .append(PageTable.cell(String.join("; ", judged.row().then())))
+                        .append(PageTable.escapeCell(
+                                String.join("; ", judged.row().then())))
                         .append(" | ")
                         .append(
                                 judged.kept()
                                         ? "kept"
-                                        : PageTable.cell("not kept (" + judged.broken() + "): "
-                                                + judged.row().why()))
+                                        : PageTable.escapeCell("not kept (" + judged.failedStep() + "): "
+                                                + judged.row().notKeptReason()))
                         .append(" |\n"));
         return text.toString();
     }
 
     /** A page with one of its sections put in; the others stay, and what is in no section goes. */
-    static String with(String page, String heading, String section) {
-        Map<String, String> sections = SECTIONS.stream().collect(Collectors.toMap(s -> s, s -> old(page, s)));
+    static String replaceSection(String page, String heading, String section) {
+        Map<String, String> sections =
+                SECTIONS.stream().collect(Collectors.toMap(s -> s, s -> existingSection(page, s)));
         sections.put(heading, section);
-        List<String> parts = new ArrayList<>(List.of(HEAD));
+        List<String> parts = new ArrayList<>(List.of(PAGE_INTRODUCTION));
         SECTIONS.stream().map(sections::get).filter(text -> !text.isEmpty()).forEach(parts::add);
         return String.join("\n", parts);
     }
 
-    private static String old(String page, String heading) {
+    private static String existingSection(String page, String heading) {
         int from = page.indexOf(heading + "\n");
         int next = from < 0 ? -1 : page.indexOf("\n## ", from);
         return from < 0 ? "" : page.substring(from, next < 0 ? page.length() : next);
     }
 
     /** Fails where the page is not what it would be with this section, or writes it. */
-    public static synchronized void check(String heading, List<Rows.Judged> rows) throws IOException {
+    public static synchronized void check(String heading, List<Rows.RowResult> rows) throws IOException {
         if (!SECTIONS.contains(heading)) {
             throw new IllegalArgumentException("no section '" + heading + "'");
         }
         String page = Files.exists(PAGE) ? Files.readString(PAGE) : "";
-        String made = with(page, heading, section(heading, rows));
+        String expected = replaceSection(page, heading, section(heading, rows));
         if (Boolean.getBoolean("conformance.write")) {
-            Files.writeString(PAGE, made);
-        } else if (!made.equals(page)) {
+            Files.writeString(PAGE, expected);
+        } else if (!expected.equals(page)) {
             throw new AssertionError(
                     PAGE + " is not what the rows say; -Dconformance.write=true writes it anew. First line "
-                            + "that differs: " + difference(page, made));
+                            + "that differs: " + firstDifference(page, expected));
         }
     }
 
-    private static String difference(String page, String made) {
-        List<String> is = page.lines().toList();
-        List<String> must = made.lines().toList();
-        for (int i = 0; i < Math.max(is.size(), must.size()); i++) {
-            String one = i < is.size() ? is.get(i) : "(end)";
-            String other = i < must.size() ? must.get(i) : "(end)";
-            if (!one.equals(other)) {
-                return (i + 1) + ", '" + one + "' instead of '" + other + "'";
+    private static String firstDifference(String page, String made) {
+        List<String> actual = page.lines().toList();
+        List<String> expected = made.lines().toList();
+        for (int i = 0; i < Math.max(actual.size(), expected.size()); i++) {
+            String actualLine = i < actual.size() ? actual.get(i) : "(end)";
+            String expectedLine = i < expected.size() ? expected.get(i) : "(end)";
+            if (!actualLine.equals(expectedLine)) {
+                return (i + 1) + ", '" + actualLine + "' instead of '" + expectedLine + "'";
             }
         }
         return "none but for ends of lines";
--- a/src/test/java/magpiewheel/conformance/Rows.java
+++ b/src/test/java/magpiewheel/conformance/Rows.java
@@ -27,7 +27,12 @@
 
     /** One row; {@code why} is empty unless the program does not keep it. */
     public record Row(
-            String name, String paragraph, List<String> given, List<String> when, List<String> then, String why) {
+            String name,
+            String paragraph,
+            List<String> given,
+            List<String> when,
+            List<String> then,
+            String notKeptReason) {
         @Override
         public String toString() {
             return name;
@@ -35,38 +40,39 @@
     }
 
     /** What became of a row: {@code broken} is the first step that did not follow, null where the row is kept. */
-    public record Judged(Row row, String broken, String said) {
+    public record RowResult(Row row, String failedStep, String failure) {
         /** Whether every step of the row followed. */
         public boolean kept() {
-            return broken == null;
+            return failedStep == null;
         }
 
         /** Fails where the program and the table disagree. */
         public void check() {
-            if (kept() && !row.why().isEmpty()) {
-                throw new AssertionError("'" + row + "' is kept now, but the table says that it is not: " + row.why());
+            if (kept() && !row.notKeptReason().isEmpty()) {
+                throw new AssertionError(
+                        "'" + row + "' is kept now, but the table says that it is not: " + row.notKeptReason());
             }
-            if (!kept() && row.why().isEmpty()) {
+            if (!kept() && row.notKeptReason().isEmpty()) {
                 throw new AssertionError("'" + row + "' is not kept, though given " + row.given() + ", when "
-                        + row.when() + ": not so that '" + broken + "': " + said);
+                        + row.when() + ": not so that '" + failedStep + "': " + failure);
             }
         }
     }
 
     /** The rows of the table under a heading of {@link #DESIGN}, checked for their form. */
     public static List<Row> read(String heading) throws IOException {
-        return of(PageTable.read(DESIGN, "## Paragraphs"), PageTable.read(DESIGN, heading));
+        return parse(PageTable.read(DESIGN, "## Paragraphs"), PageTable.read(DESIGN, heading));
     }
 
     /** The rows of another page, whose rules one of its own tables numbers. */
     public static List<Row> read(Path page, String rules, String heading) throws IOException {
-        return of(PageTable.read(page, rules), PageTable.read(page, heading));
+        return parse(PageTable.read(page, rules), PageTable.read(page, heading));
     }
 
     /** Rows of a table, whose paragraphs another table numbers. */
-    static List<Row> of(List<Map<String, String>> paragraphs, List<Map<String, String>> table) {
+    static List<Row> parse(List<Map<String, String>> paragraphs, List<Map<String, String>> table) {
         Map<String, String> numbered = new HashMap<>();
-        paragraphs.forEach(p -> numbered.put(p.get("number"), p.get("first words")));
+        paragraphs.forEach(paragraph -> numbered.put(paragraph.get("number"), paragraph.get("first words")));
         Set<String> names = new HashSet<>();
         List<Row> rows = new ArrayList<>();
         for (Map<String, String> cells : table) {
@@ -107,34 +113,34 @@
      * Runs a row in a world of its own. Only what must follow may fail; a step before that which can't be done, or one
      * that nobody understands, is a fault of the table and not a row that is not kept.
      */
-    public static <W> Judged judge(Row row, Steps<W> steps, Supplier<W> world) {
-        W own = world.get();
+    public static <W> RowResult run(Row row, Steps<W> steps, Supplier<W> world) {
+        W ownWorld = world.get();
         try {
             for (List<String> part : List.of(row.given(), row.when())) {
                 for (String step : part) {
-                    steps.act(own, step);
+                    steps.act(ownWorld, step);
                 }
             }
             for (String step : row.then()) {
                 try {
-                    steps.check(own, step);
+                    steps.check(ownWorld, step);
                 } catch (AssertionError e) {
-                    return new Judged(row, step, e.getMessage());
+                    return new RowResult(row, step, e.getMessage());
                 }
             }
-            return new Judged(row, null, null);
+            return new RowResult(row, null, null);
         } catch (Exception | AssertionError e) {
             throw new IllegalStateException("row '" + row + "' can't be run: " + e.getMessage(), e);
         } finally {
-            if (own instanceof AutoCloseable held) {
-                close(held);
+            if (ownWorld instanceof AutoCloseable closeable) {
+                close(closeable);
             }
         }
     }
 
-    private static void close(AutoCloseable held) {
+    private static void close(AutoCloseable closeable) {
         try {
-            held.close();
+            closeable.close();
         } catch (Exception e) {
             throw new IllegalStateException("a world that can't be closed", e);
         }
--- a/src/test/java/magpiewheel/conformance/RowsTest.java
+++ b/src/test/java/magpiewheel/conformance/RowsTest.java
@@ -29,30 +29,30 @@
 
     private static List<Rows.Row> rows(String... rows) {
         String table = "## T\n" + HEAD + "\n| --- | --- | --- | --- | --- | --- |\n" + String.join("\n", rows);
-        return Rows.of(
+        return Rows.parse(
                 List.of(Map.of("number", "1", "first words", "In the")),
-                PageTable.of(table.lines().toList(), "## T"));
+                PageTable.parse(table.lines().toList(), "## T"));
     }
 
-    private static Rows.Judged judged(String row) {
-        return Rows.judge(rows(row).get(0), steps(), () -> new int[1]);
+    private static Rows.RowResult judged(String row) {
+        return Rows.run(rows(row).get(0), steps(), () -> new int[1]);
     }
 
     @Test
     void aRowIsRunAsItStands() {
-        Rows.Judged kept = judged("| a | 1 | add 1; add 2 | add 3 | it is 6 | |");
+        Rows.RowResult kept = judged("| a | 1 | add 1; add 2 | add 3 | it is 6 | |");
         assertTrue(kept.kept());
         kept.check();
         assertEquals("1 In the", kept.row().paragraph());
-        Rows.Judged not = judged("| a | 1 | | add 3 | it is 3; it is 4 | |");
-        assertEquals("it is 4", not.broken());
+        Rows.RowResult not = judged("| a | 1 | | add 3 | it is 3; it is 4 | |");
+        assertEquals("it is 4", not.failedStep());
         assertTrue(assertThrows(AssertionError.class, not::check).getMessage().contains("'it is 4'"));
     }
 
     @Test
     void aRowThatIsNotKeptMustNotBeKept() {
         judged("| a | 1 | | add 3 | it is 4 | a reason |").check();
-        Rows.Judged kept = judged("| a | 1 | | add 3 | it is 3 | a reason |");
+        Rows.RowResult kept = judged("| a | 1 | | add 3 | it is 3 | a reason |");
         assertTrue(assertThrows(AssertionError.class, kept::check).getMessage().contains("is kept now"));
     }
 
@@ -95,26 +95,28 @@
         Steps<int[]> twice = steps().act("add \\d", (w, m) -> {});
         assertTrue(assertThrows(
                         IllegalStateException.class,
-                        () -> Rows.judge(rows("| a | 1 | | add 1 | it is 1 | |").get(0), twice, () -> new int[1]))
+                        () -> Rows.run(rows("| a | 1 | | add 1 | it is 1 | |").get(0), twice, () -> new int[1]))
                 .getMessage()
                 .contains("2 phrases say"));
-        assertEquals(List.of("add a(n?)", "it is broken"), steps().unused(rows("| a | 1 | | add 1 | it is 1 | |")));
+        assertEquals(
+                List.of("add a(n?)", "it is broken"), steps().unusedPhrases(rows("| a | 1 | | add 1 | it is 1 | |")));
     }
 
     @Test
     void theReportIsSortedAndItsOtherSectionsStay() {
-        List<Rows.Judged> rows =
+        List<Rows.RowResult> rows =
                 List.of(judged("| b | 1 | | add 3 | it is 3 | |"), judged("| a | 1 | | add 3 | it is 4 | why |"));
         String section = Report.section("## From outside", rows);
         List<String> lines = section.lines().toList();
         assertEquals("1 of 2 rows are kept.", lines.get(2));
         assertEquals("| 1 In the | a | it is 4 | not kept (it is 4): why |", lines.get(6));
         assertEquals("| 1 In the | b | it is 3 | kept |", lines.get(7));
-        String page = Report.with("", "## From outside", section);
-        String both = Report.with(page, "## In the module", Report.section("## In the module", rows));
+        String page = Report.replaceSection("", "## From outside", section);
+        String both = Report.replaceSection(page, "## In the module", Report.section("## In the module", rows));
         assertTrue(both.indexOf("## In the module") < both.indexOf("## From outside") && both.endsWith("| kept |\n"));
-        assertEquals(both, Report.with(both, "## From outside", section), "made anew it is the same");
-        assertFalse(Report.with(both + "\nMore.\n", "## From outside", section).contains("More."));
-        assertEquals(both, Report.with("Lies.\n" + both, "## From outside", section));
+        assertEquals(both, Report.replaceSection(both, "## From outside", section), "made anew it is the same");
+        assertFalse(Report.replaceSection(both + "\nMore.\n", "## From outside", section)
+                .contains("More."));
+        assertEquals(both, Report.replaceSection("Lies.\n" + both, "## From outside", section));
     }
 }
--- a/src/test/java/magpiewheel/routing/BoundedReadRoutingTest.java
+++ b/src/test/java/magpiewheel/routing/BoundedReadRoutingTest.java
@@ -29,7 +29,7 @@
         RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
         RequestRouter made = new RequestRouter(
                 settings, 42, to, settings.topology().membershipConfig(0, 400_000, 1, false), null, pins);
-        made.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.fleet());
+        made.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.endpoints());
         return made;
     }
 
@@ -55,14 +55,14 @@
                 .build();
     }
 
-    private RecordingActions.Sent ask(long id, int profile, ReadHint hint) {
+    private RecordingActions.StartedAttempt ask(long id, int profile, ReadHint hint) {
         rules.requestArrived(now, request(id, profile, hint));
-        return router.last();
+        return router.lastAttempt();
     }
 
     /** An answer comes with a copy; what the client is told of it, or that it is not. */
     private DeliveryDecision answer(long id, int attempt, CacheStatus note, long mintedMs) {
-        RecordingActions.Sent sent = router.sent.stream()
+        RecordingActions.StartedAttempt sent = router.attempts.stream()
                 .filter(s -> s.request() == id)
                 .skip(attempt)
                 .findFirst()
@@ -89,11 +89,11 @@
     @Test
     void aStrictBoundTightensThePlanAndLetsNothingBeRenewedBehind() {
         hearBoard();
-        RecordingActions.Sent plain = ask(1, FRESH, ReadHint.NONE);
+        RecordingActions.StartedAttempt plain = ask(1, FRESH, ReadHint.NONE);
         assertTrue(plain.plan().revalidate()
                 && plain.plan().joinFill()
                 && plain.plan().maxAgeUs() == 0);
-        RecordingActions.Sent sent = ask(2, FRESH, after(nowMs() - 300, true));
+        RecordingActions.StartedAttempt sent = ask(2, FRESH, after(nowMs() - 300, true));
         assertEquals(300_000, sent.plan().maxAgeUs());
         assertFalse(sent.plan().revalidate());
         assertEquals(
@@ -107,7 +107,7 @@
     /** A preferred read asks for what it prefers once; then any copy of its class will do. */
     @Test
     void aPreferredBoundIsGivenUpWithTheSecondTry() {
-        RecordingActions.Sent first = ask(1, FRESH, after(nowMs() - 300, false));
+        RecordingActions.StartedAttempt first = ask(1, FRESH, after(nowMs() - 300, false));
         assertEquals(300_000, first.plan().maxAgeUs());
         assertFalse(first.plan().revalidate());
         rules.attemptEnded(
@@ -116,8 +116,8 @@
                         .durationUs(1_000)
                         .cacheStatus(CacheStatus.SOURCE_MISS)
                         .build());
-        RecordingActions.Sent second = router.last();
-        assertEquals(2, router.sent.size());
+        RecordingActions.StartedAttempt second = router.lastAttempt();
+        assertEquals(2, router.attempts.size());
         assertEquals(0, second.plan().maxAgeUs());
         assertTrue(second.plan().revalidate());
         assertEquals(new DeliveryDecision(true, nowMs() - 400, -1), answer(1, 1, CacheStatus.HIT, nowMs() - 400));
@@ -126,14 +126,14 @@
     @Test
     void whatCantBeProvenIsRefusedAtOnceAndNothingIsSent() {
         rules.requestArrived(now, request(1, FRESH, after(nowMs() - 300, true)));
-        assertEquals(List.of(1L), router.refused);
-        assertEquals(0, router.sent.size());
-        assertTrue(router.all.get(router.all.size() - 1).matches("refuse 1 [1-9][0-9]+"), "with a pause");
+        assertEquals(List.of(1L), router.rejected);
+        assertEquals(0, router.attempts.size());
+        assertTrue(router.calls.get(router.calls.size() - 1).matches("refuse 1 [1-9][0-9]+"), "with a pause");
         ask(2, FRESH, after(nowMs() - 300, false));
-        assertEquals(1, router.sent.size(), "a preferred read goes on");
+        assertEquals(1, router.attempts.size(), "a preferred read goes on");
         hearBoard();
         ask(3, FRESH, after(nowMs() - 300, true));
-        assertEquals(2, router.sent.size(), "and the board brings the proof back");
+        assertEquals(2, router.attempts.size(), "and the board brings the proof back");
     }
 
     /**
@@ -144,16 +144,16 @@
         hearBoard();
         assertNotEquals(ORIGIN, ask(1, FRESH, ReadHint.NONE).plan().fillSource(), "fills go by parents");
         ReadHint young = new ReadHint(SECOND, 0, 0, true);
-        RecordingActions.Sent sent = ask(2, FRESH, young);
+        RecordingActions.StartedAttempt sent = ask(2, FRESH, young);
         assertEquals(ORIGIN, sent.plan().fillSource());
         assertFalse(sent.plan().joinFill());
         assertEquals(1, sent.plan().maxAgeUs(), "no copy that a cache holds will do");
         assertEquals(new DeliveryDecision(true, nowMs(), 0), answer(2, 0, CacheStatus.FILLED, nowMs()));
-        RecordingActions.Sent next = ask(3, FRESH, young);
+        RecordingActions.StartedAttempt next = ask(3, FRESH, young);
         assertNotEquals(1, next.plan().maxAgeUs());
         assertTrue(next.plan().joinFill());
         assertEquals(new DeliveryDecision(true, nowMs() - 100, 0), answer(3, 0, CacheStatus.HIT, nowMs() - 100));
-        assertEquals(List.of(), router.refused);
+        assertEquals(List.of(), router.rejected);
     }
 
     /**
@@ -167,22 +167,22 @@
         for (long id = 1; id <= 50; id++) {
             ask(id, FRESH, young);
         }
-        assertEquals(1, router.sent.size());
-        assertEquals(49, router.refused.size());
+        assertEquals(1, router.attempts.size());
+        assertEquals(49, router.rejected.size());
         assertTrue(
-                router.all.get(router.all.size() - 1).matches("refuse 50 300000"),
-                router.all.get(router.all.size() - 1));
+                router.calls.get(router.calls.size() - 1).matches("refuse 50 300000"),
+                router.calls.get(router.calls.size() - 1));
         assertTrue(rules.boundedReads().isUnproven(1), "its refusal would be for its hint");
         assertEquals(DeliveryDecision.WITHHELD, answer(1, 0, CacheStatus.HIT, nowMs()));
-        assertEquals(1, router.sent.size(), "it is not tried twice");
+        assertEquals(1, router.attempts.size(), "it is not tried twice");
         ask(51, FRESH, young);
-        assertEquals(2, router.sent.size());
+        assertEquals(2, router.attempts.size());
         rules.clientDisconnected(now, 51);
         ask(52, FRESH, young);
-        assertEquals(2, router.sent.size(), "its fetch is still out");
+        assertEquals(2, router.attempts.size(), "its fetch is still out");
         ask(53, FRESH, new ReadHint(SECOND, 0, 0, false));
         ask(54, FRESH, after(nowMs() - 300, true));
-        assertEquals(4, router.sent.size(), "what needs no clock goes on");
+        assertEquals(4, router.attempts.size(), "what needs no clock goes on");
     }
 
     /** A copy that would not do is asked for once more: not there, not by joining, and straight from the origin. */
@@ -190,27 +190,29 @@
     void aCopyThatWillNotDoIsAMissOfItsCacheAndOnceOnly() {
         hearBoard();
         long mark = nowMs() - 300;
-        RecordingActions.Sent first = ask(1, FRESH, after(mark, true));
+        RecordingActions.StartedAttempt first = ask(1, FRESH, after(mark, true));
         assertNotEquals(ORIGIN, first.plan().fillSource());
         assertEquals(DeliveryDecision.WITHHELD, answer(1, 0, CacheStatus.HIT, mark - 1));
-        RecordingActions.Sent second = router.last();
+        RecordingActions.StartedAttempt second = router.lastAttempt();
         assertNotEquals(first.node(), second.node());
         assertEquals(ORIGIN, second.plan().fillSource());
         assertFalse(second.plan().joinFill());
         assertEquals(DeliveryDecision.WITHHELD, answer(1, 1, CacheStatus.FILLED_BY_ORIGIN, mark - 1));
-        assertEquals(List.of(1L), router.refused);
-        assertEquals(2, router.sent.size());
+        assertEquals(List.of(1L), router.rejected);
+        assertEquals(2, router.attempts.size());
         ask(2, FRESH, ReadHint.NONE);
         assertNotEquals(first.node(), answerAndNode(2), "the module thinks that cache lacks the object");
     }
 
     private long answerAndNode(long id) {
         answer(id, 0, CacheStatus.HIT, nowMs());
-        return router.last().node() == first(id) ? -1 : router.last().node();
+        return router.lastAttempt().node() == first(id)
+                ? -1
+                : router.lastAttempt().node();
     }
 
     private long first(long id) {
-        return router.sent.stream()
+        return router.attempts.stream()
                 .filter(s -> s.request() == id)
                 .findFirst()
                 .orElseThrow()
@@ -222,16 +224,16 @@
         hearBoard();
         LocalCopy copy = new LocalCopy(400_000, 1_000, 1_000);
         rules.requestArrived(now, request(1, FRESH, after(nowMs() - 300, true)), copy);
-        assertEquals(List.of(), router.own);
+        assertEquals(List.of(), router.servedLocally);
         rules.requestArrived(now, request(2, FRESH, after(nowMs() - 400, true)), copy);
-        assertEquals(List.of(2L), router.own);
+        assertEquals(List.of(2L), router.servedLocally);
         rules.requestArrived(now, request(3, FRESH, after(nowMs() - 300, false)), copy);
-        assertEquals(List.of(2L), router.own, "a preferred read looks for a younger one first");
+        assertEquals(List.of(2L), router.servedLocally, "a preferred read looks for a younger one first");
         rules.endpointsChanged(now, EndpointListMode.FULL, List.of());
         rules.requestArrived(now, request(4, FRESH, after(nowMs() - 300, true)), copy);
-        assertEquals(List.of(4L), router.refused, "strict, whatever failed");
+        assertEquals(List.of(4L), router.rejected, "strict, whatever failed");
         rules.requestArrived(now, request(5, FRESH, after(nowMs() - 300, false)), copy);
-        assertEquals(List.of(2L, 5L), router.own, "preferred: where no node can");
+        assertEquals(List.of(2L, 5L), router.servedLocally, "preferred: where no node can");
     }
 
     /** A cache that is known to hold a copy that is too old is no holder: the own copy, which will do, comes first. */
@@ -242,9 +244,9 @@
         answer(1, 0, CacheStatus.HIT, nowMs() - 5_000);
         LocalCopy copy = new LocalCopy(100_000, 1_000, 1_000);
         rules.requestArrived(now, request(2, FRESH, ReadHint.NONE), copy);
-        assertEquals(List.of(), router.own, "without a hint the holder is asked");
+        assertEquals(List.of(), router.servedLocally, "without a hint the holder is asked");
         rules.requestArrived(now, request(3, FRESH, after(nowMs() - 1_000, true)), copy);
-        assertEquals(List.of(3L), router.own);
+        assertEquals(List.of(3L), router.servedLocally);
     }
 
     /**
@@ -261,8 +263,8 @@
                 now,
                 EndpointListMode.FULL,
                 List.of(
-                        RequestRouterFixture.member(1, 0, 0, 0, EndpointState.READY),
-                        RequestRouterFixture.member(ORIGIN, 2, 1, 0, EndpointState.READY)));
+                        RequestRouterFixture.endpoint(1, 0, 0, 0, EndpointState.READY),
+                        RequestRouterFixture.endpoint(ORIGIN, 2, 1, 0, EndpointState.READY)));
         ask(2, FRESH, young);
         assertEquals(
                 -1,
@@ -271,7 +273,7 @@
         ask(3, FRESH, young);
         assertEquals(0, answer(3, 0, CacheStatus.FILLED_BY_ORIGIN, nowMs()).ageMs());
         ask(4, FRESH, new ReadHint(SECOND, 0, 0, true));
-        assertEquals(List.of(), router.refused);
+        assertEquals(List.of(), router.rejected);
     }
 
     /** A session keeps to the cache that served it, until that drains. */
@@ -302,7 +304,7 @@
         rules.endpointsChanged(
                 now,
                 EndpointListMode.DELTA,
-                List.of(RequestRouterFixture.member(first, 0, 0, 0, EndpointState.DRAINING)));
+                List.of(RequestRouterFixture.endpoint(first, 0, 0, 0, EndpointState.DRAINING)));
         assertEquals(other, ask(4, FRESH, session).node());
         assertEquals(0, rules.statistics(now).get("pins_held"));
     }
@@ -316,11 +318,11 @@
         rules.endpointsChanged(
                 now,
                 EndpointListMode.DELTA,
-                List.of(RequestRouterFixture.member(old, 0, 0, 0, EndpointState.DRAINING)));
+                List.of(RequestRouterFixture.endpoint(old, 0, 0, 0, EndpointState.DRAINING)));
         long young = ask(2, FRESH, ReadHint.NONE).node();
         answer(2, 0, CacheStatus.HIT, nowMs() - 100);
         rules.endpointsChanged(
-                now, EndpointListMode.DELTA, List.of(RequestRouterFixture.member(old, 0, 0, 0, EndpointState.READY)));
+                now, EndpointListMode.DELTA, List.of(RequestRouterFixture.endpoint(old, 0, 0, 0, EndpointState.READY)));
         now += 1_000;
         rules.peerMessageReceived(
                 now,
@@ -355,7 +357,7 @@
 
     @Test
     void aWriteHoldsToNoHintAndItsAnswerBringsAMark() {
-        RecordingActions.Sent sent = ask(1, KEYED, new ReadHint(SECOND, nowMs() + 60_000, SESSION, true));
+        RecordingActions.StartedAttempt sent = ask(1, KEYED, new ReadHint(SECOND, nowMs() + 60_000, SESSION, true));
         assertEquals(0, sent.plan().maxAgeUs());
         assertEquals(new DeliveryDecision(true, nowMs() + 1, 0), answer(1, 0, CacheStatus.UNKNOWN, nowMs()));
         assertEquals(0, rules.statistics(now).get("pins_held"));
@@ -396,7 +398,7 @@
                     own);
             CacheStatus note = CacheStatus.values()[1 + random.nextInt(5)];
             AttemptResult result = random.nextInt(5) == 0 ? AttemptResult.MISS : AttemptResult.OK;
-            for (RecordingActions.Sent sent : List.copyOf(seen.sent)) {
+            for (RecordingActions.StartedAttempt sent : List.copyOf(seen.attempts)) {
                 of.attemptEnded(
                         now,
                         AttemptOutcome.builder(sent.request(), 0, sent.node(), result)
@@ -407,12 +409,12 @@
                                 .originTimeMs(result == AttemptResult.OK ? nowMs() : 0)
                                 .build());
             }
-            seen.sent.clear();
+            seen.attempts.clear();
             if (random.nextInt(20) == 0) {
                 of.objectsPurged(now, new Purge(0, random.nextLong(40), 5, nowMs()));
             }
             of.boundedReads().discoveryHeard(now);
         }
-        return seen.all;
+        return seen.calls;
     }
 }
--- a/src/test/java/magpiewheel/routing/DecisionCost.java
+++ b/src/test/java/magpiewheel/routing/DecisionCost.java
@@ -66,7 +66,7 @@
         RequestRouter rules = new RequestRouter(
                 settings, 42, router, settings.topology().membershipConfig(0, 400_000, 1, false), null, pins);
         long now = 100 * SECOND;
-        rules.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.fleet());
+        rules.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.endpoints());
         SplittableRandom random = new SplittableRandom(1);
         // Time on the processor: a busy machine's other work is not the module's.
         long from = CPU.getCurrentThreadCpuTime();
--- a/src/test/java/magpiewheel/routing/DesignTest.java
+++ b/src/test/java/magpiewheel/routing/DesignTest.java
@@ -160,8 +160,10 @@
                         "any copy of its class's age will do",
                         (w, m) -> assertEquals(0, w.it().plan().maxAgeUs()))
                 .check("it passes through untouched and is not kept", (w, m) -> w.untouched())
-                .check("it is not answered from that copy", (w, m) -> assertTrue(!w.router.own.contains(w.last)))
-                .check("it is answered from that copy", (w, m) -> assertTrue(w.router.own.contains(w.last)))
+                .check(
+                        "it is not answered from that copy",
+                        (w, m) -> assertTrue(!w.router.servedLocally.contains(w.last)))
+                .check("it is answered from that copy", (w, m) -> assertTrue(w.router.servedLocally.contains(w.last)))
                 .check(
                         "nobody but router (\\d+) is told of any holder",
                         (w, m) -> w.onlyTo(Integer.parseInt(m.group(1))))
@@ -187,10 +189,10 @@
                         "the second pick is the first for each",
                         (w, m) -> assertEquals(
                                 w.picksBefore.values().stream()
-                                        .map(RecordingActions.Sent::node)
+                                        .map(RecordingActions.StartedAttempt::node)
                                         .toList(),
                                 w.picks.values().stream()
-                                        .map(RecordingActions.Sent::node)
+                                        .map(RecordingActions.StartedAttempt::node)
                                         .toList()))
                 .check(
                         "only objects (from|to) cache (\\d+) moved",
@@ -215,14 +217,14 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("rows")
     void theModuleKeepsTheRowOrNotAsTheTableSays(Rows.Row row) {
-        Rows.judge(row, STEPS, DesignWorld::new).check();
+        Rows.run(row, STEPS, DesignWorld::new).check();
     }
 
     @Test
     void theReportIsWhatTheRowsSay() throws IOException {
-        List<Rows.Judged> all = new ArrayList<>();
-        rows().forEach(row -> all.add(Rows.judge(row, STEPS, DesignWorld::new)));
-        all.forEach(Rows.Judged::check);
+        List<Rows.RowResult> all = new ArrayList<>();
+        rows().forEach(row -> all.add(Rows.run(row, STEPS, DesignWorld::new)));
+        all.forEach(Rows.RowResult::check);
         Report.check(HEADING, all);
     }
 
@@ -235,6 +237,6 @@
 
     @Test
     void everyPhraseIsUsed() throws IOException {
-        assertEquals(List.of(), STEPS.unused(rows()));
+        assertEquals(List.of(), STEPS.unusedPhrases(rows()));
     }
 }
--- a/src/test/java/magpiewheel/routing/DesignWorld.java
+++ b/src/test/java/magpiewheel/routing/DesignWorld.java
@@ -38,7 +38,7 @@
     final Map<Long, EndpointInfo> list = new TreeMap<>();
     private final PriorityQueue<long[]> timers = new PriorityQueue<>(Comparator.comparingLong(t -> t[0]));
     private final Map<Long, Long> askedAt = new HashMap<>();
-    private final Map<Long, List<RecordingActions.Sent>> sent = new HashMap<>();
+    private final Map<Long, List<RecordingActions.StartedAttempt>> sent = new HashMap<>();
     private int timersRead;
     private int sentRead;
     private RequestRouter rules;
@@ -55,8 +55,8 @@
     private long purgedAt;
     private int toldBefore;
     private long passed;
-    Map<Long, RecordingActions.Sent> picks = Map.of();
-    Map<Long, RecordingActions.Sent> picksBefore = Map.of();
+    Map<Long, RecordingActions.StartedAttempt> picks = Map.of();
+    Map<Long, RecordingActions.StartedAttempt> picksBefore = Map.of();
 
     RoutingSettings settings(int me) {
         int elsewhere = 1;
@@ -134,7 +134,7 @@
     void pass(long us) {
         rules();
         long end = now + us;
-        toldBefore = router.told.size();
+        toldBefore = router.peerMessages.size();
         passed = us;
         for (collectTimers(); !timers.isEmpty() && timers.peek()[0] <= end; collectTimers()) {
             long[] due = timers.poll();
@@ -145,8 +145,8 @@
     }
 
     private void collectTimers() {
-        for (; timersRead < router.all.size(); timersRead++) {
-            String[] words = router.all.get(timersRead).split(" ");
+        for (; timersRead < router.calls.size(); timersRead++) {
+            String[] words = router.calls.get(timersRead).split(" ");
             if (words[0].equals("timer")) {
                 timers.add(new long[] {Long.parseLong(words[1]), Long.parseLong(words[2])});
             }
@@ -198,23 +198,23 @@
     }
 
     /** The attempts of a request, in their order. */
-    List<RecordingActions.Sent> sent(long id) {
-        for (; sentRead < router.sent.size(); sentRead++) {
-            RecordingActions.Sent next = router.sent.get(sentRead);
+    List<RecordingActions.StartedAttempt> sent(long id) {
+        for (; sentRead < router.attempts.size(); sentRead++) {
+            RecordingActions.StartedAttempt next = router.attempts.get(sentRead);
             sent.computeIfAbsent(next.request(), key -> new ArrayList<>()).add(next);
         }
         return sent.getOrDefault(id, List.of());
     }
 
     /** The last attempt of the last request; a request that was turned away has none. */
-    RecordingActions.Sent it() {
-        List<RecordingActions.Sent> sent = sent(last);
+    RecordingActions.StartedAttempt it() {
+        List<RecordingActions.StartedAttempt> sent = sent(last);
         assertTrue(!sent.isEmpty(), "no attempt went out");
         return sent.get(sent.size() - 1);
     }
 
     void answer(long id, AttemptResult result, CacheStatus note, long waitUs) {
-        List<RecordingActions.Sent> sent = sent(id);
+        List<RecordingActions.StartedAttempt> sent = sent(id);
         if (sent.isEmpty()) {
             throw new IllegalStateException("nothing went out that could be answered");
         }
@@ -244,7 +244,7 @@
     }
 
     void pick(long... objects) {
-        Map<Long, RecordingActions.Sent> found = new LinkedHashMap<>();
+        Map<Long, RecordingActions.StartedAttempt> found = new LinkedHashMap<>();
         for (long each : objects) {
             askQuietly(++last, READ, each, 0, null);
             found.put(each, it());
@@ -293,7 +293,7 @@
 
     /** Asks for all these objects before any is answered. */
     void crowd() {
-        Map<Long, RecordingActions.Sent> found = new LinkedHashMap<>();
+        Map<Long, RecordingActions.StartedAttempt> found = new LinkedHashMap<>();
         for (long each : List.copyOf(picks.keySet())) {
             askQuietly(++last, READ, each, 0, null);
             if (!sent(last).isEmpty()) {
@@ -344,12 +344,14 @@
     /** Messages that went out, from one of them on: to whom, and what. */
     private List<Map.Entry<Integer, PeerMessage>> told(int from) {
         List<String> lines =
-                router.all.stream().filter(line -> line.startsWith("tell ")).toList();
-        assertEquals(lines.size(), router.told.size());
+                router.calls.stream().filter(line -> line.startsWith("tell ")).toList();
+        assertEquals(lines.size(), router.peerMessages.size());
         List<Map.Entry<Integer, PeerMessage>> told = new ArrayList<>();
         for (int i = from; i < lines.size(); i++) {
-            assertTrue(router.told.get(i).length <= 256, "a message of " + router.told.get(i).length + " bytes");
-            PeerMessage message = PeerMessageCodec.decode(router.told.get(i));
+            assertTrue(
+                    router.peerMessages.get(i).length <= 256,
+                    "a message of " + router.peerMessages.get(i).length + " bytes");
+            PeerMessage message = PeerMessageCodec.decode(router.peerMessages.get(i));
             // The membership's messages are another matter.
             if (message != null) {
                 told.add(Map.entry(Integer.parseInt(lines.get(i).split(" ")[1]), message));
@@ -368,7 +370,7 @@
         other.endpointsChanged(now, EndpointListMode.CACHED, List.copyOf(list.values()));
         other.requestArrived(
                 now, RoutingRequest.builder(1, READ, of).group(group(of)).build());
-        return seen.last().node();
+        return seen.lastAttempt().node();
     }
 
     /** A node by its name. */
@@ -468,7 +470,9 @@
     void cachesShare() {
         shares(
                 caches(),
-                picks.values().stream().map(RecordingActions.Sent::node).toList());
+                picks.values().stream()
+                        .map(RecordingActions.StartedAttempt::node)
+                        .toList());
     }
 
     void parentsShare() {
@@ -497,7 +501,7 @@
     /** Objects that moved from one pick to the next all left one cache, or all came to it. */
     void moved(String way, long cache) {
         int moved = 0;
-        for (Map.Entry<Long, RecordingActions.Sent> pick : picks.entrySet()) {
+        for (Map.Entry<Long, RecordingActions.StartedAttempt> pick : picks.entrySet()) {
             long from = picksBefore.get(pick.getKey()).node();
             long to = pick.getValue().node();
             moved += from != to ? 1 : 0;
--- a/src/test/java/magpiewheel/routing/FillCoalescingTest.java
+++ b/src/test/java/magpiewheel/routing/FillCoalescingTest.java
@@ -34,7 +34,7 @@
         // Where rendezvous sends the object is known from a router that heard nothing.
         RecordingActions quiet = new RecordingActions();
         started(settings, quiet).requestArrived(now, request(1, PURE, 0));
-        hashed = quiet.last().node();
+        hashed = quiet.lastAttempt().node();
         other = hashed % 4 + 1;
         rules = started(settings, router);
         rules.peerMessageReceived(now, 1, HeartbeatMessages.fromServingMember(1, 2, 0, now));
@@ -43,13 +43,13 @@
 
     private static RoutingSettings settings(boolean joins) {
         RoutingSettings set = RequestRouterFixture.settings(false, SiblingFills.OFF);
-        return RequestRouterFixture.with(set, joins, set.detailedCacheStatus());
+        return RequestRouterFixture.withFeatures(set, joins, set.detailedCacheStatus());
     }
 
     private RequestRouter started(RoutingSettings settings, RecordingActions recorder) {
         RequestRouter started = new RequestRouter(
                 settings, 42, recorder, settings.topology().membershipConfig(0, 400_000, 1, false), null, false);
-        started.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.fleet());
+        started.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.endpoints());
         return started;
     }
 
@@ -90,7 +90,7 @@
     }
 
     private void answer(long id, AttemptResult result, CacheStatus note) {
-        List<RecordingActions.Sent> mine = of(id);
+        List<RecordingActions.StartedAttempt> mine = of(id);
         rules.attemptEnded(
                 now,
                 AttemptOutcome.builder(
@@ -102,12 +102,12 @@
                         .build());
     }
 
-    private List<RecordingActions.Sent> of(long id) {
-        return router.sent.stream().filter(sent -> sent.request() == id).toList();
+    private List<RecordingActions.StartedAttempt> of(long id) {
+        return router.attempts.stream().filter(sent -> sent.request() == id).toList();
     }
 
     private long lastTimer() {
-        return router.all.stream()
+        return router.calls.stream()
                 .filter(line -> line.startsWith("timer ") && line.endsWith(" " + WAIT))
                 .mapToLong(line -> Long.parseLong(line.split(" ")[1]))
                 .reduce((first, second) -> second)
@@ -128,12 +128,12 @@
         return id;
     }
 
-    private void looksAt(RecordingActions.Sent sent, long node) {
+    private void looksAt(RecordingActions.StartedAttempt sent, long node) {
         assertEquals(node, sent.node());
         assertEquals(node, sent.plan().fillSource());
     }
 
-    private void fillsAt(RecordingActions.Sent sent, long node) {
+    private void fillsAt(RecordingActions.StartedAttempt sent, long node) {
         assertEquals(node, sent.node());
         assertNotEquals(node, sent.plan().fillSource());
     }
@@ -148,7 +148,7 @@
     /** What this front tells of how many it has in hand at a cache. */
     private int inHand(long node) {
         rules.timerExpired(now, 0);
-        PeerMessage message = PeerMessageCodec.decode(router.told.get(router.told.size() - 1));
+        PeerMessage message = PeerMessageCodec.decode(router.peerMessages.get(router.peerMessages.size() - 1));
         return message.loads().stream()
                 .filter(load -> load.endpointId() == node)
                 .mapToInt(EndpointLoad::inFlight)
@@ -170,7 +170,7 @@
         assertEquals(1, of(id).size());
         now += 100 * MS;
         rules.timerExpired(now, 0);
-        PeerMessage message = PeerMessageCodec.decode(router.told.get(router.told.size() - 1));
+        PeerMessage message = PeerMessageCodec.decode(router.peerMessages.get(router.peerMessages.size() - 1));
         assertTrue(message.fillsStarted().isEmpty() && message.holders().isEmpty());
         assertEquals(0, message.fillsInFlight());
     }
@@ -180,7 +180,7 @@
         sent(0, other, 50);
         long id = waiting();
         assertEquals(1, of(id).size());
-        assertTrue(router.refused.isEmpty() && router.failed.isEmpty());
+        assertTrue(router.rejected.isEmpty() && router.failed.isEmpty());
         assertTrue(lastTimer() > now);
         wake();
         assertEquals(2, of(id).size());
@@ -248,7 +248,7 @@
         assertTrue(now - start <= 1_000 * MS, "waited " + (now - start));
         assertTrue(now - start > 500 * MS, "waited " + (now - start));
         fillsAt(of(id).get(of(id).size() - 1), hashed);
-        assertTrue(router.refused.isEmpty() && router.failed.isEmpty());
+        assertTrue(router.rejected.isEmpty() && router.failed.isEmpty());
     }
 
     @Test
@@ -267,11 +267,13 @@
         rules.endpointsChanged(
                 now,
                 EndpointListMode.DELTA,
-                List.of(RequestRouterFixture.member(other, 0, 0, 0, EndpointState.DRAINING)));
+                List.of(RequestRouterFixture.endpoint(other, 0, 0, 0, EndpointState.DRAINING)));
         assertEquals(2, of(id).size());
         fillsAt(of(id).get(1), hashed);
         rules.endpointsChanged(
-                now, EndpointListMode.DELTA, List.of(RequestRouterFixture.member(other, 0, 0, 0, EndpointState.READY)));
+                now,
+                EndpointListMode.DELTA,
+                List.of(RequestRouterFixture.endpoint(other, 0, 0, 0, EndpointState.READY)));
         looksAt(of(ask(PURE, 0)).get(0), hashed);
     }
 
@@ -294,7 +296,7 @@
         assertEquals(0, inHand(other));
         wake();
         assertEquals(1, of(id).size());
-        assertTrue(router.refused.isEmpty() && router.failed.isEmpty());
+        assertTrue(router.rejected.isEmpty() && router.failed.isEmpty());
     }
 
     @Test
@@ -344,14 +346,14 @@
     @Test
     void noMoreWaitThanAreCounted() {
         List<EndpointInfo> more = LongStream.range(11, 31)
-                .mapToObj(node -> RequestRouterFixture.member(node, 0, 0, 0, EndpointState.READY))
+                .mapToObj(node -> RequestRouterFixture.endpoint(node, 0, 0, 0, EndpointState.READY))
                 .toList();
         rules.endpointsChanged(now, EndpointListMode.DELTA, more);
         for (int i = 0; i < MOST_WAITING + 10; i++) {
             rules.requestArrived(now, request(++lastId, PURE, 0, 1_000 + i));
             answer(lastId, AttemptResult.MISS, CacheStatus.COALESCED);
             // Beyond the bound it goes the way it went before, at once: a fill, or the end where the link has no room.
-            assertEquals(i >= MOST_WAITING, of(lastId).size() == 2 || router.refused.contains(lastId), "request " + i);
+            assertEquals(i >= MOST_WAITING, of(lastId).size() == 2 || router.rejected.contains(lastId), "request " + i);
         }
     }
 
@@ -361,7 +363,7 @@
             rules.requestArrived(now, request(++lastId, PURE, 0, 1_000 + i));
             if (of(lastId).isEmpty()) {
                 // All caches are full: what has nowhere to go has its end at once.
-                assertTrue(router.refused.contains(lastId));
+                assertTrue(router.rejected.contains(lastId));
                 return;
             }
             answer(lastId, AttemptResult.MISS, CacheStatus.COALESCED);
@@ -388,7 +390,7 @@
         RequestRouter joining = started(settings(true), recorder);
         joining.peerMessageReceived(now, 1, message(0, other, 50));
         joining.requestArrived(now, request(1, PURE, 0));
-        fillsAt(recorder.last(), hashed);
+        fillsAt(recorder.lastAttempt(), hashed);
     }
 
     @Test
@@ -420,7 +422,7 @@
                                 .build(),
                         recorder)
                 .requestArrived(now, request(1, PURE, 0));
-        fillsAt(recorder.last(), hashed);
+        fillsAt(recorder.lastAttempt(), hashed);
     }
 
     @Test
@@ -436,20 +438,21 @@
         answer(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
         now += 100 * MS;
         rules.timerExpired(now, 0);
-        PeerMessage message = PeerMessageCodec.decode(router.told.get(router.told.size() - 1));
+        PeerMessage message = PeerMessageCodec.decode(router.peerMessages.get(router.peerMessages.size() - 1));
         assertEquals(List.of(new HolderHint(OBJECT, 3, hashed, GROUP, 100)), message.fillsStarted());
         now += 100 * MS;
         rules.timerExpired(now, 0);
         assertEquals(
                 List.of(),
-                PeerMessageCodec.decode(router.told.get(router.told.size() - 1)).fillsStarted());
+                PeerMessageCodec.decode(router.peerMessages.get(router.peerMessages.size() - 1))
+                        .fillsStarted());
         answer(id, AttemptResult.OK, CacheStatus.FILLED);
         ask(PURE, 4);
         answer(lastId, AttemptResult.MISS, CacheStatus.UNKNOWN);
         answer(lastId, AttemptResult.OK, CacheStatus.FILLED);
         now += 100 * MS;
         rules.timerExpired(now, 0);
-        message = PeerMessageCodec.decode(router.told.get(router.told.size() - 1));
+        message = PeerMessageCodec.decode(router.peerMessages.get(router.peerMessages.size() - 1));
         assertEquals(
                 List.of(new HolderHint(OBJECT, 3, hashed, GROUP, 0), new HolderHint(OBJECT, 4, hashed, GROUP, 0)),
                 message.holders());
--- a/src/test/java/magpiewheel/routing/FillSourceSelectionTest.java
+++ b/src/test/java/magpiewheel/routing/FillSourceSelectionTest.java
@@ -12,10 +12,10 @@
     /** Late fills from the origin, as one director sees them. */
     private void originLate(RequestRouter director, RecordingActions sent, long from) {
         for (long id = from; id < from + 20; id++) {
-            director.requestArrived(now, request(id, PURE, id));
+            director.requestArrived(now, request(id, READ, id));
             director.attemptEnded(
                     now,
-                    AttemptOutcome.builder(id, 0, sent.last().node(), AttemptResult.OK)
+                    AttemptOutcome.builder(id, 0, sent.lastAttempt().node(), AttemptResult.OK)
                             .durationUs(1_900_000)
                             .requestCompleted(true)
                             .cacheStatus(CacheStatus.FILLED_BY_ORIGIN)
@@ -28,8 +28,8 @@
     private long tried(RequestRouter director, RecordingActions sent, long from) {
         long tried = 0;
         for (long id = from; id < from + 400; id++) {
-            director.requestArrived(now, request(id, PURE, id));
-            RecordingActions.Sent last = sent.last();
+            director.requestArrived(now, request(id, READ, id));
+            RecordingActions.StartedAttempt last = sent.lastAttempt();
             tried += last.plan().cachedOnly() ? 0 : 1;
             director.attemptEnded(
                     now,
@@ -43,13 +43,14 @@
 
     /** One parent is left, and its fills come so late; where they come straight from the origin, they come so. */
     private List<Long> sources(long fromParent, long fromOrigin, CacheStatus note, long from) {
-        rules.endpointsChanged(now, EndpointListMode.DELTA, List.of(member(PARENT_B, 1, 1, 0, EndpointState.DRAINING)));
+        router.endpointsChanged(
+                now, EndpointListMode.DELTA, List.of(endpoint(PARENT_B, 1, 1, 0, EndpointState.DRAINING)));
         List<Long> sources = new ArrayList<>();
         for (long id = from; id < from + 20; id++) {
-            RecordingActions.Sent sent = ask(id, PURE, id);
+            RecordingActions.StartedAttempt sent = submit(id, READ, id);
             sources.add(sent.plan().fillSource());
             boolean origin = sent.plan().fillSource() == ORIGIN;
-            rules.attemptEnded(
+            router.attemptEnded(
                     now,
                     AttemptOutcome.builder(id, 0, sent.node(), AttemptResult.OK)
                             .durationUs(origin ? fromOrigin : fromParent)
@@ -65,17 +66,17 @@
     private int sourcedFromA(long firstId) {
         int count = 0;
         for (long id = firstId; id < firstId + 40; id++) {
-            count += ask(id, PURE, id).plan().fillSource() == PARENT_A ? 1 : 0;
-            answer(id, 0, AttemptResult.OK, CacheStatus.HIT);
+            count += submit(id, READ, id).plan().fillSource() == PARENT_A ? 1 : 0;
+            endAttempt(id, 0, AttemptResult.OK, CacheStatus.HIT);
         }
         return count;
     }
 
     @Test
     void aFillComesFromAParentAndTheOriginServesWrites() {
-        long source = ask(1, PURE, 77).plan().fillSource();
+        long source = submit(1, READ, 77).plan().fillSource();
         assertTrue(source == PARENT_A || source == PARENT_B);
-        RecordingActions.Sent write = ask(2, UNSAFE, 78);
+        RecordingActions.StartedAttempt write = submit(2, UNSAFE_WRITE, 78);
         assertEquals(ORIGIN, write.plan().fillSource());
         assertEquals(0, write.plan().retentionRank());
     }
@@ -84,12 +85,12 @@
     @Test
     void mostFillsSpareADegradedOrigin() {
         for (long id = 1; id <= 20; id++) {
-            ask(id, PURE, id);
-            answer(id, 0, AttemptResult.OK, CacheStatus.FILLED);
-            ask(100 + id, PURE, 100 + id);
-            rules.attemptEnded(
+            submit(id, READ, id);
+            endAttempt(id, 0, AttemptResult.OK, CacheStatus.FILLED);
+            submit(100 + id, READ, 100 + id);
+            router.attemptEnded(
                     now,
-                    AttemptOutcome.builder(100 + id, 0, router.last().node(), AttemptResult.OK)
+                    AttemptOutcome.builder(100 + id, 0, actions.lastAttempt().node(), AttemptResult.OK)
                             .durationUs(1_900_000)
                             .requestCompleted(true)
                             .cacheStatus(CacheStatus.FILLED_BY_ORIGIN)
@@ -98,14 +99,14 @@
         }
         int heldOnly = 0;
         for (long id = 201; id <= 300; id++) {
-            boolean held = ask(id, PURE, id).plan().cachedOnly();
+            boolean held = submit(id, READ, id).plan().cachedOnly();
             heldOnly += held ? 1 : 0;
-            answer(
+            endAttempt(
                     id,
                     0,
                     held ? AttemptResult.MISS : AttemptResult.OK,
                     held ? CacheStatus.SOURCE_MISS : CacheStatus.FILLED);
-            assertEquals(1, attempts(id), "a spared fill ends at once");
+            assertEquals(1, attemptCount(id), "a spared fill ends at once");
         }
         assertTrue(heldOnly > 60 && heldOnly < 100, "some fills try the origin again: " + heldOnly);
     }
@@ -117,7 +118,7 @@
     @Test
     void allRoutersTogetherTryALateOriginAsOneWould() {
         RecordingActions sent = new RecordingActions();
-        RequestRouter director = started(settings(0, 14, false, SiblingFills.OFF), sent);
+        RequestRouter director = startRouter(settings(0, 14, false, SiblingFills.OFF), sent);
         originLate(director, sent, 1);
         long tried = tried(director, sent, 1_000);
         assertTrue(tried >= 1 && tried <= 16, "of 400 fills, tried at the origin: " + tried);
@@ -126,17 +127,17 @@
     /** The same day: each front found the late origin by itself, 6.3 to 9.1 s into the day. */
     @Test
     void aPeersReportOfALateOriginCounts() {
-        assertTrue(tried(rules, router, 1_000) > 390, "nothing was late yet");
+        assertTrue(tried(router, actions, 1_000) > 390, "nothing was late yet");
         for (int peer = 1; peer <= 12; peer++) {
-            rules.peerMessageReceived(
+            router.peerMessageReceived(
                     now,
                     peer,
                     PeerMessageCodec.encode(new PeerMessage(0, now, 0, 16, 0.9, List.of(), List.of(), List.of()))
                             .get(0));
         }
-        assertTrue(tried(rules, router, 2_000) < 100, "spared once peers told of it");
+        assertTrue(tried(router, actions, 2_000) < 100, "spared once peers told of it");
         now += 3 * SECOND;
-        assertTrue(tried(rules, router, 3_000) > 390, "asked again once nobody told of it lately");
+        assertTrue(tried(router, actions, 3_000) > 390, "asked again once nobody told of it lately");
     }
 
     /**
@@ -146,10 +147,10 @@
     @Test
     void anOriginThatWasLateLongAgoIsTriedAgain() {
         for (long id = 1; id <= 5; id++) {
-            ask(id, PURE, id);
-            rules.attemptEnded(
+            submit(id, READ, id);
+            router.attemptEnded(
                     now,
-                    AttemptOutcome.builder(id, 0, router.last().node(), AttemptResult.OK)
+                    AttemptOutcome.builder(id, 0, actions.lastAttempt().node(), AttemptResult.OK)
                             .durationUs(1_900_000)
                             .requestCompleted(true)
                             .cacheStatus(CacheStatus.FILLED_BY_ORIGIN)
@@ -159,13 +160,13 @@
         int before = 0;
         int after = 0;
         for (long id = 101; id <= 130; id++) {
-            before += ask(id, PURE, id).plan().cachedOnly() ? 1 : 0;
-            answer(id, 0, AttemptResult.CANCELLED, CacheStatus.UNKNOWN);
+            before += submit(id, READ, id).plan().cachedOnly() ? 1 : 0;
+            endAttempt(id, 0, AttemptResult.CANCELLED, CacheStatus.UNKNOWN);
         }
         now += 2 * SECOND;
         for (long id = 201; id <= 230; id++) {
-            after += ask(id, PURE, id).plan().cachedOnly() ? 1 : 0;
-            answer(id, 0, AttemptResult.CANCELLED, CacheStatus.UNKNOWN);
+            after += submit(id, READ, id).plan().cachedOnly() ? 1 : 0;
+            endAttempt(id, 0, AttemptResult.CANCELLED, CacheStatus.UNKNOWN);
         }
         assertTrue(before > 15, "in trouble: " + before);
         assertEquals(0, after);
@@ -181,7 +182,7 @@
         assertEquals(PARENT_A, sources.get(0));
         assertEquals(List.of(ORIGIN), sources.subList(1, 20).stream().distinct().toList());
         now += 3 * SECOND;
-        assertEquals(PARENT_A, ask(100, PURE, 100).plan().fillSource(), "not heard of lately, it is tried again");
+        assertEquals(PARENT_A, submit(100, READ, 100).plan().fillSource(), "not heard of lately, it is tried again");
     }
 
     /** A parent in time is asked first, whatever the origin could do: its bytes cost. */
@@ -213,9 +214,9 @@
     @Test
     void aParentsHighLatencyIsForgotten() {
         for (long id = 1; id <= 30; id++) {
-            RecordingActions.Sent sent = ask(id, PURE, id);
+            RecordingActions.StartedAttempt sent = submit(id, READ, id);
             boolean slow = sent.plan().fillSource() == PARENT_A;
-            rules.attemptEnded(
+            router.attemptEnded(
                     now,
                     AttemptOutcome.builder(id, 0, sent.node(), AttemptResult.OK)
                             .durationUs(slow ? 1_500_000 : 50_000)
--- a/src/test/java/magpiewheel/routing/HoldOnlyAttemptTest.java
+++ b/src/test/java/magpiewheel/routing/HoldOnlyAttemptTest.java
@@ -26,9 +26,9 @@
 
     HoldOnlyAttemptTest() {
         RoutingSettings set = RequestRouterFixture.settings(false, SiblingFills.OFF);
-        set = RequestRouterFixture.with(set, false, set.detailedCacheStatus());
+        set = RequestRouterFixture.withFeatures(set, false, set.detailedCacheStatus());
         rules = new RequestRouter(set, 42, router, set.topology().membershipConfig(0, 400_000, 1, false), null, true);
-        rules.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.fleet());
+        rules.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.endpoints());
         for (int i = 0; i < 4; i++) {
             now += SECOND;
             rules.boundedReads().discoveryHeard(now);
@@ -56,11 +56,11 @@
         return lastId;
     }
 
-    private List<RecordingActions.Sent> of(long id) {
-        return router.sent.stream().filter(sent -> sent.request() == id).toList();
+    private List<RecordingActions.StartedAttempt> of(long id) {
+        return router.attempts.stream().filter(sent -> sent.request() == id).toList();
     }
 
-    private RecordingActions.Sent last(long id) {
+    private RecordingActions.StartedAttempt last(long id) {
         return of(id).get(of(id).size() - 1);
     }
 
@@ -93,7 +93,7 @@
     }
 
     private void wake() {
-        now = router.all.stream()
+        now = router.calls.stream()
                 .filter(line -> line.matches("timer [0-9]+ " + WAIT))
                 .mapToLong(line -> Long.parseLong(line.split(" ")[1]))
                 .max()
@@ -141,7 +141,7 @@
         assertNotEquals(asked, last(id).node());
         comesTooOld(id, CacheStatus.FILLED_BY_ORIGIN);
         assertEquals(2, of(id).size());
-        assertEquals(List.of(id), router.refused);
+        assertEquals(List.of(id), router.rejected);
     }
 
     @Test
@@ -163,7 +163,7 @@
         comesTooOld(id, CacheStatus.HIT);
         assertEquals(3, of(id).size());
         assertEquals(ORIGIN, last(id).plan().fillSource());
-        assertTrue(router.refused.isEmpty());
+        assertTrue(router.rejected.isEmpty());
         misses(id, CacheStatus.SOURCE_REJECTED);
         assertEquals(4, of(id).size());
     }
@@ -224,7 +224,7 @@
         for (long id = 1; id <= 200; id++) {
             led.requestArrived(
                     at, RoutingRequest.builder(id, 0, id).group(5).sizeKb(100).build());
-            assertEquals(to.last().node(), to.last().plan().fillSource());
+            assertEquals(to.lastAttempt().node(), to.lastAttempt().plan().fillSource());
             led.attemptEnded(
                     at,
                     AttemptOutcome.builder(id, 0, 1, result)
--- a/src/test/java/magpiewheel/routing/LibraryUseTest.java
+++ b/src/test/java/magpiewheel/routing/LibraryUseTest.java
@@ -14,14 +14,14 @@
         RoutingSettings settings = RequestRouterFixture.settings(true, SiblingFills.LOCATION);
         RoutingPolicy director = new RequestRouter(
                 settings, 1, actions, settings.topology().membershipConfig(0, 400_000, 1, false), null, false);
-        director.endpointsChanged(now, EndpointListMode.FULL, RequestRouterFixture.fleet());
+        director.endpointsChanged(now, EndpointListMode.FULL, RequestRouterFixture.endpoints());
         director.requestArrived(
                 now,
                 RoutingRequest.builder(1, 0, 77)
                         .group(5)
                         .timeBudgetUs(2_000_000)
                         .build());
-        long node = actions.last().node();
+        long node = actions.lastAttempt().node();
         assertTrue(node >= 1 && node <= 4);
         director.attemptEnded(
                 now,
@@ -38,7 +38,7 @@
                         .group(5)
                         .timeBudgetUs(2_000_000)
                         .build());
-        assertEquals(node, actions.last().node());
-        assertTrue(actions.last().plan().maxAgeUs() > 0);
+        assertEquals(node, actions.lastAttempt().node());
+        assertTrue(actions.lastAttempt().plan().maxAgeUs() > 0);
     }
 }
--- a/src/test/java/magpiewheel/routing/LoadSheddingTest.java
+++ b/src/test/java/magpiewheel/routing/LoadSheddingTest.java
@@ -9,15 +9,16 @@
 /** Which requests get no fill under load. */
 class LoadSheddingTest extends RequestRouterFixture {
     private boolean fills(long id, double kbytes) {
-        rules.requestArrived(
+        router.requestArrived(
                 now,
-                RoutingRequest.builder(id, PURE, 1_000 + id)
+                RoutingRequest.builder(id, READ, 1_000 + id)
                         .group(5)
                         .sizeKb(kbytes)
                         .timeBudgetUs(2 * SECOND)
                         .build());
-        return router.last().request() == id
-                && router.last().plan().fillSource() != router.last().node();
+        return actions.lastAttempt().request() == id
+                && actions.lastAttempt().plan().fillSource()
+                        != actions.lastAttempt().node();
     }
 
     /** Of what crowds the link the large go first: a class's mean says nothing of a request whose size is told. */
@@ -36,17 +37,17 @@
     @Test
     void beyondTheFillLimitARequestIsServedFromACacheOrRejectedAtOnce() {
         for (long id = 1; id <= 60; id++) {
-            rules.requestArrived(now, request(id, PURE, id));
+            router.requestArrived(now, request(id, READ, id));
         }
-        List<RecordingActions.Sent> looks = router.sent.stream()
+        List<RecordingActions.StartedAttempt> looks = actions.attempts.stream()
                 .filter(s -> s.plan().fillSource() == s.node())
                 .toList();
         // The link carries 10 transfers at a client's pace; 20 fills at first, of 0.4 an attempt, are 50.
         assertTrue(looks.size() >= 5 && looks.get(0).request() >= 50, "without a fill " + looks);
-        router.refused.clear();
-        answer(looks.get(0).request(), 0, AttemptResult.MISS, CacheStatus.SOURCE_MISS);
-        assertEquals(List.of(looks.get(0).request()), router.refused);
-        answer(looks.get(1).request(), 0, AttemptResult.OK, CacheStatus.HIT);
-        assertEquals(1, router.refused.size());
+        actions.rejected.clear();
+        endAttempt(looks.get(0).request(), 0, AttemptResult.MISS, CacheStatus.SOURCE_MISS);
+        assertEquals(List.of(looks.get(0).request()), actions.rejected);
+        endAttempt(looks.get(1).request(), 0, AttemptResult.OK, CacheStatus.HIT);
+        assertEquals(1, actions.rejected.size());
     }
 }
--- a/src/test/java/magpiewheel/routing/RegionalFleetTest.java
+++ b/src/test/java/magpiewheel/routing/RegionalFleetTest.java
@@ -233,8 +233,8 @@
         List<long[]> due = new ArrayList<>();
         for (int id = 1; id <= 300; id++) {
             now += 20 * MS;
-            for (; timers < router.all.size(); timers++) {
-                String[] words = router.all.get(timers).split(" ");
+            for (; timers < router.calls.size(); timers++) {
+                String[] words = router.calls.get(timers).split(" ");
                 if (words[0].equals("timer")) {
                     due.add(new long[] {Long.parseLong(words[1]), Long.parseLong(words[2])});
                 }
@@ -255,7 +255,7 @@
                             .group(5)
                             .sizeKb(100)
                             .build());
-            RecordingActions.Sent sent = router.last();
+            RecordingActions.StartedAttempt sent = router.lastAttempt();
             if (sent.request() == id) {
                 rules.attemptEnded(
                         now,
@@ -267,7 +267,7 @@
                                 .build());
             }
         }
-        return router.all;
+        return router.calls;
     }
 
     /**
@@ -296,8 +296,8 @@
         int woken = 0;
         long now = start;
         while (now < start + 5 * SECOND) {
-            for (; read < router.all.size(); read++) {
-                String[] words = router.all.get(read).split(" ");
+            for (; read < router.calls.size(); read++) {
+                String[] words = router.calls.get(read).split(" ");
                 if (words[0].equals("timer")) {
                     due.add(new long[] {Long.parseLong(words[1]), Long.parseLong(words[2])});
                 }
--- a/src/test/java/magpiewheel/routing/RequestRouterTest.java
+++ b/src/test/java/magpiewheel/routing/RequestRouterTest.java
@@ -77,36 +77,36 @@
     @Test
     void sameEventsGiveTheSameActions() {
         RecordingActions again = new RecordingActions();
-        RequestRouter twin = started(settings(false, SiblingFills.OFF), again);
+        RequestRouter twin = startRouter(settings(false, SiblingFills.OFF), again);
         for (long id = 1; id < 300; id++) {
-            rules.requestArrived(now, request(id, PURE, id % 40));
-            twin.requestArrived(now, request(id, PURE, id % 40));
+            router.requestArrived(now, request(id, READ, id % 40));
+            twin.requestArrived(now, request(id, READ, id % 40));
         }
-        assertEquals(router.all, again.all);
-        assertFalse(router.all.isEmpty());
+        assertEquals(actions.calls, again.calls);
+        assertFalse(actions.calls.isEmpty());
     }
 
     @Test
     void eventsOfUnknownRequestsAreIgnored() {
-        int before = router.all.size();
-        rules.attemptEnded(
+        int before = actions.calls.size();
+        router.attemptEnded(
                 now,
                 AttemptOutcome.builder(5, 0, 1, AttemptResult.OK)
                         .durationUs(1)
                         .requestCompleted(true)
                         .cacheStatus(CacheStatus.HIT)
                         .build());
-        rules.clientDisconnected(now, 5);
-        rules.streamStarted(now, 5, 0);
-        rules.timerExpired(now, 99);
-        assertEquals(before, router.all.size());
+        router.clientDisconnected(now, 5);
+        router.streamStarted(now, 5, 0);
+        router.timerExpired(now, 99);
+        assertEquals(before, actions.calls.size());
     }
 
     @Test
     void aFailedSubscriptionIsRetried() {
         RoutingSettings s = settings(false, SiblingFills.OFF);
         RecordingActions asked = new RecordingActions();
-        RequestRouter asking = started(
+        RequestRouter asking = startRouter(
                 RoutingSettings.builder(s.topology(), s.requestClasses(), s.limits(), s.safetyLimits())
                         .tenants(s.tenants())
                         .overQuotaPriorityWeight(0)
@@ -118,26 +118,26 @@
                         .loadMetrics(s.loadMetrics())
                         .build(),
                 asked);
-        assertEquals(1, asked.all.stream().filter("subscribe true"::equals).count());
+        assertEquals(1, asked.calls.stream().filter("subscribe true"::equals).count());
         asking.endpointsChanged(now, EndpointListMode.FAILED, List.of());
-        String timer = asked.all.get(asked.all.size() - 1);
+        String timer = asked.calls.get(asked.calls.size() - 1);
         asking.timerExpired(now + SECOND, Long.parseLong(timer.split(" ")[2]));
-        assertEquals(2, asked.all.stream().filter("subscribe true"::equals).count());
+        assertEquals(2, asked.calls.stream().filter("subscribe true"::equals).count());
     }
 
     @Test
     void aStreamThatHasStartedIsLeftAlone() {
-        ask(1, PURE, 77);
-        rules.streamStarted(now, 1, 0);
-        int before = router.all.size();
-        answer(1, 0, AttemptResult.CONNECTION_LOST, CacheStatus.UNKNOWN);
-        assertEquals(before, router.all.size());
+        submit(1, READ, 77);
+        router.streamStarted(now, 1, 0);
+        int before = actions.calls.size();
+        endAttempt(1, 0, AttemptResult.CONNECTION_LOST, CacheStatus.UNKNOWN);
+        assertEquals(before, actions.calls.size());
     }
 
     @Test
     void invalidArgumentsAreReported() {
-        assertThrows(IllegalArgumentException.class, () -> new RequestRouter(null, 1, router, null, null, false));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> rules.requestArrived(now, request(1, 9, 1)))
+        assertThrows(IllegalArgumentException.class, () -> new RequestRouter(null, 1, actions, null, null, false));
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> router.requestArrived(now, request(1, 9, 1)))
                 .getMessage()
                 .contains("profile 9"));
     }
--- a/src/test/java/magpiewheel/routing/RetryTest.java
+++ b/src/test/java/magpiewheel/routing/RetryTest.java
@@ -11,75 +11,75 @@
 class RetryTest extends RequestRouterFixture {
     @Test
     void aNonIdempotentRequestThatMayHaveRunFailsAtOnce() {
-        ask(1, UNSAFE, 77);
-        answer(1, 0, AttemptResult.CONNECTION_LOST, CacheStatus.UNKNOWN);
-        assertEquals(1, attempts(1));
-        assertEquals(List.of(1L), router.failed);
+        submit(1, UNSAFE_WRITE, 77);
+        endAttempt(1, 0, AttemptResult.CONNECTION_LOST, CacheStatus.UNKNOWN);
+        assertEquals(1, attemptCount(1));
+        assertEquals(List.of(1L), actions.failed);
     }
 
     @Test
     void aNonIdempotentRequestThatDidNotRunIsRetried() {
-        ask(1, UNSAFE, 77);
-        answer(1, 0, AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN);
-        assertEquals(2, attempts(1));
+        submit(1, UNSAFE_WRITE, 77);
+        endAttempt(1, 0, AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN);
+        assertEquals(2, attemptCount(1));
     }
 
     @Test
     void aKeyedRequestIsNotRetriedAfterItsWindow() {
-        ask(1, KEYED, 77);
+        submit(1, KEYED_WRITE, 77);
         now += SECOND;
-        answer(1, 0, AttemptResult.CONNECTION_LOST, CacheStatus.UNKNOWN);
-        assertEquals(2, attempts(1));
+        endAttempt(1, 0, AttemptResult.CONNECTION_LOST, CacheStatus.UNKNOWN);
+        assertEquals(2, attemptCount(1));
         now += SECOND;
-        answer(1, 1, AttemptResult.CONNECTION_LOST, CacheStatus.UNKNOWN);
-        assertEquals(2, attempts(1));
-        assertEquals(List.of(1L), router.refused);
+        endAttempt(1, 1, AttemptResult.CONNECTION_LOST, CacheStatus.UNKNOWN);
+        assertEquals(2, attemptCount(1));
+        assertEquals(List.of(1L), actions.rejected);
     }
 
     /** Its connection may come up late: the plan ends with the window, which counts from what may have run. */
     @Test
     void aRetryOfAKeyedRequestMayStartOnlyWithinItsWindow() {
         long sentAt = now;
-        ask(1, KEYED, 77);
+        submit(1, KEYED_WRITE, 77);
         now += 1_850_000;
-        answer(1, 0, AttemptResult.CONNECTION_LOST, CacheStatus.UNKNOWN);
-        assertEquals(2, attempts(1));
-        assertEquals(sentAt + 2 * SECOND, router.last().plan().startByUs());
+        endAttempt(1, 0, AttemptResult.CONNECTION_LOST, CacheStatus.UNKNOWN);
+        assertEquals(2, attemptCount(1));
+        assertEquals(sentAt + 2 * SECOND, actions.lastAttempt().plan().startByUs());
     }
 
     /** A first attempt that never ran began no window. */
     @Test
     void aRejectedKeyedRequestHasNoWindow() {
-        ask(1, KEYED, 77);
+        submit(1, KEYED_WRITE, 77);
         now += 1_850_000;
-        answer(1, 0, AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN);
-        assertEquals(2, attempts(1));
-        assertTrue(router.last().plan().startByUs() > now + 150_000, "as any other plan");
+        endAttempt(1, 0, AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN);
+        assertEquals(2, attemptCount(1));
+        assertTrue(actions.lastAttempt().plan().startByUs() > now + 150_000, "as any other plan");
     }
 
     @Test
     void nothingIsRetriedAfterTheClientsDeadline() {
-        ask(1, PURE, 77);
+        submit(1, READ, 77);
         now += SECOND;
-        answer(1, 0, AttemptResult.TIMEOUT, CacheStatus.UNKNOWN);
-        assertEquals(1, attempts(1));
-        assertEquals(List.of(1L), router.refused);
+        endAttempt(1, 0, AttemptResult.TIMEOUT, CacheStatus.UNKNOWN);
+        assertEquals(1, attemptCount(1));
+        assertEquals(List.of(1L), actions.rejected);
     }
 
     /** A spoilt answer is asked for again where it is held, and a parent may be tried again: not once they drain. */
     @Test
     void aRetryAvoidsEndpointsThatBeganToDrain() {
-        RecordingActions.Sent first = ask(1, PURE, 77);
-        rules.endpointsChanged(
+        RecordingActions.StartedAttempt first = submit(1, READ, 77);
+        router.endpointsChanged(
                 now,
                 EndpointListMode.DELTA,
                 List.of(
-                        member(first.node(), 0, 0, 0, EndpointState.DRAINING),
-                        member(first.plan().fillSource(), 1, 1, 0, EndpointState.DRAINING)));
-        answer(1, 0, AttemptResult.CORRUPT, CacheStatus.UNKNOWN);
-        assertEquals(2, attempts(1));
-        assertNotEquals(first.node(), router.last().node());
-        assertNotEquals(first.plan().fillSource(), router.last().plan().fillSource());
+                        endpoint(first.node(), 0, 0, 0, EndpointState.DRAINING),
+                        endpoint(first.plan().fillSource(), 1, 1, 0, EndpointState.DRAINING)));
+        endAttempt(1, 0, AttemptResult.CORRUPT, CacheStatus.UNKNOWN);
+        assertEquals(2, attemptCount(1));
+        assertNotEquals(first.node(), actions.lastAttempt().node());
+        assertNotEquals(first.plan().fillSource(), actions.lastAttempt().plan().fillSource());
     }
 
     /**
@@ -88,7 +88,7 @@
      */
     @Test
     void aPlanExpiresBeforeADrainOrAPurgeForbidsIt() {
-        long beginBy = ask(1, PURE, 77).plan().startByUs();
+        long beginBy = submit(1, READ, 77).plan().startByUs();
         assertTrue(beginBy > now && beginBy < now + 300_000, "to begin within " + (beginBy - now));
     }
 
@@ -96,10 +96,10 @@
     @Test
     void aCorruptResponseIsRetriedAtTheHolder() {
         for (long id = 1; id <= 20; id++) {
-            long holder = ask(id, PURE, 77).node();
-            answer(id, 0, AttemptResult.CORRUPT, CacheStatus.UNKNOWN);
-            assertEquals(holder, router.last().node());
-            answer(id, 1, AttemptResult.OK, CacheStatus.HIT);
+            long holder = submit(id, READ, 77).node();
+            endAttempt(id, 0, AttemptResult.CORRUPT, CacheStatus.UNKNOWN);
+            assertEquals(holder, actions.lastAttempt().node());
+            endAttempt(id, 1, AttemptResult.OK, CacheStatus.HIT);
             now += 100_000;
         }
     }
--- a/src/test/java/magpiewheel/routing/SlowStartTest.java
+++ b/src/test/java/magpiewheel/routing/SlowStartTest.java
@@ -10,13 +10,13 @@
 class SlowStartTest extends RequestRouterFixture {
     @Test
     void aCacheThatWarmsUpGetsNoMoreThanItsBudget() {
-        rules.endpointsChanged(now, EndpointListMode.DELTA, List.of(member(1, 0, 0, now, EndpointState.READY)));
+        router.endpointsChanged(now, EndpointListMode.DELTA, List.of(endpoint(1, 0, 0, now, EndpointState.READY)));
         long toCold = 0;
         for (long id = 1; id <= 200; id++) {
-            rules.requestArrived(now, request(id, PURE, id * 31));
-            if (attempts(id) == 1) {
-                toCold += router.last().node() == 1 ? 1 : 0;
-                answer(id, 0, AttemptResult.OK, CacheStatus.HIT);
+            router.requestArrived(now, request(id, READ, id * 31));
+            if (attemptCount(id) == 1) {
+                toCold += actions.lastAttempt().node() == 1 ? 1 : 0;
+                endAttempt(id, 0, AttemptResult.OK, CacheStatus.HIT);
             }
         }
         // 2 x 0.2 x 3 transfers x 2 s over 2 directors are 1.2 s of work; hits of 50 ms are 24 of them.
@@ -34,19 +34,19 @@
             RoutingSettings here = settings(me, directors, false, SiblingFills.OFF);
             RequestRouter one = new RequestRouter(
                     here, me, each, here.topology().membershipConfig(0, 400_000, 1, false), null, false);
-            List<EndpointInfo> members = new ArrayList<>(fleet());
-            members.set(4, member(PARENT_A, 1, 1, now, EndpointState.READY));
+            List<EndpointInfo> members = new ArrayList<>(endpoints());
+            members.set(4, endpoint(PARENT_A, 1, 1, now, EndpointState.READY));
             one.endpointsChanged(now, EndpointListMode.CACHED, members);
             for (long id = 1; id <= 250; id++) {
                 long at = now + id * 100_000;
-                one.requestArrived(at, request(id, PURE, id * 31 + me));
-                if (each.last().request() == id) {
-                    if (each.last().plan().fillSource() == PARENT_A) {
+                one.requestArrived(at, request(id, READ, id * 31 + me));
+                if (each.lastAttempt().request() == id) {
+                    if (each.lastAttempt().plan().fillSource() == PARENT_A) {
                         times.add(at);
                     }
                     one.attemptEnded(
                             at,
-                            AttemptOutcome.builder(id, 0, each.last().node(), AttemptResult.OK)
+                            AttemptOutcome.builder(id, 0, each.lastAttempt().node(), AttemptResult.OK)
                                     .durationUs(50_000)
                                     .requestCompleted(true)
                                     .cacheStatus(CacheStatus.FILLED)
--- a/src/test/java/magpiewheel/routing/SparseCacheStatusTest.java
+++ b/src/test/java/magpiewheel/routing/SparseCacheStatusTest.java
@@ -20,9 +20,9 @@
 
     SparseCacheStatusTest() {
         RoutingSettings set = RequestRouterFixture.settings(false, SiblingFills.OFF);
-        set = RequestRouterFixture.with(set, set.cachesJoinFills(), false);
+        set = RequestRouterFixture.withFeatures(set, set.cachesJoinFills(), false);
         rules = new RequestRouter(set, 42, router, set.topology().membershipConfig(0, 400_000, 1, false), null, false);
-        rules.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.fleet());
+        rules.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.endpoints());
     }
 
     /** Asks for something new, answers all attempts, and returns how many of them were to be filled at the parent. */
@@ -36,8 +36,8 @@
         int named = 0;
         int attempt = 0;
         boolean served = false;
-        while (!served && router.last().request() == id && attempt < sent(id)) {
-            RecordingActions.Sent last = router.last();
+        while (!served && router.lastAttempt().request() == id && attempt < sent(id)) {
+            RecordingActions.StartedAttempt last = router.lastAttempt();
             boolean fails = last.plan().fillSource() == PARENT;
             named += fails ? 1 : 0;
             served = !fails;
@@ -57,7 +57,7 @@
     }
 
     private long sent(long id) {
-        return router.sent.stream().filter(sent -> sent.request() == id).count();
+        return router.attempts.stream().filter(sent -> sent.request() == id).count();
     }
 
     /** All caches come by the blame alike, the parent alone of the parents: it is left out, and they are not. */
@@ -69,9 +69,9 @@
             named += id > REQUESTS - LAST ? tries : 0;
         }
         assertTrue(named < LAST / 10, "of the last " + LAST + " requests so many tried the failing parent: " + named);
-        long used = router.sent.stream()
-                .skip(router.sent.size() - LAST)
-                .mapToLong(RecordingActions.Sent::node)
+        long used = router.attempts.stream()
+                .skip(router.attempts.size() - LAST)
+                .mapToLong(RecordingActions.StartedAttempt::node)
                 .filter(node -> node <= CACHES)
                 .distinct()
                 .count();
--- a/src/test/java/magpiewheel/routing/WarmingFleetTest.java
+++ b/src/test/java/magpiewheel/routing/WarmingFleetTest.java
@@ -94,7 +94,7 @@
         rules.endpointsChanged(
                 now,
                 EndpointListMode.CACHED,
-                List.of(RequestRouterFixture.member(there, 0, 1, now, EndpointState.READY)));
+                List.of(RequestRouterFixture.endpoint(there, 0, 1, now, EndpointState.READY)));
         assertEquals(RoutingPolicy.NO_CACHE, rules.selectCache(now, 1, 77));
         assertEquals(there, rules.selectCache(now + 60 * WarmingFleet.SECOND, 1, 77));
     }
--- a/src/test/java/magpiewheel/staleness/CasesTest.java
+++ b/src/test/java/magpiewheel/staleness/CasesTest.java
@@ -108,21 +108,21 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("rows")
     void theCaseIsKept(Rows.Row row) {
-        Rows.judge(row, STEPS, CaseWorld::new).check();
+        Rows.run(row, STEPS, CaseWorld::new).check();
     }
 
     @Test
     void thePageSaysWhatTheCasesCameTo() throws IOException {
-        List<Rows.Judged> judged = new ArrayList<>();
+        List<Rows.RowResult> judged = new ArrayList<>();
         for (Rows.Row row : rows()) {
-            judged.add(Rows.judge(row, STEPS, CaseWorld::new));
+            judged.add(Rows.run(row, STEPS, CaseWorld::new));
         }
         Report.check("## Pinned reads", judged);
     }
 
     @Test
     void everyPhraseIsUsedAndEveryRuleHasACase() throws IOException {
-        assertEquals(List.of(), STEPS.unused(rows()));
+        assertEquals(List.of(), STEPS.unusedPhrases(rows()));
         for (String number : PageTable.column(PageTable.read(PAGE, "## Rules"), "number")) {
             assertTrue(rows().stream().anyMatch(row -> row.paragraph().startsWith(number + " ")), "rule " + number);
         }
--- a/src/test/java/magpiewheel/staleness/StalenessMutationsTest.java
+++ b/src/test/java/magpiewheel/staleness/StalenessMutationsTest.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
-import magpiewheel.mistakes.Mistake;
+import magpiewheel.mistakes.SourceMutation;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
@@ -30,232 +30,232 @@
     @TempDir
     Path folder;
 
-    static List<Mistake> mistakes() {
+    static List<SourceMutation> mistakes() {
         String beyond = "noReadIsBeyondItsBoundOrMark";
         return List.of(
-                new Mistake(
+                new SourceMutation(
                         "the earliest that the origin's clock may show is taken",
                         "BoundedStalenessReads",
                         "mintedUs >= origin.latest(bound.requestedAt())",
                         "mintedUs >= origin.earliest(bound.requestedAt())",
                         beyond),
-                new Mistake(
+                new SourceMutation(
                         "the own clock is taken for the origin's",
                         "OriginClock",
                         "return now + upperOffsetAt(now);",
                         "return now;",
                         beyond),
-                new Mistake(
+                new SourceMutation(
                         "any copy counts as given out for this request",
                         "BoundedStalenessReads",
                         "if (viaOrigin) {",
                         "if (true) {",
                         beyond),
-                new Mistake(
+                new SourceMutation(
                         "an upper bound counts from when the answer came",
                         "BoundedStalenessReads",
                         "origin.lowerUpperBound(sentUs,",
                         "origin.lowerUpperBound(gotUs,",
                         beyond),
-                new Mistake(
+                new SourceMutation(
                         "a front's word counts from when it came",
                         "ReplicaGossip",
                         "origin.lowerUpperBound(echo,",
                         "origin.lowerUpperBound(now,",
                         beyond),
-                new Mistake(
+                new SourceMutation(
                         "marks are not looked at",
                         "BoundedStalenessReads",
                         "hint.afterMs() * 1000, purgeUs",
                         "0, purgeUs",
                         "noSessionGoesBack"),
-                new Mistake(
+                new SourceMutation(
                         "a mark is good for a second before it",
                         "BoundedStalenessReads",
                         "hint.afterMs() * 1000, purgeUs",
                         "hint.afterMs() * 1000 - 1_000_000, purgeUs",
                         "noSessionGoesBack"),
-                new Mistake(
+                new SourceMutation(
                         "a mark is not proved, only asked for",
                         "BoundedStalenessReads",
                         "mintedUs < bound.notBeforeUs() ||",
                         "",
                         "noSessionGoesBack"),
-                new Mistake(
+                new SourceMutation(
                         "the age is not proved, only asked for",
                         "BoundedStalenessReads",
                         "return bound.maxAgeUs() == 0",
                         "return bound.maxAgeUs() >= 0",
                         beyond),
-                new Mistake(
+                new SourceMutation(
                         "purges are not looked at",
                         "BoundedStalenessReads",
                         "hint.afterMs() * 1000, purgeUs",
                         "hint.afterMs() * 1000, 0",
                         "noStrictReadIsOlderThanAPurgeThatWasTold"),
-                new Mistake(
+                new SourceMutation(
                         "a silent board changes nothing",
                         "DiscoveryFreshness",
                         "return silent > SILENT_US ||",
                         "return silent > CUT_OFF_US ||",
                         "noStrictReadIsOlderThanAPurgeThatWasTold"),
-                new Mistake(
+                new SourceMutation(
                         "a board heard again counts as caught up",
                         "DiscoveryFreshness",
                         "CAUGHT_UP_US = 1_200_000",
                         "CAUGHT_UP_US = 0",
                         "theCaseIsKept"),
-                new Mistake(
+                new SourceMutation(
                         "a board is never cut off",
                         "DiscoveryFreshness",
                         "if (silent > CUT_OFF_US) {",
                         "if (false) {",
                         "theCaseIsKept"),
-                new Mistake(
+                new SourceMutation(
                         "an age is told without the error",
                         "BoundedStalenessReads",
                         "(origin.latest(bound.requestedAt()) - mintedUs + 999)",
                         "(origin.earliest(bound.requestedAt()) - mintedUs)",
                         "noAgeIsToldTooSmall"),
-                new Mistake(
+                new SourceMutation(
                         "clocks do not drift",
                         "OriginClock",
                         "DRIFT_PPM = 1_200",
                         "DRIFT_PPM = 0",
                         "whatIsKnownOfTheClockWidensAndNarrowsAgain"),
-                new Mistake(
+                new SourceMutation(
                         "a clock that was stepped is not found",
                         "OriginClock",
                         "if (upperOffsetUs != Long.MAX_VALUE && lowerOffsetUs > upperOffsetAt(now)) {",
                         "if (false) {",
                         "aClockThatWasSteppedIsFoundAndLearntAnew"),
-                new Mistake(
+                new SourceMutation(
                         "a write bounds the clock from above",
                         "BoundedStalenessReads",
                         "responseReceived(sentUs, gotUs, mintedUs, false);",
                         "responseReceived(sentUs, gotUs, mintedUs, true);",
                         "aWriteBoundsTheClockFromBelowOnly"),
-                new Mistake(
+                new SourceMutation(
                         "a write's mark is its answer's time",
                         "BoundedStalenessReads",
                         "(write ? 1 : 0)",
                         "0",
                         "aMarkOfAWriteIsOneMore"),
-                new Mistake(
+                new SourceMutation(
                         "at_most outlasts the class",
                         "BoundedStalenessReads",
                         "Math.min(hint.atMostUs(), freshUs + graceUs)",
                         "hint.atMostUs()",
                         "theCaseIsKept"),
-                new Mistake(
+                new SourceMutation(
                         "a node may answer older than the class's fresh time",
                         "BoundedStalenessReads",
                         "Math.min(age, bound.freshUs()) : age",
                         "age : age",
                         "theCaseIsKept"),
-                new Mistake(
+                new SourceMutation(
                         "a strict read may go by a parent of which nothing is known",
                         "BoundedStalenessReads",
                         "minted == 0 ? !bound.strict()",
                         "minted == 0 ? true",
                         "theCaseIsKept"),
-                new Mistake(
+                new SourceMutation(
                         "a mark ahead of the origin is waited for",
                         "BoundedStalenessReads",
                         "&& !ahead;",
                         ";",
                         "theCaseIsKept"),
-                new Mistake(
+                new SourceMutation(
                         "what is not known of the pinned cache frees the session",
                         "BoundedStalenessReads",
                         "if (minted == 0 || minted > 0 && accepts",
                         "if (minted > 0 && accepts",
                         "theCaseIsKept"),
-                new Mistake(
+                new SourceMutation(
                         "a cache takes any number of pins",
                         "StickyReplicaTable",
                         "if (state.assigned >= capacity(state)) {",
                         "if (false) {",
                         "aCrowdMovesNoHotSpot"),
-                new Mistake(
+                new SourceMutation(
                         "any number of reads leave the module's order",
                         "StickyReplicaTable",
                         "state.migrations++;",
                         "",
                         "aCrowdMovesNoHotSpot"),
-                new Mistake(
+                new SourceMutation(
                         "pins stay at a draining cache",
                         "StickyReplicaTable",
                         "if (state.ready && cache.draining()) {",
                         "if (false) {",
                         "pinsLeaveADrainingCacheAtOnceAndComeBackPaced"),
-                new Mistake(
+                new SourceMutation(
                         "pins come home at once",
                         "StickyReplicaTable",
                         "RETURN_US = 20_000_000",
                         "RETURN_US = 0",
                         "pinsLeaveADrainingCacheAtOnceAndComeBackPaced"),
-                new Mistake(
+                new SourceMutation(
                         "pins do not come home",
                         "StickyReplicaTable",
                         "if (home != endpoint && isBackHome(now, home, key)) {",
                         "if (false) {",
                         "pinsLeaveADrainingCacheAtOnceAndComeBackPaced"),
-                new Mistake(
+                new SourceMutation(
                         "a cache that started again has what it had",
                         "StickyReplicaTable",
                         "cache.startedUs() != state.startedUs",
                         "false",
                         "aCacheThatStartedAgainHoldsNothing"),
-                new Mistake(
+                new SourceMutation(
                         "an older word counts",
                         "ReplicaIndex",
                         "Math.max(mintedUs, table.value(at))",
                         "mintedUs",
                         "whatALaterWordTellsOfAnOlderCopyChangesNothing"),
-                new Mistake(
+                new SourceMutation(
                         "a purge leaves what is known",
                         "ReplicaIndex",
                         "table.value(i) < atUs",
                         "table.value(i) < 0",
                         "whatALaterWordTellsOfAnOlderCopyChangesNothing"),
-                new Mistake(
+                new SourceMutation(
                         "the newest of a full set gives way",
                         "SetAssociativeTable",
                         "lastUsedAt[i] < lastUsedAt[oldest]",
                         "lastUsedAt[i] > lastUsedAt[oldest]",
                         "theOldestOfAFullSetGivesWayAndTheAgedAreGone"),
-                new Mistake(
+                new SourceMutation(
                         "who starts asks nobody",
                         "ReplicaGossip",
                         "fullRequestsLeft = FULL_REQUESTS;",
                         "fullRequestsLeft = 0;",
                         "aFrontThatStartsAgainHasItsCopiesPinsAndClockFromAnother"),
-                new Mistake(
+                new SourceMutation(
                         "ticks have no limit",
                         "ReplicaGossip",
                         "int messagesLeft = MAX_DATAGRAMS;",
                         "int messagesLeft = 1_000_000;",
                         "whatFrontsTellIsBounded"),
-                new Mistake(
+                new SourceMutation(
                         "a copy is told to every front",
                         "ReplicaGossip",
                         "int to = Math.min(RECEIVERS, routers.size());",
                         "int to = Math.min(MAX_DATAGRAMS, routers.size());",
                         "aCopyIsToldToFourFrontsInTurn"),
-                new Mistake(
+                new SourceMutation(
                         "any version is read",
                         "ReplicaGossip",
                         "|| bytes.get() != VERSION",
                         "|| bytes.get() < 0",
                         "whatIsNotOursChangesNothing"),
-                new Mistake(
+                new SourceMutation(
                         "an answer counts that nobody asked for",
                         "ReplicaGossip",
                         "sent == null || sent != echo || ",
                         "",
                         "whatIsNotOursChangesNothing"),
-                new Mistake(
+                new SourceMutation(
                         "hints are matched in any case",
                         "ReadHint",
                         "switch (name) {",
@@ -267,8 +267,8 @@
     Stream<DynamicTest> aMistakeIsNoticed() {
         String only = System.getProperty("pins.mistake", ".*");
         return mistakes().stream()
-                .filter(mistake -> mistake.what().matches(only))
-                .map(mistake -> mistake.isNoticed(folder, SOURCES, StalenessMutationsTest.class));
+                .filter(mistake -> mistake.description().matches(only))
+                .map(mistake -> mistake.detectionTest(folder, SOURCES, StalenessMutationsTest.class));
     }
 
     /** Plays the test that has to notice, with the others of its class, and says which ones fail. */
--- a/src/test/java/magpiewheel/support/Fingerprint.java
+++ b/src/test/java/magpiewheel/support/Fingerprint.java
@@ -13,7 +13,7 @@
     /** Adds a number. */
     public Fingerprint add(long value) {
         for (int shift = 0; shift < Long.SIZE; shift += Byte.SIZE) {
-            octet((int) (value >>> shift));
+            addByte((int) (value >>> shift));
         }
         values++;
         return this;
@@ -33,12 +33,12 @@
     public Fingerprint add(byte[] message) {
         add((long) message.length);
         for (byte each : message) {
-            octet(each);
+            addByte(each);
         }
         return this;
     }
 
-    private void octet(int value) {
+    private void addByte(int value) {
         hash = (hash ^ value & 0xff) * PRIME;
     }
 
--- a/src/test/java/magpiewheel/wire/DesignFromOutsideTest.java
+++ b/src/test/java/magpiewheel/wire/DesignFromOutsideTest.java
@@ -17,7 +17,7 @@
     private static final String HEADING = "## From outside";
     private static final String OBJECT = "object ([A-Z])";
     private static final Steps<DesignFleet> STEPS = given(new Steps<>());
-    private final List<Rows.Judged> judged = new ArrayList<>();
+    private final List<Rows.RowResult> judged = new ArrayList<>();
 
     static {
         follows(STEPS);
@@ -78,7 +78,7 @@
     /** Plays a row on real processes; whether it is kept must agree with the table. */
     @Test(dataProvider = "rows")
     public void theProgramKeepsTheRowOrNotAsTheTableSays(Rows.Row row) {
-        Rows.Judged one = Rows.judge(row, STEPS, () -> {
+        Rows.RowResult one = Rows.run(row, STEPS, () -> {
             try {
                 return new DesignFleet();
             } catch (IOException e) {
@@ -96,13 +96,13 @@
                 judged.stream().map(one -> one.row().name()).sorted().toList(),
                 Rows.read(HEADING).stream().map(Rows.Row::name).sorted().toList(),
                 "rows that were judged");
-        judged.forEach(Rows.Judged::check);
+        judged.forEach(Rows.RowResult::check);
         Report.check(HEADING, judged);
     }
 
     /** No phrase is defined that no row uses. */
     @Test
     public void everyPhraseIsUsed() throws IOException {
-        assertEquals(STEPS.unused(Rows.read(HEADING)), List.of());
+        assertEquals(STEPS.unusedPhrases(Rows.read(HEADING)), List.of());
     }
 }
