--- a/src/main/java/magpiewheel/region/Election.java
+++ b/src/main/java/magpiewheel/region/Election.java
@@ -40,7 +40,7 @@
 
         /** A vote with what this router measured. */
         RegionMessage.Vote createVote(
-                RegionMessage.Header header, boolean granted, long votedAt, long requestSentAt, long termHeld);
+                RegionMessage.Header header, boolean granted, long votedAt, long requestSentAt, long votedTerm);
     }
 
     /**
--- a/src/main/java/magpiewheel/region/LoadSpill.java
+++ b/src/main/java/magpiewheel/region/LoadSpill.java
@@ -49,27 +49,27 @@
      * The placement of objects, decided anew at most once in {@link #DECISION_INTERVAL_US}; {@code spareCapacity} is
      * the free capacity of the second's link.
      */
-    RegionMessage.Placement decide(long now, Parent first, Parent second, double spareCapacity) {
-        if (first.id() != leader) {
-            leader = first.id();
+    RegionMessage.Placement decide(long now, Parent leadingParent, Parent spillCandidate, double spareCapacity) {
+        if (leadingParent.id() != leader) {
+            leader = leadingParent.id();
             placement = RegionMessage.Placement.NONE;
             reports.clear();
         }
-        if (second == null || second.id() != placement.spillParent() && placement.spillParent() != 0) {
+        if (spillCandidate == null || spillCandidate.id() != placement.spillParent() && placement.spillParent() != 0) {
             placement = RegionMessage.Placement.NONE;
         }
-        if (second == null || now - decidedAt < DECISION_INTERVAL_US) {
+        if (spillCandidate == null || now - decidedAt < DECISION_INTERVAL_US) {
             return placement;
         }
         decidedAt = now;
         double sentPerS = reportedLoadPerS(now);
-        double utilization = sentPerS / first.linkCapacity();
+        double utilization = sentPerS / leadingParent.linkCapacity();
         if (utilization > HIGH_UTILIZATION) {
             placement = spillMore(
-                    sentPerS - TARGET_UTILIZATION * first.linkCapacity(),
+                    sentPerS - TARGET_UTILIZATION * leadingParent.linkCapacity(),
                     sentPerS,
-                    first.linkCapacity(),
-                    second.id(),
+                    leadingParent.linkCapacity(),
+                    spillCandidate.id(),
                     spareCapacity);
         } else if (utilization < LOW_UTILIZATION && placement.spillParent() != 0) {
             placement = spillLess();
--- a/src/main/java/magpiewheel/region/ParentObservations.java
+++ b/src/main/java/magpiewheel/region/ParentObservations.java
@@ -30,7 +30,7 @@
     private Map<Long, Double> sentByObject = new HashMap<>();
     private double sentPerS;
     private long hotObject;
-    private double hotPerS;
+    private double hotSentPerS;
 
     /** A response came, or a fill failed. */
     void responded(long now, long firstByteTimeUs, boolean succeeded, boolean hit) {
@@ -84,7 +84,7 @@
                 .max(Map.Entry.comparingByValue())
                 .orElse(null);
         hotObject = mostSent == null || windowsPerS == 0 ? 0 : mostSent.getKey();
-        hotPerS = mostSent == null ? 0 : mostSent.getValue() * windowsPerS;
+        hotSentPerS = mostSent == null ? 0 : mostSent.getValue() * windowsPerS;
         windowAt = now;
         sentInWindow = 0;
         sentByObject = new HashMap<>();
@@ -113,8 +113,8 @@
         return hotObject;
     }
 
-    double hotPerS() {
-        return hotPerS;
+    double hotSentPerS() {
+        return hotSentPerS;
     }
 
     RegionMessage.ParentReport report(long now, long parent) {
--- a/src/main/java/magpiewheel/region/RegionCoordinator.java
+++ b/src/main/java/magpiewheel/region/RegionCoordinator.java
@@ -69,12 +69,12 @@
 
     /** The load of the own zone was measured; the first router of the zone announces it. */
     public void zoneLoadMeasured(long now, double load) {
-        if (isFirstOfZone() && directory.loadMeasured(now, config.zone(), load)) {
+        if (announcesZone() && directory.loadMeasured(now, config.zone(), load)) {
             updateRegions(now);
         }
     }
 
-    private boolean isFirstOfZone() {
+    private boolean announcesZone() {
         return state.membership.runningMembersIn(config.zone()).stream().allMatch(router -> router > config.routerId());
     }
 
@@ -270,7 +270,7 @@
                             state.region.key(), lease.term(), lease.leader(), state.region.load(), 0));
         }
         // A slot is announced once a lease was held in it: slots that change at a start settle first.
-        if (lease != null && isFirstOfZone() && directory.setHomeSlot(config.zone(), assignment.slot(config.zone()))) {
+        if (lease != null && announcesZone() && directory.setHomeSlot(config.zone(), assignment.slot(config.zone()))) {
             updateRegions(now);
         }
         List<Integer> others = state.membership.runningMembers();
--- a/src/main/java/magpiewheel/region/RegionProposals.java
+++ b/src/main/java/magpiewheel/region/RegionProposals.java
@@ -26,7 +26,7 @@
                 (parent, observed) -> state.ranking.addReport(now, routerId, observed.report(now, parent)));
         ParentObservations leader = state.observationsOfLeader(state.lease(now));
         if (leader != null) {
-            state.spill.addReport(now, routerId, leader.sentPerS(now), leader.hotObject(), leader.hotPerS());
+            state.spill.addReport(now, routerId, leader.sentPerS(now), leader.hotObject(), leader.hotSentPerS());
         }
     }
 
@@ -93,7 +93,7 @@
                 votedTerm,
                 leader == null ? 0 : leader.sentPerS(now),
                 leader == null ? 0 : leader.hotObject(),
-                leader == null ? 0 : leader.hotPerS(),
+                leader == null ? 0 : leader.hotSentPerS(),
                 parentReports(now));
     }
 
