--- a/src/main/java/magpiewheel/region/DeterministicHash.java
+++ b/src/main/java/magpiewheel/region/DeterministicHash.java
@@ -1,12 +1,12 @@
 package magpiewheel.region;
 
-/** Hashes that look random, and are the same at every router. */
+/** Hash functions with evenly spread results that are the same at every router. */
 final class DeterministicHash {
     private static final double FRACTION_STEPS = 1L << 53;
 
     private DeterministicHash() {}
 
-    /** Mixes a number's bits well (the finaliser of SplitMix64). */
+    /** Returns the number with its bits mixed (the finaliser of SplitMix64). */
     static long of(long value) {
         long mixed = value + 0x9e3779b97f4a7c15L;
         mixed = (mixed ^ mixed >>> 30) * 0xbf58476d1ce4e5b9L;
@@ -14,11 +14,12 @@
         return mixed ^ mixed >>> 31;
     }
 
+    /** Returns the combined hash of two numbers; their order matters. */
     static long of(long first, long second) {
         return of(of(first) ^ second);
     }
 
-    /** A fraction of a number, from 0 to below 1. */
+    /** Returns a fraction that is derived from the number, from 0 (inclusive) to 1 (exclusive). */
     static double fraction(long value) {
         return (of(value) >>> 11) / FRACTION_STEPS;
     }
--- a/src/main/java/magpiewheel/region/Election.java
+++ b/src/main/java/magpiewheel/region/Election.java
@@ -9,47 +9,55 @@
 import java.util.Set;
 
 /**
- * The election of a region's leader: Paxos-like terms with leases. A proposer that a majority votes for holds the lease
- * for its leader; a voter promises to support that leader until its promise expires, and any two majorities share a
- * voter. A promise binds against all but the same leader and the proposer that it was given to, which itself waits
- * until every router that it let use the old leader has voted for the new one, or can't use it any more.
+ * Elects the leader of a region with Paxos-like terms and leases. A proposer with the votes of a majority holds the
+ * lease for its leader; a voter promises to support that leader until its promise expires, and any two majorities share
+ * a voter. A promise excludes neither the same leader nor another leader of the proposer that it was given to. That
+ * proposer itself waits until every router that it allowed to use the old leader has voted for the new one, or may not
+ * use the old one any more.
  */
 final class Election {
     private static final int ROUTER_BITS = 16;
     private static final long ROUTER_MASK = (1L << ROUTER_BITS) - 1;
-    /** A voter that heard a lease holder within this votes for no other proposer. */
+    /** A voter that heard a lease holder within this time votes for no other proposer. */
     private static final long PROPOSER_STICKINESS_US = 2 * Lease.RENEWAL_US;
     /**
-     * Silence of the proposer after which the first router in line proposes; each one behind it waits a renewal more.
+     * Silence of the proposer after which the running router with the lowest id proposes; each router after it waits
+     * one renewal interval longer.
      */
     private static final long TAKEOVER_TIMEOUT_US = 2 * Lease.RENEWAL_US + 10_000;
-    /** Requests in a row without a majority after which a proposer lets others propose. */
+    /** Consecutive vote requests without a majority after which a proposer steps down so that others can propose. */
     private static final int MAX_REQUEST_ROUNDS = 9;
-    /** A leader that is elected again within this continues where it was. */
+    /**
+     * A leader that is re-elected within this time after its lease expired keeps its start of leadership, so that
+     * migration to it continues.
+     */
     private static final long MAX_INTERRUPTION_US = 5_000_000;
-    /** Terms of a clock that is farther ahead than a day are ignored. */
+    /** Terms whose clock part is more than a day ahead are ignored. */
     private static final long MAX_CLOCK_LEAD_MS = 86_400_000;
 
-    /** What this router wants when it proposes, and reports when it votes. */
+    /** Decides what this router proposes and creates its votes. */
     interface Delegate {
-        /** The parent that should lead, given the current or promised leader (0 for none); 0 for none. */
+        /**
+         * Returns the parent that should lead, or 0 if there is none. {@code currentLeader} is the current or promised
+         * leader; 0 if there is none.
+         */
         long chooseLeader(long now, long currentLeader);
 
-        /** The placement of objects under that leader. */
+        /** Returns the placement of objects under that leader. */
         RegionMessage.Placement placement(long now, long leader);
 
-        /** A vote with what this router measured. */
+        /** Returns a vote that carries the measurements of this router. */
         RegionMessage.Vote createVote(
                 RegionMessage.Header header, boolean granted, long votedAt, long requestSentAt, long votedTerm);
     }
 
     /**
-     * Who takes part in an election.
+     * This router and the electorate of an election.
      *
-     * @param routerId this router
-     * @param startedMs the Unix millisecond at which its process started
+     * @param routerId the id of this router
+     * @param startedMs the Unix millisecond at which the process of this router started
      * @param regionKey the key of the region
-     * @param routerCount how many routers the settings name in it
+     * @param routerCount the number of routers of the region according to the settings
      */
     record Participants(int routerId, long startedMs, int regionKey, int routerCount) {}
 
@@ -64,7 +72,7 @@
     private final RegionMessageSender messageSender;
     private final Map<Integer, Long> incarnations = new HashMap<>();
     private long highestTerm;
-    // As a voter.
+    // State as a voter.
     private long votedTerm;
     private long votedLeader;
     private long votedSince;
@@ -73,7 +81,7 @@
     private long leaseHeardAt = Long.MIN_VALUE / 2;
     private int currentProposer = -1;
     private Lease lease;
-    // As a proposer.
+    // State as a proposer.
     private boolean isProposer;
     private long term;
     private long leader;
@@ -89,7 +97,10 @@
     private final LeaseGrants grants = new LeaseGrants();
     private Collection<Integer> otherRouters = List.of();
 
-    /** An election in which only this router is known; {@code highestTerm} is the highest term of the one before. */
+    /**
+     * Creates an election in which no other router is known to run; {@code highestTerm} is the highest term of the
+     * previous election.
+     */
     Election(
             long now,
             Participants participants,
@@ -104,42 +115,42 @@
         this.routerCount = participants.routerCount();
         this.quorum = routerCount / 2 + 1;
         this.highestTerm = Math.max(highestTerm, startedMs << ROUTER_BITS);
-        // The first in line proposes as soon as it may, the others after it.
+        // The running router with the lowest id proposes when the start-up silence ends, the others after it.
         this.proposerHeardAt = startupSilenceUntil - TAKEOVER_TIMEOUT_US;
         this.delegate = delegate;
         this.messageSender = messageSender;
     }
 
-    // ---------------------------------------------------------------- what others ask
+    // ---------------------------------------------------------------- queries
 
-    /** The lease that this router may rely on now, or null. */
+    /** Returns the lease that this router may rely on now, or null. */
     Lease lease(long now) {
         return lease != null && now < lease.untilUs() ? lease : null;
     }
 
-    /** Whether this router holds the lease for the region. */
+    /** Whether this router holds the lease of the region. */
     boolean holdsLease(long now) {
         return isProposer && holdsLease && lease(now) != null;
     }
 
-    /** The highest known term. */
+    /** Returns the highest known term. */
     long highestTerm() {
         return highestTerm;
     }
 
-    /** The router that proposes, as far as is known; negative for none. */
+    /** Returns the router that proposes according to what this router knows; negative if there is none. */
     int proposer() {
         return isProposer ? routerId : currentProposer;
     }
 
-    /** Whether a message comes from the sender's current process, and not from before a restart. */
+    /** Whether a message was sent by the current process of the sender and not before a restart. */
     private boolean isCurrentProcess(int sender, RegionMessage.Header header) {
         return incarnations.merge(sender, header.startedMs(), Math::max) == header.startedMs();
     }
 
     // ---------------------------------------------------------------- voting
 
-    /** Whether this router votes for a leader; if it does, it is bound by that. */
+    /** Decides whether to vote for a leader. A vote that is granted binds this router by a promise. */
     private boolean grantsVote(long now, int proposer, long requestedTerm, long proposedLeader) {
         if (now < startupSilenceUntil
                 || requestedTerm < votedTerm
@@ -164,7 +175,7 @@
         return true;
     }
 
-    /** Another router requests a vote. */
+    /** Handles a vote request of another router and answers it with a vote. */
     void requestReceived(long now, int sender, RegionMessage.LeaseRequest request) {
         long requestedTerm = request.header().term();
         if (request.header().regionKey() != regionKey
@@ -199,7 +210,10 @@
                 RegionMessageCodec.encode(delegate.createVote(header, granted, now, request.sentAt(), votedTerm)));
     }
 
-    /** The rest of the holder's lease counts from the vote of this router that it echoes: that was earlier. */
+    /**
+     * Follows the leader of the lease holder. The remaining time of the lease counts from this router's own vote that
+     * the request echoes, because that vote was sent before the request.
+     */
     private void followLeader(long now, RegionMessage.LeaseRequest request) {
         if (request.echoedVoteAt() < Math.max(startedAt, votedSince) || request.echoedVoteAt() > now) {
             return;
@@ -216,7 +230,10 @@
 
     // ---------------------------------------------------------------- proposing
 
-    /** Does what is due; {@code runningRouters} are the other routers of the region that run, by number. */
+    /**
+     * Runs the actions that are due. {@code runningRouters} are the ids of the other running routers of the region, in
+     * ascending order.
+     */
     void tick(long now, Collection<Integer> runningRouters, boolean isolated) {
         otherRouters = runningRouters;
         if (now < startupSilenceUntil) {
@@ -255,13 +272,13 @@
         return proposerHeardAt + TAKEOVER_TIMEOUT_US + lowerIds * Lease.RENEWAL_US;
     }
 
-    /** When {@link #tick} wants to be called. */
+    /** Returns the time at which {@link #tick} must be called next. */
     long due(long now) {
         if (now < startupSilenceUntil) {
             return startupSilenceUntil;
         }
         if (!isProposer) {
-            // A router that can propose nobody, isolated or without an eligible parent, tries again later.
+            // A router that cannot propose, being isolated or without an eligible parent, retries at nextAttemptAt.
             return Math.max(takeoverAt(), nextAttemptAt);
         }
         long othersUsedUntil = grants.othersUsedUntil(now, leader);
@@ -274,7 +291,7 @@
             currentProposer = routerId;
         }
         if (!grantsVote(now, routerId, nextTerm, proposedLeader)) {
-            // A promise to another proposer still stands.
+            // A promise to another proposer is still valid.
             stepDown(now);
             return;
         }
@@ -292,7 +309,10 @@
         requestVotes(now);
     }
 
-    /** Since when the proposed parent leads: a short while without a lease is no interruption. */
+    /**
+     * Returns since when the proposed parent leads. A gap without a lease that is shorter than
+     * {@link #MAX_INTERRUPTION_US} does not count as an interruption.
+     */
     private long leadingSince(long now) {
         return lease != null && lease.leader() == leader && now - lease.untilUs() < MAX_INTERRUPTION_US
                 ? lease.leadingSinceUs()
@@ -336,8 +356,8 @@
     }
 
     /**
-     * A vote came; returns false where it does not count: of another term, from before a restart, or from another
-     * region.
+     * Handles a vote. Returns false if it is ignored: it is of another region, zone or term, was sent before the voter
+     * restarted, or answers no request of this term.
      */
     boolean voteReceived(long now, int sender, RegionMessage.Vote vote, Set<Integer> zones) {
         if (vote.header().regionKey() != regionKey
@@ -362,7 +382,7 @@
         votes.merge(sender, vote.requestSentAt(), Math::max);
         boolean firstVote =
                 lastVoteAt.merge(sender, vote.votedAt(), Math::max) == vote.votedAt() && !grants.contains(sender);
-        // A vote for this leader says that the voter uses no other.
+        // A voter for this leader no longer uses any other leader.
         grants.votedFor(sender, leader);
         boolean heldBefore = holdsLease(now);
         acquireLease(now);
@@ -374,7 +394,10 @@
         return true;
     }
 
-    /** A router rejected the request: without a majority left, or with a higher term, another is to propose. */
+    /**
+     * Handles a rejection. If no majority is possible any more, or the voter holds to a higher term, this router steps
+     * down so that another one can propose.
+     */
     private void rejected(long now, int sender, RegionMessage.Vote vote) {
         rejections.add(sender);
         boolean majorityUnreachable = !holdsLease && rejections.size() > routerCount - quorum;
@@ -382,12 +405,12 @@
             stepDown(now);
         }
         if (majorityUnreachable) {
-            // Two that each promised to themselves would reject each other for good: let the promises expire.
+            // Two proposers that each promised to themselves would reject each other forever: let the promises expire.
             proposerHeardAt = now + Lease.PROMISE_US;
         }
     }
 
-    /** Acquires the lease where the votes of a majority support it. */
+    /** Acquires or extends the lease if the votes of a majority support it. */
     private void acquireLease(long now) {
         if (votes.size() < quorum || grants.othersUsedUntil(now, leader) > now) {
             holdsLease &= lease(now) != null;
@@ -396,7 +419,7 @@
         List<Long> requestTimes =
                 votes.values().stream().sorted(Comparator.reverseOrder()).toList();
         long until = requestTimes.get(quorum - 1) + Lease.VALIDITY_US;
-        // This router's own vote counts only while it is of this term.
+        // This router's own vote counts only while its latest vote is of this term.
         if (now >= until || votedTerm != term) {
             holdsLease &= lease(now) != null;
             return;
--- a/src/main/java/magpiewheel/region/FillAdmission.java
+++ b/src/main/java/magpiewheel/region/FillAdmission.java
@@ -5,19 +5,20 @@
 import java.util.Map;
 
 /**
- * Admits fills at the rate that leader and origin carry, the most requested objects first. A fill of an object that is
- * in flight costs nothing more and is admitted. While all fills fit the rate none is rejected; else an object must have
- * been requested as often as those that fitted in the last window.
+ * Limits fills to the rate that the leader and the origin can carry, and admits the most requested objects first. A
+ * fill of an object that is already in flight costs no additional work and is always admitted. While all fills fit the
+ * rate none is rejected; otherwise an object must have been requested as often as those that fitted in the last window.
  */
 final class FillAdmission {
     static final long WINDOW_US = 200_000;
-    /** Objects whose requests are counted at most. */
+    /** Maximum number of objects whose requests are counted. */
     private static final int MAX_OBJECTS = 8_192;
-    /** Windows after which all counts are halved. */
+    /** Number of windows after which all request counts are halved. */
     private static final int HALVING_INTERVAL_WINDOWS = 20;
-    /** Windows of unused work that are saved up at most. */
+    /** Maximum unused budget that is saved up, in windows. */
     private static final double BURST_WINDOWS = 1;
 
+    /** Request counts are capped at this value. */
     private static final int MAX_DEMAND = 64;
 
     private final Map<Long, int[]> demand = new LinkedHashMap<>(16, 0.75f, true) {
@@ -29,7 +30,7 @@
         }
     };
     private final Map<Long, Long> inFlight = new HashMap<>();
-    /** Work that arrived in this window, by how often its object was requested. */
+    /** Work that arrived in this window, indexed by the request count of its object. */
     private double[] arrivedWork = new double[MAX_DEMAND + 1];
 
     private double tokens;
@@ -39,7 +40,10 @@
     private int demandThreshold;
     private long rejected;
 
-    /** Whether a fill may start; {@code workPerS} is the work a second that this router may start. Nobody waits. */
+    /**
+     * Whether a fill may start now; {@code workPerS} is the work per second that this router may start. Fills are
+     * admitted or rejected at once, never queued.
+     */
     boolean admits(long now, long object, double work, double workPerS) {
         rotateWindow(now, workPerS);
         int[] count = demand.computeIfAbsent(object, o -> new int[1]);
@@ -47,7 +51,7 @@
         if (inFlight.containsKey(object)) {
             return true;
         }
-        // What is requested again counts once, with its highest count.
+        // The work of an object that is requested again counts once, at its highest request count.
         arrivedWork[count[0]] += work;
         if (count[0] > 1) {
             arrivedWork[count[0] - 1] = Math.max(0, arrivedWork[count[0] - 1] - work);
@@ -61,7 +65,7 @@
         return true;
     }
 
-    /** A fill ended, with the object or without. */
+    /** Records the end of a fill; {@code filled} tells whether the object was received. */
     void fillEnded(long object, boolean filled) {
         inFlight.remove(object);
         if (filled) {
@@ -83,7 +87,7 @@
         }
         double windowBudget = workPerS * (now - windowAt) / 1e6;
         windowAt = now;
-        // The lowest count down to which all work that arrived would have fitted.
+        // The lowest request count for which all work that arrived at this count or above would have fitted.
         int threshold = MAX_DEMAND;
         double cumulativeWork = arrivedWork[MAX_DEMAND];
         while (threshold > 0 && cumulativeWork + arrivedWork[threshold - 1] <= windowBudget) {
@@ -98,18 +102,18 @@
         }
     }
 
-    /** Halves a count; returns whether nothing is left of it. */
+    /** Halves a count; returns whether it is now 0. */
     private static boolean halve(int[] count) {
         count[0] /= 2;
         return count[0] == 0;
     }
 
-    /** How often an object must have been requested now. */
+    /** Returns the number of requests that an object needs now for a fill to be admitted. */
     int demandThreshold() {
         return demandThreshold;
     }
 
-    /** Fills rejected so far. */
+    /** Returns the number of fills rejected so far. */
     long rejected() {
         return rejected;
     }
--- a/src/main/java/magpiewheel/region/FillRouter.java
+++ b/src/main/java/magpiewheel/region/FillRouter.java
@@ -2,9 +2,9 @@
 
 import magpiewheel.membership.PartitionVerdict;
 
-/** Whether a fill goes to the region's leader, and whether it may go at all now. */
+/** Decides whether a fill goes to the region's leader, and whether it may start now. */
 final class FillRouter {
-    /** The least part of misses that the origin is taken to see. */
+    /** Smallest ratio of fills assumed to miss at the leader and so reach the origin. */
     private static final double MIN_MISS_RATIO = 0.1;
 
     private static final double SECOND_US = 1e6;
@@ -19,7 +19,7 @@
         this.handover = handover;
     }
 
-    /** The parent to fill an object from; null where the router is to choose for itself. */
+    /** Returns the parent to fill an object from, or null if the router selects the source itself. */
     Leader leaderFor(long now, int zone, long object, double work) {
         Lease lease = state.lease(now);
         boolean spilled = lease != null && LoadSpill.isSpilled(lease.placement(), object);
@@ -46,7 +46,10 @@
         return spilled ? RouteReason.SPILLED : RouteReason.LED;
     }
 
-    /** How the region stands, whatever the object: {@link RouteReason#LED} or what prevents that. */
+    /**
+     * Returns the status of the region regardless of the object: {@link RouteReason#LED}, or the reason why no leader
+     * can be used.
+     */
     RouteReason regionStatus(long now) {
         Lease lease = state.lease(now);
         return regionStatus(now, state.config.zone(), lease, lease == null ? null : state.parents.get(lease.leader()));
@@ -71,16 +74,16 @@
         return RouteReason.LED;
     }
 
-    /** Whether a parent that may be warming up has budget for more of this router's work. */
+    /** Whether a parent, which may be warming up, has budget for more work from this router. */
     boolean hasBudget(long now, long parentId, double work) {
         Parent parent = state.parents.get(parentId);
         return parent != null && handover.hasBudget(now, parent, state.membership.quotaDivisor(now), work);
     }
 
     /**
-     * Whether a miss may be filled now, at the rate that the hub's parents and the origin carry. The origin sees what
-     * the leader lacked lately. A leader that warms up does not limit the rate alone: what it can't take is routed as
-     * without a region, while another parent is warm.
+     * Whether a miss may be filled now, at the rate that the hub's parents and the origin can carry. The origin sees
+     * the fills that recently missed at the leader. A warming leader alone does not limit the rate: while another
+     * parent is warm, the fills beyond the leader's budget are routed as without a region.
      */
     boolean admitsFill(long now, long object, double work) {
         ParentObservations leader = state.observationsOfLeader(state.lease(now));
@@ -101,17 +104,17 @@
                 .sum();
     }
 
-    /** A fill ended; {@code filled} if the object came. */
+    /** Records the end of a fill; {@code filled} tells whether the object was received. */
     void fillEnded(long object, boolean filled) {
         admission.fillEnded(object, filled);
     }
 
-    /** How many fills were rejected. */
+    /** Returns the number of fills rejected so far. */
     long rejectedFills() {
         return admission.rejected();
     }
 
-    /** How often a reason decided where a fill goes. */
+    /** Returns how often this reason decided where a fill goes. */
     long count(RouteReason reason) {
         return counts[reason.ordinal()];
     }
--- a/src/main/java/magpiewheel/region/Handover.java
+++ b/src/main/java/magpiewheel/region/Handover.java
@@ -6,22 +6,24 @@
 import java.util.Map;
 
 /**
- * Migrates load to a new leader in steps, within what a parent that warms up tolerates. Which objects have migrated
- * depends on how long it has led and on nothing else, so that all routers agree on them. All work sent to a parent
- * counts against this router's share of its budget.
+ * Migrates load to a new leader in steps, within what a warming parent tolerates. Which objects have migrated depends
+ * only on how long the parent has led, so that all routers agree on them. All work sent to a parent counts against this
+ * router's share of the parent's budget.
  */
 final class Handover {
-    /** The first step, as a part of all objects; each further step doubles it. */
+    /** Share of all objects that migrates in the first step; each further step doubles it. */
     static final double INITIAL_SHARE = 1 / 16.0;
-    /** How long a step lasts. */
+    /** Duration of a step. */
     static final long STEP_US = 1_000_000;
-    /** The part of what a parent tolerates that is used. */
+    /** Share of the load that a warming parent tolerates that may be used. */
     static final double SAFETY_FACTOR = 0.7;
-    /** The buckets that a window is divided into. */
+    /** Number of buckets that the overload window is divided into. */
     private static final int BUCKETS = 8;
 
     private static final class WorkWindow {
+        /** Pairs of the bucket number and the work sent in it, oldest first. */
         final Deque<double[]> buckets = new ArrayDeque<>();
+
         double totalWork;
     }
 
@@ -32,17 +34,17 @@
         this.slowStart = slowStart;
     }
 
-    /** The part of all objects that has migrated to a parent that has led for so long. */
+    /** Returns the share of all objects that has migrated to a parent that has led for {@code leadingForUs}. */
     static double migratedShare(long leadingForUs) {
         return Math.min(1, INITIAL_SHARE * Math.pow(2, Math.floorDiv(Math.max(0, leadingForUs), STEP_US)));
     }
 
-    /** Whether an object has migrated to a leader that has led for so long. */
+    /** Whether an object has migrated to a leader that has led for {@code leadingForUs}. */
     static boolean hasMigrated(long leadingForUs, long leader, long object) {
         return DeterministicHash.fraction(DeterministicHash.of(leader, object)) < migratedShare(leadingForUs);
     }
 
-    /** Work was sent to a parent. */
+    /** Records work sent to a parent. */
     void workSent(long now, long parent, double work) {
         WorkWindow window = window(now, parent);
         long bucketUs = Math.max(1, slowStart.overloadWindowUs() / BUCKETS);
@@ -64,7 +66,10 @@
         return window;
     }
 
-    /** What all routers together may send to a parent within the overload window; infinite once it is warm. */
+    /**
+     * Returns the work that all routers together may send to a parent within the overload window; infinite once the
+     * parent is warm.
+     */
     double budget(long now, Parent parent) {
         long warmUpElapsedUs = now - parent.startedUs() - slowStart.overloadWindowUs();
         if (parent.startedUs() <= 0 || warmUpElapsedUs >= slowStart.warmUpUs()) {
@@ -74,14 +79,16 @@
         return SAFETY_FACTOR * slowStart.overloadMultiple() * currentShare * parent.transferCapacity();
     }
 
-    /** Whether this router's share of a parent's budget allows more work; {@code quotaDivisor} divides the budget. */
+    /**
+     * Whether this router's share of a parent's budget allows more work; the budget is divided by {@code quotaDivisor}.
+     */
     boolean hasBudget(long now, Parent parent, double quotaDivisor, double work) {
         double budget = budget(now, parent);
         return Double.isInfinite(budget)
                 || window(now, parent.id()).totalWork + work <= budget / Math.max(1, quotaDivisor);
     }
 
-    /** Forgets all other parents. */
+    /** Discards the recorded work of all other parents. */
     void retainParents(java.util.Set<Long> parents) {
         windows.keySet().retainAll(parents);
     }
--- a/src/main/java/magpiewheel/region/HangDetector.java
+++ b/src/main/java/magpiewheel/region/HangDetector.java
@@ -4,13 +4,16 @@
 import java.util.Map;
 
 /**
- * Whether a parent hangs: it is silent though discovery lists it as ready. A suspicion needs one confirmation, by
- * another router or a second overdue response of the same, and any response since refutes it.
+ * Detects parents that hang: they are silent although discovery lists them as ready. A suspicion needs one
+ * confirmation, by another router or by a second overdue response to the same router. Any response since then refutes
+ * it.
  */
 final class HangDetector {
-    /** How long a suspicion counts. */
+    /** Suspicions of a parent are discarded this long after the last report. */
     private static final long SUSPICION_US = 2_000_000;
-    /** How long a parent that hangs is not elected; twice as long each time, up to the longest. */
+    /**
+     * How long a hanging parent is excluded from elections; twice as long each time, up to {@link #MAX_EJECTION_US}.
+     */
     private static final long MIN_EJECTION_US = 5_000_000;
 
     private static final long MAX_EJECTION_US = 80_000_000;
@@ -25,7 +28,10 @@
 
     private final Map<Long, Suspect> suspects = new HashMap<>();
 
-    /** Responses of a parent to a router are overdue, the first for so long; returns whether it is ejected now. */
+    /**
+     * Records that {@code overdue} responses of a parent to a router are overdue and that the parent has been silent
+     * for {@code silentUs}. Returns whether this ejects the parent.
+     */
     boolean addSuspicion(long now, int router, long parent, long silentUs, int overdue) {
         Suspect suspect = suspects.computeIfAbsent(parent, id -> new Suspect());
         if (now - suspect.reportedAt > SUSPICION_US) {
@@ -44,7 +50,7 @@
         return true;
     }
 
-    /** A parent responded at a time: suspicions of a silence that began before are refuted. */
+    /** Records a parent's response at a time. It refutes suspicions of a silence that began earlier. */
     void responded(long at, long parent) {
         Suspect suspect = suspects.get(parent);
         if (suspect != null) {
@@ -53,7 +59,7 @@
         }
     }
 
-    /** Whether it is ejected. */
+    /** Whether a parent is ejected now. */
     boolean isEjected(long now, long parent) {
         Suspect suspect = suspects.get(parent);
         return suspect != null && now < suspect.ejectedUntil;
--- a/src/main/java/magpiewheel/region/LeaderSuspicions.java
+++ b/src/main/java/magpiewheel/region/LeaderSuspicions.java
@@ -7,7 +7,7 @@
 
 /** Reports overdue responses of leading parents, and ejects a parent whose hang is confirmed. */
 final class LeaderSuspicions {
-    /** Routers that a suspicion is sent to, besides the proposer. */
+    /** Number of routers that receive a suspicion, besides the proposer. */
     private static final int SUSPICION_RECEIVERS = 2;
 
     private final RegionState state;
@@ -15,19 +15,22 @@
     private final LongConsumer onEjected;
     private long nextReportAt = Long.MAX_VALUE;
 
-    /** Suspicions of the state's parents; the callback is called with the time when a parent is ejected. */
+    /**
+     * Creates the reporter for the parents of {@code state}; {@code onEjected} is called with the current time when a
+     * parent is ejected.
+     */
     LeaderSuspicions(RegionState state, RegionMessageSender sender, LongConsumer onEjected) {
         this.state = state;
         this.sender = sender;
         this.onEjected = onEjected;
     }
 
-    /** When suspicions are to be reported again. */
+    /** Returns the time at which suspicions must be reported again. */
     long due() {
         return nextReportAt;
     }
 
-    /** Reports the leading parents whose responses are overdue, at once and again while they are. */
+    /** Reports the leading parents whose responses are overdue, and schedules the next report while there are any. */
     void report(long now) {
         nextReportAt = Long.MAX_VALUE;
         Lease lease = state.lease(now);
@@ -63,7 +66,7 @@
         suspicionReceived(now, self, suspicion);
     }
 
-    /** A router reported that a parent's responses are overdue. */
+    /** Handles a router's suspicion of a parent. */
     void suspicionReceived(long now, int router, RegionMessage.Suspicion suspicion) {
         boolean ejected = state.hangDetector.addSuspicion(
                 now, router, suspicion.leader(), suspicion.silentUs(), suspicion.overdue());
@@ -73,9 +76,9 @@
         }
     }
 
-    /** A router reported with its vote what it measured of a parent. */
+    /** Handles the measurements of a parent that a router sent with its vote. */
     void reportReceived(long now, int router, RegionMessage.Vote vote, RegionMessage.ParentReport report) {
-        // The vote came after the request that it answers: so did the parent's responses, so long before it.
+        // The vote was sent after the request that it answers, so the parent responded at this time or later.
         state.hangDetector.responded(vote.requestSentAt() - report.respondedAgoUs(), report.parent());
         state.ranking.addReport(now, router, report);
         if (report.silentUs() > 0 && !state.hangDetector.isEjected(now, report.parent())) {
--- a/src/main/java/magpiewheel/region/Lease.java
+++ b/src/main/java/magpiewheel/region/Lease.java
@@ -1,19 +1,26 @@
 package magpiewheel.region;
 
 /**
- * What a router may rely on until {@code untilUs} of its own clock: this parent leads the region in this term.
+ * A router may rely on this until {@code untilUs} of its own clock: the parent {@code leader} leads the region in this
+ * term.
  *
- * @param leadingSinceUs since when the parent leads, by this router's clock
+ * @param leadingSinceUs since when the parent leads, by the clock of this router
  */
 record Lease(long term, long leader, long untilUs, long leadingSinceUs, RegionMessage.Placement placement) {
-    /** How often a holder renews its lease. */
+    /** Interval at which a holder renews its lease. */
     static final long RENEWAL_US = 100_000;
-    /** A voter promises to support no other leader for so long, from its vote. */
+    /** How long a voter promises to support no other leader, counted from its vote. */
     static final long PROMISE_US = 700_000;
-    /** The clocks of two routers may differ in rate by 1% either way, so by this together. */
+    /** Lower bound of the ratio of two clock rates: each clock may deviate by 1% either way. */
     static final double CLOCK_RATE_RATIO = 0.98;
-    /** A holder relies on it for so long, from its request: shorter by what the clocks may differ. */
+    /**
+     * How long a holder relies on its lease, counted from its request: the promise, shortened by the possible
+     * difference of the clock rates.
+     */
     static final long VALIDITY_US = (long) (PROMISE_US * CLOCK_RATE_RATIO) - 1;
-    /** A process that starts may have voted just before: its promise has expired by any clock after this. */
+    /**
+     * A restarted process may have voted just before its restart. After this time that promise has expired by any
+     * clock.
+     */
     static final long STARTUP_SILENCE_US = (long) (PROMISE_US / CLOCK_RATE_RATIO) + 1;
 }
--- a/src/main/java/magpiewheel/region/LeaseGrants.java
+++ b/src/main/java/magpiewheel/region/LeaseGrants.java
@@ -3,28 +3,28 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Which routers the lease's holder let use a leader, and until when. */
+/** Records which routers the lease holder allowed to use a leader, and until when. */
 final class LeaseGrants {
     private record Grant(long leader, long until) {}
 
     private final Map<Integer, Grant> grants = new HashMap<>();
 
-    /** A router may use a leader until then. */
+    /** Allows a router to use a leader until the given time. */
     void grant(int router, long leader, long until) {
         grants.put(router, new Grant(leader, until));
     }
 
-    /** Whether a router was let use a leader, and did not give that up. */
+    /** Whether a router was allowed to use a leader and has not voted for another one since. */
     boolean contains(int router) {
         return grants.containsKey(router);
     }
 
-    /** A router voted for a leader, so it uses no other. */
+    /** Records a vote: a router that votes for a leader uses no other. */
     void votedFor(int router, long leader) {
         grants.computeIfPresent(router, (id, grant) -> grant.leader() == leader ? grant : null);
     }
 
-    /** Until when some router may still use another leader than this; 0 for none. */
+    /** Returns until when any router may still use a leader other than this one; 0 if none may. */
     long othersUsedUntil(long now, long leader) {
         long until = 0;
         for (Grant grant : grants.values()) {
--- a/src/main/java/magpiewheel/region/LoadSpill.java
+++ b/src/main/java/magpiewheel/region/LoadSpill.java
@@ -7,24 +7,28 @@
 import java.util.Map;
 
 /**
- * Which part of a leader's load goes to the second in rank. The lease's holder decides it from what the routers report
- * that they send, and the placement is part of the lease. Hot objects go first, then a slice of all others.
+ * Decides which part of a leader's load spills to another parent, the second in rank. The lease holder decides it from
+ * the load that the routers report, and the placement is part of the lease. Hot objects spill first, then a slice of
+ * all others.
  */
 final class LoadSpill {
-    /** Utilization of its link above which the leader gives load away ... */
+    /** Utilization of its link above which a leader spills load, down to {@link #TARGET_UTILIZATION}. */
     static final double HIGH_UTILIZATION = 0.85;
-    /** ... down to this; below {@link #LOW_UTILIZATION} it takes load back. */
+    /** Utilization of its link down to which a leader spills load. */
     static final double TARGET_UTILIZATION = 0.75;
 
+    /** Utilization of its link below which a leader takes load back. */
     static final double LOW_UTILIZATION = 0.55;
-    /** The largest slice: a leader that can't carry half of its region should not lead. */
+    /** Largest slice, in 255ths: a leader that cannot carry half of its region should not lead. */
     static final int MAX_SLICE = 127;
-    /** An object that uses this part of the leader's link is hot. */
+    /** An object that uses this share of the leader's link is hot. */
     static final double HOT_SHARE = 0.1;
-    /** How long a report counts, and how long a decision stands. */
+    /** How long a reported load is valid. */
     private static final long REPORT_VALID_US = 1_500_000;
 
+    /** Minimum time between two decisions. */
     static final long DECISION_INTERVAL_US = 1_000_000;
+    /** Denominator of slices: a slice is a number of 255ths of all objects. */
     private static final double SLICE_DENOMINATOR = 255;
 
     private record LoadReport(double sentPerS, long hotObject, double hotSentPerS, long receivedAt) {}
@@ -34,20 +38,20 @@
     private long decidedAt = Long.MIN_VALUE / 2;
     private long leader;
 
-    /** A router reported what it sends to the leader, and the object that most of it is for. */
+    /** Records what a router sends to the leader per second, and the object that has the largest part of it. */
     void addReport(long now, int router, double sentPerS, long hotObject, double hotSentPerS) {
         reports.put(router, new LoadReport(sentPerS, hotObject, hotSentPerS, now));
     }
 
-    /** What the routers report that they send to the leader. */
+    /** Returns the transfers per second that the routers report sending to the leader. */
     double reportedLoadPerS(long now) {
         reports.values().removeIf(report -> now - report.receivedAt() >= REPORT_VALID_US);
         return reports.values().stream().mapToDouble(LoadReport::sentPerS).sum();
     }
 
     /**
-     * The placement of objects, decided anew at most once in {@link #DECISION_INTERVAL_US}; {@code spareCapacity} is
-     * the free capacity of the second's link.
+     * Returns the placement of objects, decided at most once per {@link #DECISION_INTERVAL_US} and reset when the
+     * leader or the spill parent changes. {@code spareCapacity} is the free capacity of the spill candidate's link.
      */
     RegionMessage.Placement decide(long now, Parent leadingParent, Parent spillCandidate, double spareCapacity) {
         if (leadingParent.id() != leader) {
@@ -106,7 +110,7 @@
         int slice = placement.slice();
         double movedLoad = Math.min(remainingExcess, remainingSpare);
         if (movedLoad > 0 && sentPerS > 0) {
-            // The slice is of all objects; the leader still gets all but the slice.
+            // The slice is a share of all objects; the leader keeps the remaining share.
             double remaining = (1 - slice / SLICE_DENOMINATOR) * (1 - movedLoad / sentPerS);
             slice = Math.min(MAX_SLICE, (int) Math.ceil((1 - remaining) * SLICE_DENOMINATOR));
         }
@@ -130,7 +134,7 @@
         return placement.slice() == 0 && placement.hotObjects().isEmpty() ? RegionMessage.Placement.NONE : placement;
     }
 
-    /** Whether an object is placed at the second in rank. */
+    /** Whether an object is placed at the spill parent. */
     static boolean isSpilled(RegionMessage.Placement placement, long object) {
         return placement.spillParent() != 0
                 && (placement.hotObjects().contains(object)
--- a/src/main/java/magpiewheel/region/ParentObservations.java
+++ b/src/main/java/magpiewheel/region/ParentObservations.java
@@ -3,13 +3,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What this router measured of one parent. */
+/** The measurements of one parent by this router. */
 final class ParentObservations {
-    /** Weight of the newest response, and how long averages are remembered without one. */
+    /** Smallest weight of a new response in the averages. */
     private static final double MIN_SAMPLE_WEIGHT = 0.1;
 
+    /** The averages are discarded after this time without a response. */
     private static final long RESPONSE_VALID_US = 5_000_000;
-    /** How long an overdue response counts as a suspicion: without requests there are no responses. */
+    /** How long an overdue response counts as a suspicion: without requests no response can refute it. */
     private static final long OVERDUE_VALID_US = 2_000_000;
 
     private static final long WINDOW_US = 500_000;
@@ -24,7 +25,7 @@
     private long silentSince;
     private int overdue;
     private long overdueAt;
-    // What was sent there, by windows.
+    // Load sent to the parent, measured in windows.
     private long windowAt;
     private double sentInWindow;
     private Map<Long, Double> sentByObject = new HashMap<>();
@@ -32,7 +33,7 @@
     private long hotObject;
     private double hotSentPerS;
 
-    /** A response came, or a fill failed. */
+    /** Records a response, or the failure of a fill. */
     void responded(long now, long firstByteTimeUs, boolean succeeded, boolean hit) {
         if (now - respondedAt > RESPONSE_VALID_US) {
             samples = 0;
@@ -48,7 +49,10 @@
         overdue = 0;
     }
 
-    /** The response to a request of a time is overdue; a suspicion if nothing came since. */
+    /**
+     * Records that the response to a request sent at {@code sentAt} is overdue. It counts as a suspicion if the parent
+     * has not responded since.
+     */
     void responseOverdue(long now, long sentAt) {
         if (respondedAt >= sentAt) {
             return;
@@ -61,7 +65,7 @@
         overdueAt = now;
     }
 
-    /** Sets the part of its link that is free. */
+    /** Sets the share of its link that is free. */
     void setFreeLinkShare(double share) {
         freeLinkShare = share;
     }
@@ -90,7 +94,7 @@
         sentByObject = new HashMap<>();
     }
 
-    /** Responses that were overdue lately, with nothing heard since; 0 for none. */
+    /** Returns the number of responses that were overdue recently, with no response since; 0 if there are none. */
     int overdueResponses(long now) {
         return now - overdueAt < OVERDUE_VALID_US ? overdue : 0;
     }
@@ -104,7 +108,7 @@
         return sentPerS;
     }
 
-    /** The ratio of fills that it did not hold; 1 where nothing was measured lately. */
+    /** Returns the ratio of fills that missed at the parent; 1 if nothing was measured recently. */
     double missRatio(long now) {
         return samples == 0 || now - respondedAt > RESPONSE_VALID_US ? 1 : 1 - hitRatio;
     }
--- a/src/main/java/magpiewheel/region/ParentRanking.java
+++ b/src/main/java/magpiewheel/region/ParentRanking.java
@@ -6,27 +6,31 @@
 import java.util.Map;
 
 /**
- * Ranks parents by what the routers measured. A parent's cost is the median of the reports, so that one router's bad
- * connection elects nobody; parents without a report count as average. A challenger must be better by a margin, for a
- * time without a break.
+ * Ranks parents by the measurements of all routers. A parent's cost is the median of the reports, so that one router's
+ * bad connection cannot elect a parent; parents without a report count as average. A challenger must be better by a
+ * margin, without interruption for {@link #CHALLENGE_DURATION_US}.
  */
 final class ParentRanking {
-    /** How long a report counts. */
+    /** How long a report is valid. */
     static final long REPORT_VALID_US = 3_000_000;
-    /** A challenger's cost is at most this part of the leader's ... */
+    /** Largest cost of a challenger, as a ratio of the leader's cost. */
     static final double MAX_COST_RATIO = 0.7;
-    /** ... and less by so much ... */
+    /** Smallest difference in cost by which a challenger must be better. */
     static final double MIN_GAIN_US = 15_000;
-    /** ... for so long. */
+    /** How long a challenger must be better without interruption. */
     static final long CHALLENGE_DURATION_US = 4_000_000;
-    /** A failed fill costs as much as this. */
+    /** Cost of a failed fill. */
     private static final double FAILURE_COST_US = 1_000_000;
-    /** A miss at the parent, against a hit. */
+    /** Additional cost of a miss at the parent, compared with a hit. */
     private static final double MISS_COST_US = 60_000;
-    /** Below this free capacity of its link a parent costs a part of {@link #FULL_LINK_COST_US}. */
+    /**
+     * Below this free share of its link a parent costs a part of {@link #FULL_LINK_COST_US}, all of it if the link is
+     * full.
+     */
     private static final double LOW_FREE_LINK_SHARE = 0.15;
 
     private static final double FULL_LINK_COST_US = 400_000;
+    /** Cost of all parents while none has a report. */
     private static final double UNMEASURED_COST_US = 100_000;
 
     private record ReceivedReport(RegionMessage.ParentReport report, long receivedAt) {}
@@ -40,7 +44,7 @@
         this.region = region;
     }
 
-    /** A router reported what it measured. */
+    /** Records the measurements of a parent that a router reported. */
     void addReport(long now, int router, RegionMessage.ParentReport report) {
         if (report.samples() > 0 || report.silentUs() > 0) {
             reports.computeIfAbsent(report.parent(), id -> new HashMap<>())
@@ -48,7 +52,7 @@
         }
     }
 
-    /** What a fill from a parent costs, by the median of the reports, us; NaN without a report. */
+    /** Returns the cost of a fill from a parent, the median of the reports, in microseconds; NaN without a report. */
     double cost(long now, long parent) {
         List<Double> costs = new ArrayList<>();
         for (ReceivedReport received : reports.getOrDefault(parent, Map.of()).values()) {
@@ -70,7 +74,7 @@
                 + FULL_LINK_COST_US * linkFullness;
     }
 
-    /** The free part of a parent's link, by the lowest report; 1 without a report. */
+    /** Returns the free share of a parent's link, the lowest of the reports; 1 without a report. */
     double freeLinkShare(long now, long parent) {
         return reports.getOrDefault(parent, Map.of()).values().stream()
                 .filter(received -> now - received.receivedAt() < REPORT_VALID_US
@@ -80,7 +84,10 @@
                 .orElse(1);
     }
 
-    /** From the best to the worst; equals are ordered by the region, so that regions differ in that. */
+    /**
+     * Returns the parents from the lowest to the highest cost. The order of equal costs depends on the region, so that
+     * regions prefer different parents.
+     */
     List<Long> ranked(long now, List<Long> eligible) {
         Map<Long, Double> costs = new HashMap<>();
         for (long parent : eligible) {
@@ -104,8 +111,8 @@
     }
 
     /**
-     * The parent that should lead: the current one, unless it is not eligible or another was better for long; 0 for
-     * none.
+     * Returns the parent that should lead: the current one, unless it is not eligible or a challenger has been better
+     * for long enough; 0 if no parent is eligible.
      */
     long choose(long now, long current, List<Long> eligible) {
         if (eligible.isEmpty()) {
@@ -139,7 +146,7 @@
         return cost < MAX_COST_RATIO * currentCost && cost < currentCost - MIN_GAIN_US;
     }
 
-    /** Forgets the reports of a parent: it hangs, or its process was restarted. */
+    /** Discards the reports of a parent that hangs or whose process was restarted. */
     void forget(long parent) {
         reports.remove(parent);
     }
--- a/src/main/java/magpiewheel/region/PromiseLedger.java
+++ b/src/main/java/magpiewheel/region/PromiseLedger.java
@@ -4,27 +4,30 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** What a voter promised: for a while it supports no other leader, but of the proposer that it promised to. */
+/**
+ * The promises of a voter: for {@link Lease#PROMISE_US} it supports no other leader, except for the proposer that the
+ * promise was given to.
+ */
 final class PromiseLedger {
     private record Promise(long leader, int proposer, long until) {}
 
     private final List<Promise> promises = new ArrayList<>();
 
-    /** Whether a promise that still stands forbids to support a leader of this proposer. */
+    /** Whether a valid promise forbids supporting this leader for this proposer. */
     boolean forbids(long now, long leader, int proposer) {
         return promises.stream()
                 .anyMatch(promise ->
                         now < promise.until() && promise.leader() != leader && promise.proposer() != proposer);
     }
 
-    /** Promises to support a leader of a proposer, in place of an older promise of the same. */
+    /** Promises to support a leader of a proposer. This replaces an older promise for the same leader and proposer. */
     void promise(long now, long leader, int proposer) {
         promises.removeIf(
                 promise -> now >= promise.until() || promise.proposer() == proposer && promise.leader() == leader);
         promises.add(new Promise(leader, proposer, now + Lease.PROMISE_US));
     }
 
-    /** The leader whose promise stands for longest; 0 where none does. */
+    /** Returns the leader whose promise expires last; 0 if no promise is valid. */
     long promisedLeader(long now) {
         return promises.stream()
                 .filter(promise -> now < promise.until())
--- a/src/main/java/magpiewheel/region/Region.java
+++ b/src/main/java/magpiewheel/region/Region.java
@@ -2,9 +2,16 @@
 
 import java.util.List;
 
-/** Zones whose misses meet at one parent. */
+/**
+ * Zones whose misses are filled through one common parent.
+ *
+ * @param load the sum of the loads of the zones
+ */
 public record Region(int hub, List<Integer> zones, double load) {
-    /** The key of the region between routers: the same zones have the same key, however they came together. */
+    /**
+     * Returns the key that identifies the region among routers: regions of the same hub and zones have the same key,
+     * however they were formed.
+     */
     public int key() {
         long sum = DeterministicHash.of(hub);
         for (int zone : zones) {
@@ -13,7 +20,7 @@
         return (int) sum;
     }
 
-    /** How many routers the settings name in it. */
+    /** Returns the number of routers of the region according to the settings. */
     int routers(int[] routersByZone) {
         return zones.stream()
                 .mapToInt(zone -> zone < routersByZone.length ? routersByZone[zone] : 0)
--- a/src/main/java/magpiewheel/region/RegionAssignment.java
+++ b/src/main/java/magpiewheel/region/RegionAssignment.java
@@ -8,14 +8,18 @@
 import java.util.stream.IntStream;
 
 /**
- * Which zones meet in which region: an agreed function of a {@link RegionTopology}. A hub has as few slots as its
- * parents' links allow, and no fewer than there were while those are used well. A zone stays in its home slot while
- * that has capacity; others go to the first slot in their own order that has. Zones that fit nowhere are in no region.
+ * Assigns zones to regions, as a function of a {@link RegionTopology} that all routers compute alike. A hub has as few
+ * slots as the links of its parents allow; it has no fewer than before while those are well used. A zone stays in its
+ * home slot while that has capacity. Other zones go to the first slot with capacity in their own order of slots. Zones
+ * that fit into no slot are in no region.
  */
 public final class RegionAssignment {
-    /** The part of a parent's link that a region may use as measured: the rest is for what was not measured. */
+    /**
+     * Share of a parent's link that the measured load of a region may use; the rest is reserved for load that was not
+     * measured.
+     */
     public static final double MAX_UTILIZATION = 0.8;
-    /** A slot is given up when the others would be used to this part of their capacity at most. */
+    /** A slot is removed if the others would be used to at most this share of their capacity. */
     private static final double SHRINK_UTILIZATION = 0.7;
 
     private final List<Region> regions;
@@ -35,7 +39,7 @@
         }
     }
 
-    /** The regions of a topology. */
+    /** Computes the regions of a topology. */
     public static RegionAssignment of(RegionTopology topology) {
         List<Region> regions = new ArrayList<>();
         int[] hubs = topology.hubByZone();
@@ -49,7 +53,7 @@
                     .sorted()
                     .map(c -> -c)
                     .toArray();
-            // The order in which zones choose is independent of loads: else a little more of one would migrate many.
+            // Zones choose in an order independent of loads: otherwise a small change of one load would migrate many.
             List<Integer> zones = IntStream.range(0, hubs.length)
                     .filter(zone -> hubs[zone] == hub)
                     .boxed()
@@ -105,7 +109,10 @@
         return regions;
     }
 
-    /** By zone, in the given order, the slot it stays in, or gets by rendezvous hashing with bounded loads, or -1. */
+    /**
+     * Returns for each zone, in the given order, the slot that it stays in or gets by rendezvous hashing with bounded
+     * loads, or -1.
+     */
     private static int[] assign(List<Integer> zones, RegionTopology topology, int slots, double capacity) {
         double[] loads = topology.loads();
         double[] slotLoads = new double[slots];
@@ -132,8 +139,8 @@
     }
 
     /**
-     * Zones stay in their home slot, but for the lightest one that frees enough capacity, or the heaviest ones until
-     * there is enough.
+     * Keeps zones in their home slot. If their load exceeds the capacity, this displaces the lightest zone that frees
+     * enough, or else the heaviest zones until the rest fits.
      */
     private static void assignHomeZones(
             List<Integer> zones,
@@ -162,17 +169,17 @@
         slotLoads[slot] = sum;
     }
 
-    /** The slot of a zone on its hub, its home from now on; -1 for none. */
+    /** Returns the slot of a zone on its hub, which becomes its home slot; -1 if there is none. */
     int slot(int zone) {
         return slots[zone];
     }
 
-    /** All regions, by hub. */
+    /** Returns all regions, ordered by hub. */
     public List<Region> regions() {
         return regions;
     }
 
-    /** The region of a zone, or null. */
+    /** Returns the region of a zone, or null. */
     public Region regionOf(int zone) {
         return zone < 0 || zone >= regionIndexByZone.length || regionIndexByZone[zone] < 0
                 ? null
@@ -180,8 +187,8 @@
     }
 
     /**
-     * How many zones migrated: each new region is matched with the old one that it shares most zones with, one with
-     * one; zones that were in none, or are in none now, do not count.
+     * Returns how many zones migrated. Each new region is matched one to one with the old region that it shares most
+     * zones with. Zones that were in no region before, or are in none after, do not count.
      */
     public static int migratedZones(RegionAssignment before, RegionAssignment after) {
         int unmigrated = 0;
--- a/src/main/java/magpiewheel/region/RegionConfig.java
+++ b/src/main/java/magpiewheel/region/RegionConfig.java
@@ -1,13 +1,13 @@
 package magpiewheel.region;
 
 /**
- * The configuration of a router's regions.
+ * The configuration of a router's region coordination.
  *
- * @param routersByZone how many routers the settings name in each zone
+ * @param routersByZone the number of routers in each zone according to the settings
  * @param hubByZone the hub that each zone is attached to
- * @param assumedLoads the load of each zone until it was measured
+ * @param assumedLoads the load of each zone until it has been measured
  * @param slowStart the load that a parent tolerates after its start
- * @param originWorkPerS the work a second that the origin carries of all routers
+ * @param originWorkPerS the work per second that the origin can carry for all routers together
  * @param startedMs the Unix millisecond at which this process started
  */
 public record RegionConfig(
--- a/src/main/java/magpiewheel/region/RegionCoordinator.java
+++ b/src/main/java/magpiewheel/region/RegionCoordinator.java
@@ -6,16 +6,16 @@
 import magpiewheel.membership.PartitionVerdict;
 
 /**
- * One router's part in its region: which parent leads the region's fills, by an elected lease, and whether a fill may
- * start. Where it names no leader, the router chooses for itself.
+ * Takes part in the coordination of one router's region: which parent leads the region's fills, by an elected lease,
+ * and whether a fill may start. Where no leader is returned, the router selects the source itself.
  *
- * <p>It is notified of what happens, is called when {@link #due} says, and never waits. Times are microseconds of the
- * caller's clock; one thread at a time.
+ * <p>Its methods report events; {@link #tick} must be called when {@link #due} says. It never blocks. Times are
+ * microseconds of the caller's clock. Not thread-safe.
  */
 public final class RegionCoordinator {
-    /** How often routers send each other loads and claims. */
+    /** Interval at which this router sends zone loads and leadership claims to other routers. */
     private static final long UPDATE_INTERVAL_US = 500_000;
-    /** How many routers get them each time. */
+    /** Number of routers that receive each update. */
     private static final int UPDATE_RECEIVERS = 2;
 
     private final RegionConfig config;
@@ -31,7 +31,10 @@
     private long nextUpdateAt;
     private int nextReceiver;
 
-    /** The coordinator of a router that knows only its configuration; parents come with {@link #parentsChanged}. */
+    /**
+     * Creates the coordinator of a router that knows only its configuration; parents are added by
+     * {@link #parentsChanged}.
+     */
     public RegionCoordinator(long now, RegionConfig config, MembershipView membership, RegionMessageSender sender) {
         this.config = config;
         this.sender = sender;
@@ -48,7 +51,7 @@
 
     // ---------------------------------------------------------------- events
 
-    /** Discovery's list changed: all parents that are in it now. */
+    /** Handles a change of discovery's list; {@code parents} are all parents in it now. */
     public void parentsChanged(long now, List<Parent> parents) {
         for (Parent parent : parents) {
             Parent previous = state.parents.get(parent.id());
@@ -67,7 +70,7 @@
         runElection(now);
     }
 
-    /** The load of the own zone was measured; the first router of the zone announces it. */
+    /** Records the measured load of the own zone, which the running router of the zone with the lowest id announces. */
     public void zoneLoadMeasured(long now, double load) {
         if (announcesZone() && directory.loadMeasured(now, config.zone(), load)) {
             updateRegions(now);
@@ -78,20 +81,26 @@
         return state.membership.runningMembersIn(config.zone()).stream().allMatch(router -> router > config.routerId());
     }
 
-    /** A fill goes to a parent, as a leader or not: its work, and the transfers that its link carries for it. */
+    /**
+     * Records a fill sent to a parent, whether or not as the leader: its work, and the transfers that the link of the
+     * parent carries for it.
+     */
     public void fillStarted(long now, long parent, long object, double work, double transfers) {
         handover.workSent(now, parent, work);
         state.observationsOf(parent).fillSent(now, object, transfers);
     }
 
-    /** A parent responded, or a fill from it failed; {@code hit} if it had the object. */
+    /**
+     * Records a response of a parent or a fill from it that failed; {@code hit} tells whether the parent held the
+     * object.
+     */
     public void parentResponded(long now, long parent, long object, long firstByteUs, boolean ok, boolean hit) {
         state.observationsOf(parent).responded(now, firstByteUs, ok, hit);
         fills.fillEnded(object, ok);
         state.hangDetector.responded(now, parent);
     }
 
-    /** The response to what was sent to a parent at a time is overdue. */
+    /** Records that the response to a request sent to a parent at {@code sentAt} is overdue. */
     public void responseOverdue(long now, long parent, long sentAt) {
         ParentObservations observed = state.observationsOf(parent);
         observed.responseOverdue(now, sentAt);
@@ -100,67 +109,73 @@
         }
     }
 
-    /** The part of a parent's link that is free, as this router sees it. */
+    /** Sets the share of a parent's link that is free according to this router. */
     public void setFreeLinkShare(long parent, double freeLinkShare) {
         state.observationsOf(parent).setFreeLinkShare(freeLinkShare);
     }
 
-    /** An admitted fill ended without a parent's response; {@code filled} if the object came all the same. */
+    /**
+     * Records that an admitted fill ended without a parent's response; {@code filled} tells whether the object was
+     * received nevertheless.
+     */
     public void fillEnded(long object, boolean filled) {
         fills.fillEnded(object, filled);
     }
 
     // ---------------------------------------------------------------- fills
 
-    /** The parent to fill an object from; null where the router is to choose for itself. */
+    /** Returns the parent to fill an object from, or null if the router selects the source itself. */
     public Leader leaderFor(long now, int zone, long object, double work) {
         return fills.leaderFor(now, zone, object, work);
     }
 
-    /** Whether a parent that may be warming up has budget for more of this router's work. */
+    /** Whether a parent, which may be warming up, has budget for more work from this router. */
     public boolean hasBudget(long now, long parent, double work) {
         return fills.hasBudget(now, parent, work);
     }
 
-    /** Whether a miss may be filled now, at the rate that the hub's parents and the origin carry. */
+    /** Whether a miss may be filled now, at the rate that the hub's parents and the origin can carry. */
     public boolean admitsFill(long now, long object, double work) {
         return fills.admitsFill(now, object, work);
     }
 
     // ---------------------------------------------------------------- state
 
-    /** How many fills were rejected so far. */
+    /** Returns the number of fills rejected so far. */
     public long rejectedFills() {
         return fills.rejectedFills();
     }
 
-    /** How the region stands, whatever the object: {@link RouteReason#LED} or what prevents that. */
+    /**
+     * Returns the status of the region regardless of the object: {@link RouteReason#LED}, or the reason why no leader
+     * can be used.
+     */
     public RouteReason regionStatus(long now) {
         return fills.regionStatus(now);
     }
 
-    /** How often a reason decided where a fill goes. */
+    /** Returns how often this reason decided where a fill goes. */
     public long routeCount(RouteReason reason) {
         return fills.count(reason);
     }
 
-    /** The region of this router's zone, or null. */
+    /** Returns the region of this router's zone, or null. */
     public Region region() {
         return state.region;
     }
 
-    /** All regions as this router has them. */
+    /** Returns the assignment of all regions according to this router. */
     public RegionAssignment assignment() {
         return assignment;
     }
 
-    /** The leader of this router's region, or null. */
+    /** Returns the leader of this router's region, or null. */
     public Leader leader(long now) {
         Lease lease = state.lease(now);
         return lease == null ? null : new Leader(lease.leader(), lease.term(), false);
     }
 
-    /** Whether this router holds its region's lease. */
+    /** Whether this router holds the lease of its region. */
     public boolean holdsLease(long now) {
         return state.election != null && state.election.holdsLease(now);
     }
@@ -182,7 +197,10 @@
         }
     }
 
-    /** As after a restart: promises that this router made before, in a region of the same key, may still stand. */
+    /**
+     * Starts an election as after a restart, because promises that this router made before in a region of the same key
+     * may still be valid.
+     */
     private void startElection(long now) {
         state.ranking = new ParentRanking(state.region.key());
         state.hangDetector = new HangDetector();
@@ -204,12 +222,12 @@
 
     // ---------------------------------------------------------------- messages and time
 
-    /** Whether a message is one of the regions'. */
+    /** Whether a message belongs to the region protocol. */
     public static boolean isRegionMessage(byte[] message) {
         return message.length > 0 && message[0] == RegionMessageCodec.MAGIC;
     }
 
-    /** A message of another router; what can't be used has no effect. */
+    /** Handles a message of another router; an invalid or unrelated message has no effect. */
     public void messageReceived(long now, int from, byte[] bytes) {
         RegionMessage message = RegionMessageCodec.decode(bytes);
         if (message == null || from == config.routerId()) {
@@ -243,13 +261,13 @@
         }
     }
 
-    /** When {@link #tick} wants to be called; it may change with every call. */
+    /** Returns the time at which {@link #tick} must be called next; any call may change it. */
     public long due(long now) {
         long next = Math.min(nextUpdateAt, suspicions.due());
         return state.election == null ? next : Math.min(next, state.election.due(now));
     }
 
-    /** Does what is due. */
+    /** Runs the actions that are due. */
     public void tick(long now) {
         if (now >= nextUpdateAt) {
             nextUpdateAt = now + UPDATE_INTERVAL_US;
@@ -269,7 +287,7 @@
                     new RegionMessage.LeadershipClaim(
                             state.region.key(), lease.term(), lease.leader(), state.region.load(), 0));
         }
-        // A slot is announced once a lease was held in it: slots that change at a start settle first.
+        // A slot is announced only once a lease exists in it, because slots may still change during a start.
         if (lease != null && announcesZone() && directory.setHomeSlot(config.zone(), assignment.slot(config.zone()))) {
             updateRegions(now);
         }
--- a/src/main/java/magpiewheel/region/RegionDirectory.java
+++ b/src/main/java/magpiewheel/region/RegionDirectory.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 
 /**
- * What all routers tell each other whatever their region: the load of each zone, and who leads elsewhere. The later
- * version counts, so that routers that heard the same know the same.
+ * The load of each zone and the leaders of other regions, which all routers exchange regardless of their region. The
+ * later version wins, so that routers that received the same updates hold the same values.
  */
 final class RegionDirectory {
-    /** A zone announces its load anew when it differs by this part for {@link #CHANGE_DURATION_US}. */
+    /** Relative change of a zone's load that is announced once it has lasted for {@link #CHANGE_DURATION_US}. */
     static final double SIGNIFICANT_CHANGE = 0.25;
 
     static final long CHANGE_DURATION_US = 3_000_000;
-    /** How long a claim counts after it was made. */
+    /** How long a claim is valid after it was made. */
     static final long CLAIM_VALID_US = 6_000_000;
 
     private record ReceivedClaim(RegionMessage.LeadershipClaim claim, long claimedAt) {}
@@ -27,7 +27,7 @@
     private int nextLoad;
     private int nextClaim;
 
-    /** A directory with assumed loads, until any was measured. */
+    /** Creates a directory with assumed loads, which apply until loads have been measured. */
     RegionDirectory(double[] assumedLoads) {
         this.loads = assumedLoads.clone();
         this.versions = new long[assumedLoads.length];
@@ -43,7 +43,7 @@
         return homeSlots.clone();
     }
 
-    /** Sets the slot of the own zone, which its first router announces; returns whether it is new. */
+    /** Sets the slot of the own zone, which this router announces; returns whether it changed. */
     boolean setHomeSlot(int zone, int slot) {
         if (homeSlots[zone] == slot) {
             return false;
@@ -53,7 +53,10 @@
         return true;
     }
 
-    /** The load of the own zone was measured by the router that announces it; returns whether it changed. */
+    /**
+     * Records the measured load of the own zone, which this router announces; returns whether the announced load
+     * changed.
+     */
     boolean loadMeasured(long now, int zone, double load) {
         boolean differs = Math.abs(load - loads[zone]) > SIGNIFICANT_CHANGE * Math.max(loads[zone], 1e-9);
         differsSince = differs ? Math.min(differsSince, now) : Long.MAX_VALUE;
@@ -66,17 +69,17 @@
         return true;
     }
 
-    /** A parent leads this router's region. */
+    /** Records the claim that a parent leads this router's region. */
     void claim(long now, RegionMessage.LeadershipClaim claim) {
         claims.put(claim.regionKey(), new ReceivedClaim(claim, now));
     }
 
-    /** Merges an update of another router; returns whether a load changed. */
+    /** Merges an update of another router; returns whether a load or a home slot changed. */
     boolean merge(long now, RegionMessage.DirectoryUpdate update) {
         boolean changed = false;
         for (RegionMessage.ZoneLoad load : update.loads()) {
             int zone = load.zone();
-            // Equal versions of two routers: the greater load, then slot, so that all come to the same.
+            // Of equal versions from two routers the greater load wins, then the greater slot, so that all agree.
             if (zone < loads.length
                     && (load.version() > versions[zone]
                             || load.version() == versions[zone]
@@ -103,7 +106,7 @@
     }
 
     /**
-     * The load of other regions that a parent leads, as far as is known; {@code lowerKeysOnly} counts only those of
+     * Returns the known load of other regions that a parent leads; {@code lowerKeysOnly} counts only the regions with
      * lower keys.
      */
     double claimedLoad(long now, long parent, int regionKey, boolean lowerKeysOnly) {
@@ -117,7 +120,7 @@
                 .sum();
     }
 
-    /** The next update to send, of all entries in turn. */
+    /** Returns the next update to send; successive updates cover all entries in turn. */
     RegionMessage.DirectoryUpdate nextUpdate(long now, RegionMessage.Header header) {
         List<RegionMessage.ZoneLoad> zoneLoads = new ArrayList<>();
         for (int i = 0; i < loads.length && zoneLoads.size() < RegionMessageCodec.MAX_LOADS; i++) {
--- a/src/main/java/magpiewheel/region/RegionMessageCodec.java
+++ b/src/main/java/magpiewheel/region/RegionMessageCodec.java
@@ -6,12 +6,12 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Encodes the messages: 256 bytes at most. */
+/** Encodes and decodes the messages of the region protocol, each of at most 256 bytes. */
 final class RegionMessageCodec {
     static final int MAX_MESSAGE_BYTES = 256;
-    /** The first byte: no other protocol between routers begins with it. */
+    /** The first byte of each message; no other protocol between routers uses it. */
     static final byte MAGIC = (byte) 0xe1;
-    /** Reports in a vote, at most. */
+    /** Maximum number of parent reports in a vote. */
     static final int MAX_REPORTS = 9;
 
     static final int MAX_HOT_OBJECTS = 4;
@@ -85,7 +85,7 @@
         return Arrays.copyOf(buffer.array(), buffer.position());
     }
 
-    /** The message, or null where the bytes are none. */
+    /** Returns the decoded message, or null if the bytes are not a valid message. */
     static RegionMessage decode(byte[] bytes) {
         if (bytes.length > MAX_MESSAGE_BYTES || bytes.length < 2 || bytes[0] != MAGIC) {
             return null;
@@ -184,7 +184,7 @@
         return Byte.toUnsignedInt(buffer.get()) / (double) MAX_BYTE;
     }
 
-    /** A measured amount; anything else makes the message malformed. */
+    /** Reads a measured amount. Any value that is negative or not finite makes the message malformed. */
     private static double amount(ByteBuffer buffer) {
         float amount = buffer.getFloat();
         if (!Float.isFinite(amount) || amount < 0) {
--- a/src/main/java/magpiewheel/region/RegionMessageSender.java
+++ b/src/main/java/magpiewheel/region/RegionMessageSender.java
@@ -1,7 +1,7 @@
 package magpiewheel.region;
 
-/** Sends the messages of a region. It may not wait. */
+/** Sends the messages of the region protocol. Implementations must not block. */
 public interface RegionMessageSender {
-    /** One datagram of at most 256 bytes to a front. */
+    /** Sends one datagram of at most 256 bytes to a router. */
     void send(int router, byte[] message);
 }
--- a/src/main/java/magpiewheel/region/RegionProposals.java
+++ b/src/main/java/magpiewheel/region/RegionProposals.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What this router wants of an election, and reports with its votes. */
+/** Decides this router's proposals in an election and adds its measurements to its votes. */
 final class RegionProposals implements Election.Delegate {
     private final RegionState state;
     private final RegionDirectory directory;
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Parents that may lead the region. */
+    /** Returns the parents that may lead the region. */
     private List<Long> eligibleParents(long now, long current) {
         List<Long> eligible = new ArrayList<>();
         for (Parent parent : state.parents.values()) {
@@ -45,7 +45,8 @@
     }
 
     /**
-     * Whether a parent's link carries the region; of two regions that have one leader that of the lower key keeps it.
+     * Whether the link of a parent can carry the region. If one parent leads two regions, the region with the lower key
+     * keeps it.
      */
     private boolean carriesRegion(long now, Parent parent, boolean isLeader) {
         double limit = RegionAssignment.MAX_UTILIZATION * parent.linkCapacity();
@@ -69,7 +70,10 @@
         return state.spill.decide(now, leadingParent, spillParent, spareCapacity);
     }
 
-    /** The parent that takes what the leader can't carry: the one it was, while that is eligible; 0 for none. */
+    /**
+     * Returns the parent that takes the load that the leader cannot carry: the present one while it is eligible,
+     * otherwise the best in rank; 0 if there is none.
+     */
     private long spillParent(long now, long leader) {
         List<Long> others = new ArrayList<>(eligibleParents(now, leader));
         others.remove(leader);
@@ -97,7 +101,9 @@
                 parentReports(now));
     }
 
-    /** As many reports as a vote holds, of the region's parents in turn. */
+    /**
+     * Returns as many reports of the region's parents as fit into a vote; successive votes cover all parents in turn.
+     */
     private List<RegionMessage.ParentReport> parentReports(long now) {
         List<Long> measuredParents = state.parents.values().stream()
                 .filter(parent -> parent.hub() == state.region.hub() && state.observations.containsKey(parent.id()))
--- a/src/main/java/magpiewheel/region/RegionState.java
+++ b/src/main/java/magpiewheel/region/RegionState.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import magpiewheel.membership.MembershipView;
 
-/** What the parts of a region's coordination share: the parents, what was measured of them, and the election. */
+/** The state that the parts of the region coordination share: the parents, their measurements and the election. */
 final class RegionState {
     final RegionConfig config;
     final MembershipView membership;
     final Map<Long, Parent> parents = new LinkedHashMap<>();
     final Map<Long, ParentObservations> observations = new HashMap<>();
-    /** The region of the router's zone; null while it is in none. */
+    /** The region of the router's zone; null while the zone is in no region. */
     Region region;
     /** The election of the region's leader; null while there is no region. */
     Election election;
@@ -27,22 +27,22 @@
         this.membership = membership;
     }
 
-    /** The lease that this router may rely on now, or null. */
+    /** Returns the lease that this router may rely on now, or null. */
     Lease lease(long now) {
         return election == null ? null : election.lease(now);
     }
 
-    /** What was measured of a parent. */
+    /** Returns the measurements of a parent, creating them if there are none. */
     ParentObservations observationsOf(long parent) {
         return observations.computeIfAbsent(parent, id -> new ParentObservations());
     }
 
-    /** What was measured of the leader; null where nobody leads or nothing was measured. */
+    /** Returns the measurements of the leader; null if there is no leader or nothing was measured. */
     ParentObservations observationsOfLeader(Lease lease) {
         return lease == null ? null : observations.get(lease.leader());
     }
 
-    /** The other routers of the region that run, by number. */
+    /** Returns the ids of the other running routers of the region, in ascending order. */
     List<Integer> otherRouters() {
         return region.zones().stream()
                 .flatMap(zone -> membership.runningMembersIn(zone).stream())
@@ -52,7 +52,7 @@
                 .toList();
     }
 
-    /** The header of a message about a term. */
+    /** Returns the header of a message about a term. */
     RegionMessage.Header header(long term) {
         return new RegionMessage.Header(region == null ? 0 : region.key(), term, config.startedMs());
     }
--- a/src/main/java/magpiewheel/region/package-info.java
+++ b/src/main/java/magpiewheel/region/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Regions: zones whose misses meet at one parent, which their routers elect by leases. Assignment of zones, election,
- * ranking and suspicion of parents, migration of load, admission of fills. Free of clocks, sockets and threads.
+ * Regions: zones whose misses are filled through one common parent, which their routers elect by leases. Contains the
+ * assignment of zones, elections, ranking and suspicion of parents, migration of load and admission of fills. Uses no
+ * clocks, sockets or threads of its own.
  */
 package magpiewheel.region;
