--- a/src/main/java/magpiewheel/routing/PeerExchange.java
+++ b/src/main/java/magpiewheel/routing/PeerExchange.java
@@ -27,16 +27,17 @@
     private int ticks;
 
     /** The collaborators that supply and use reports, besides the shared state. */
-    record Parts(FleetProtocols fleet, PeerReports peers, OriginHealth originHealth, ConcurrencyLimiter limiter) {}
+    record Collaborators(
+            FleetProtocols fleet, PeerReports peers, OriginHealth originHealth, ConcurrencyLimiter limiter) {}
 
-    PeerExchange(RoutingSettings settings, RoutingState state, Parts parts, RoutingActions actions) {
+    PeerExchange(RoutingSettings settings, RoutingState state, Collaborators collaborators, RoutingActions actions) {
         this.topology = settings.topology();
         this.mayMessagePeers = settings.limits().mayMessagePeers();
         this.state = state;
-        this.fleet = parts.fleet();
-        this.peers = parts.peers();
-        this.originHealth = parts.originHealth();
-        this.limiter = parts.limiter();
+        this.fleet = collaborators.fleet();
+        this.peers = collaborators.peers();
+        this.originHealth = collaborators.originHealth();
+        this.limiter = collaborators.limiter();
         this.actions = actions;
     }
 
--- a/src/main/java/magpiewheel/routing/RequestRouter.java
+++ b/src/main/java/magpiewheel/routing/RequestRouter.java
@@ -115,8 +115,9 @@
         FillSourceSelector sources = new FillSourceSelector(state, outliers, slowStart, originHealth);
         routes = new RouteSelector(state, sources, limiter, misses);
         attempts = new AttemptStarter(settings, state, retryPolicy, originHealth, limiter, actions);
-        PeerExchange.Parts parts = new PeerExchange.Parts(fleet, peers, originHealth, limiter);
-        peerExchange = new PeerExchange(settings, state, parts, actions);
+        PeerExchange.Collaborators peerCollaborators =
+                new PeerExchange.Collaborators(fleet, peers, originHealth, limiter);
+        peerExchange = new PeerExchange(settings, state, peerCollaborators, actions);
         outcomes = new OutcomeProcessor(
                 settings,
                 state,
--- a/src/main/java/magpiewheel/routing/RoutingSettings.java
+++ b/src/main/java/magpiewheel/routing/RoutingSettings.java
@@ -30,7 +30,7 @@
     /** Overload window in microseconds where the settings specify none. */
     private static final long DEFAULT_OVERLOAD_WINDOW_US = 1_000_000;
     /** Work per second, in transfers that last one overload window, of an origin whose capacity is unknown. */
-    private static final double UNLIMITED_TRANSFERS = 1e9;
+    private static final double UNLIMITED_WORK_PER_S = 1e9;
 
     /** Returns the longest deadline of all request classes, us; 0 without classes. */
     long longestDeadlineUs() {
@@ -62,7 +62,7 @@
                 hubs,
                 new double[hubs.length],
                 safetyLimits.parentSlowStart().withOverloadWindow(windowUs),
-                originTransfers > 0 ? originTransfers * 1e6 / windowUs : UNLIMITED_TRANSFERS,
+                originTransfers > 0 ? originTransfers * 1e6 / windowUs : UNLIMITED_WORK_PER_S,
                 startedMs);
     }
 
