--- a/src/main/java/magpiewheel/membership/AntiEntropy.java
+++ b/src/main/java/magpiewheel/membership/AntiEntropy.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Compares this member's table with others by digests, and repairs what dissemination missed. */
+/** Compares digests of the membership table with other members, and sends the updates that dissemination missed. */
 final class AntiEntropy {
-    /** Messages in a row with another digest until the tables are taken to differ. */
+    /** Consecutive messages with a different digest after which two tables are considered different. */
     private static final int MIN_MISMATCHES = 4;
-    /** Heartbeats from one request of differences to the next. */
+    /** Minimum heartbeats between a digest request and the next one that is caused by a mismatch. */
     private static final int REQUEST_INTERVAL_HEARTBEATS = 4;
-    /** Heartbeats from one request to a member to the next to the same one. */
+    /** Minimum heartbeats between two digest requests to the same member. */
     private static final int SAME_MEMBER_INTERVAL_HEARTBEATS = 2;
-    /** Messages sent at once to a member whose table differs. */
+    /** Maximum number of messages sent at once to a member whose table differs. */
     private static final int MAX_REPAIR_MESSAGES = 8;
 
     private final MembershipConfig config;
@@ -35,7 +35,10 @@
         this.messenger = messenger;
     }
 
-    /** A member sent the digest of its table; while updates are on their way tables differ for a moment anyway. */
+    /**
+     * Compares the digest in a member's message with this member's, and requests the differences after several
+     * mismatches in a row. Requests nothing while updates are queued, since tables then differ for a short time anyway.
+     */
     void compare(long now, Member sender, int digest) {
         sender.digestMismatches = digest == members.digest() ? 0 : sender.digestMismatches + 1;
         if (sender.digestMismatches >= MIN_MISMATCHES
@@ -53,7 +56,10 @@
         }
     }
 
-    /** A member that just started asks one neighbour after another, not all at once; returns that one, or null. */
+    /**
+     * Requests the table of one neighbour after another, not of all at once, until this member has settled after its
+     * start. Returns the neighbour asked, or null.
+     */
     Member requestAfterStart(long now, List<Member> neighbours) {
         if (monitor.hasSettled(now)) {
             return null;
@@ -68,7 +74,7 @@
         return null;
     }
 
-    /** Sends a member the updates of the buckets whose digests differ. */
+    /** Sends a member the updates of the buckets whose digests differ; an isolated member leaves out failures. */
     void repair(long now, Member to, int[] remoteDigests) {
         List<MemberUpdate> updates = new ArrayList<>();
         int space = MembershipMessage.MAX_MESSAGE_BYTES - MembershipMessage.HEADER_BYTES;
--- a/src/main/java/magpiewheel/membership/DeadMemberProber.java
+++ b/src/main/java/magpiewheel/membership/DeadMemberProber.java
@@ -1,10 +1,12 @@
 package magpiewheel.membership;
 
-/** Probes the dead members that this one would observe: their hosts may prove that nobody listens there. */
+/**
+ * Probes the dead members that this one would observe; refusals by their hosts can prove that no process listens there.
+ */
 final class DeadMemberProber {
-    /** us; from one probe to the next: soon where the first was refused, or nobody answered. */
+    /** Interval to the next probe after an unanswered one; half of it after a first refusal. */
     private static final long RETRY_INTERVAL_US = 200_000;
-    /** Refusals in a row that prove it. */
+    /** Consecutive refusals that prove that no process listens at a dead member's address. */
     private static final int REQUIRED_REFUSALS = 2;
 
     private static final long US_PER_MS = 1_000;
@@ -23,7 +25,7 @@
         dissemination = context.dissemination;
     }
 
-    /** Probes the members for which that is due. */
+    /** Probes the dead members whose next probe is due. */
     void probe(long now) {
         if (!config.reachabilityProbes()) {
             return;
@@ -49,7 +51,10 @@
         return member.refusedProbesInRow == 1 ? RETRY_INTERVAL_US / 2 : QuotaDivision.PROOF_RENEWAL_US;
     }
 
-    /** The host of a dead member refused a probe that was sent at a time: a process may have started since. */
+    /**
+     * Handles a refusal by the host of a dead member. A proof dates from when the probe was sent, since a process may
+     * have started after that.
+     */
     void probeRefused(long now, Member member, long probedAt) {
         boolean inRow = now - member.lastDeadProbeAt < QuotaDivision.PROOF_LEASE_US;
         member.refusedProbesInRow = inRow ? member.refusedProbesInRow + 1 : 1;
--- a/src/main/java/magpiewheel/membership/FailureDetector.java
+++ b/src/main/java/magpiewheel/membership/FailureDetector.java
@@ -3,17 +3,23 @@
 import java.util.List;
 
 /**
- * Suspects silent members, and declares a suspect dead once enough observers accuse it and it did not refute that in
- * time. Two refused probes, by two observers, prove a death at once.
+ * Suspects silent members, and declares a suspect dead once enough observers accuse it and it has not refuted that in
+ * time. Refused probes of two observers prove a death at once.
  */
 final class FailureDetector {
-    /** Heartbeats that a suspect has to refute, and more with the logarithm of the fleet: updates travel further. */
+    /**
+     * Heartbeats that a suspect has to refute; the time grows with the logarithm of the member count, as updates then
+     * need more steps.
+     */
     private static final double REFUTATION_HEARTBEATS = 2;
 
     private static final double REFUTATION_HEARTBEATS_PER_DOUBLING = 2.0 / 3;
-    /** Accusers that make a suspect dead; fewer where it has fewer observers. */
+    /** Accusers required to declare a suspect dead; fewer if it has fewer running observers. */
     private static final int REQUIRED_ACCUSERS = 2;
-    /** Heartbeats after which a refuted accuser accuses again, doubling: it may be the one that is cut off. */
+    /**
+     * Heartbeats before a refuted observer accuses the same member again, doubling with each accusation: the observer
+     * may itself be cut off.
+     */
     private static final int ACCUSATION_BACKOFF_HEARTBEATS = 8;
 
     private static final int MAX_ACCUSATION_BACKOFF_HEARTBEATS = 128;
@@ -36,13 +42,13 @@
         refutationUs = refutationUs(config);
     }
 
-    /** How long a suspect has to refute, us. */
+    /** Returns the time that a suspect has to refute, in microseconds. */
     static long refutationUs(MembershipConfig config) {
         double doublings = Math.log(Math.max(2, config.memberCount())) / Math.log(2);
         return (long) (config.heartbeatUs() * (REFUTATION_HEARTBEATS + REFUTATION_HEARTBEATS_PER_DOUBLING * doublings));
     }
 
-    /** Accuses silent neighbours, and declares suspects dead whose time is over. */
+    /** Accuses silent neighbours, and declares suspects dead whose refutation time has passed. */
     void check(long now, List<Member> neighbours) {
         for (Member member : neighbours) {
             if (member.isObserved()
@@ -74,16 +80,17 @@
         dissemination.announce(now, member);
     }
 
-    /** A member is dead or left. */
+    /** Records that a member is dead or has left. */
     void recordRingLeave(long now, Member member) {
         member.leftRingAt = now;
         members.recordLoss(now);
     }
 
     /**
-     * The host of a member refused probes of two observers, or of the only one: the member need not be heard.
+     * Declares a member dead, without waiting for a refutation, because its host refused the probes of two observers or
+     * of its only one.
      *
-     * @param provenMs the Unix millisecond of the older refusal
+     * @param provenMs Unix time of the older refusal, in milliseconds
      */
     void declareProvenDead(long now, Member member, long provenMs) {
         declareDead(now, member);
@@ -91,7 +98,10 @@
         member.refusedProbesInRow = 0;
     }
 
-    /** The host of a member refused this member's probes: an accusation, and a proof if another was refused, too. */
+    /**
+     * Handles the refusal of this member's probes by another member's host: an accusation, or a proof of death if
+     * another observer's probes were refused too.
+     */
     void probesRefused(long now, Member member, long provenMs) {
         boolean refusedToAnother = member.status == MemberStatus.SUSPECT
                 && member.unreachableProvenMs > 0
@@ -107,7 +117,10 @@
         }
     }
 
-    /** A heartbeat came in time: this observer may accuse again soon, however often it was refuted before. */
+    /**
+     * Resets the accusation backoff after a timely heartbeat: this observer may soon accuse the member again, however
+     * often it was refuted before.
+     */
     void heartbeatReceived(long now, Member member) {
         member.accusationBackoffUs = 0;
         member.nextAccusationAt =
@@ -140,7 +153,7 @@
         }
     }
 
-    /** As many accusers as a member has observers that run, two at most. */
+    /** Returns the number of running observers of a member, at least 1 and at most {@link #REQUIRED_ACCUSERS}. */
     private int requiredAccusers(Member member) {
         int observers = 0;
         for (int id : rings.observersOf(member.id, other -> isRunning(members.get(other)), other -> false)) {
--- a/src/main/java/magpiewheel/membership/GossipRound.java
+++ b/src/main/java/magpiewheel/membership/GossipRound.java
@@ -5,15 +5,18 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** One round of messages: to the neighbours, to temporary peers and, with a heartbeat, to members at random. */
+/** Sends one round of messages: to the neighbours, to temporary peers and, with a heartbeat, to random members. */
 final class GossipRound {
-    /** Messages of a heartbeat: to the neighbours, and to others at random where these are fewer. */
+    /** Messages sent with a heartbeat: to the neighbours, and to random members if there are fewer neighbours. */
     private static final int MESSAGES_PER_HEARTBEAT = 2 * ObserverRings.RINGS;
-    /** Heartbeats in which a member that just started only requests updates. */
+    /** Heartbeats after the start in which a member that has heard no other only requests updates. */
     private static final int FIRST_REQUEST_HEARTBEATS = 2;
-    /** Heartbeats from one attempt to reach a dead member to the next. */
+    /** Heartbeats between two messages to dead members, or between two messages of a superseded process. */
     private static final int CONTACT_INTERVAL_HEARTBEATS = 5;
-    /** Heartbeats for which a member that wrote and is no neighbour is written to; three, as one may be lost. */
+    /**
+     * Heartbeats for which a member that sent a message and is not a neighbour remains a temporary peer; three, as one
+     * message may be lost.
+     */
     private static final int TEMPORARY_PEER_HEARTBEATS = 3;
 
     private static final int MAX_TEMPORARY_PEERS = 16;
@@ -47,7 +50,10 @@
         this.antiEntropy = antiEntropy;
     }
 
-    /** The round of a process that a younger one superseded: now and then it asks whether that still runs. */
+    /**
+     * Sends the round of a superseded process: an occasional message to a random neighbour, to learn whether the
+     * younger process still runs.
+     */
     void runSuperseded(long now, boolean heartbeat) {
         List<Member> list = neighbours.list();
         if (heartbeat && schedule.isMultipleOf(CONTACT_INTERVAL_HEARTBEATS) && !list.isEmpty()) {
@@ -55,7 +61,7 @@
         }
     }
 
-    /** Sends one round; returns whether it was a full one, and not only the first request of a new member. */
+    /** Sends one round. Returns false if a newly started member has only sent its first request. */
     boolean run(long now, boolean heartbeat) {
         Set<Member> receivers = receivers(now);
         List<MemberUpdate> updates = dissemination.takeUpdates(now, partition.isIsolated());
@@ -63,7 +69,7 @@
         if (requested != null
                 && !monitor.heardAnyone()
                 && monitor.uptimeUs(now) < FIRST_REQUEST_HEARTBEATS * config.heartbeatUs()) {
-            // A member that knows nothing asks one other first: the rest would only repeat that answer.
+            // A member that knows no other asks only one at first, since more answers would repeat the same updates.
             return false;
         }
         for (Member receiver : receivers) {
@@ -89,7 +95,10 @@
         return receivers;
     }
 
-    /** What the neighbours leave of a heartbeat's messages goes to others; an isolated member sends more. */
+    /**
+     * Sends the remaining messages of a heartbeat to random members. A member without two-way contact sends more of
+     * them, and to dead members too.
+     */
     private void sendToRandomMembers(long now, Set<Member> receivers, List<MemberUpdate> updates) {
         boolean outOfContact = !partition.hasTwoWayContact(now);
         int messages = Math.max(MESSAGES_PER_HEARTBEAT - receivers.size(), outOfContact ? MESSAGES_PER_HEARTBEAT : 0);
@@ -102,7 +111,10 @@
         }
     }
 
-    /** Now and then a member that is thought dead is written to: it may be on the other side of a partition. */
+    /**
+     * Occasionally sends a message to a member considered dead without proof: it may be on the other side of a
+     * partition.
+     */
     private void contactDeadMember(long now, List<MemberUpdate> updates) {
         if (!schedule.isMultipleOf(CONTACT_INTERVAL_HEARTBEATS)) {
             return;
@@ -115,7 +127,7 @@
         }
     }
 
-    /** Answers a message of a member that is no neighbour, and writes to it for a while. */
+    /** Replies to a message of a member that is not a neighbour, and makes it a temporary peer. */
     void reply(long now, Member from) {
         if (now > from.temporaryPeerUntil) {
             messenger.reply(now, from, List.of());
--- a/src/main/java/magpiewheel/membership/LocalMember.java
+++ b/src/main/java/magpiewheel/membership/LocalMember.java
@@ -1,8 +1,8 @@
 package magpiewheel.membership;
 
-/** What this member says of itself: its status and incarnation, and whether a younger process took its place. */
+/** The local member's own status and incarnation, and whether a younger process has superseded this one. */
 final class LocalMember {
-    /** us; datagrams for the older of two processes may be on their way for so long. */
+    /** Time for which datagrams sent to the older of two processes may still arrive. */
     private static final long MAX_LATE_DATAGRAM_US = 1_000_000;
 
     private final MemberTable members;
@@ -20,19 +20,19 @@
         dissemination = context.dissemination;
     }
 
-    /** Whether a younger process speaks for this member. */
+    /** Whether a younger process acts as this member. */
     boolean isSuperseded() {
         return superseded;
     }
 
-    /** It serves from now on. */
+    /** Announces that this member serves. */
     void startServing(long now) {
         if (self.status == MemberStatus.JOINING) {
             announce(now, MemberStatus.ALIVE, self.incarnation);
         }
     }
 
-    /** It drains from now on, or no longer. */
+    /** Announces that this member drains, or that it no longer does. */
     void setDraining(long now, boolean draining) {
         if (draining && self.status != MemberStatus.LEFT) {
             announce(now, MemberStatus.LEFT, self.incarnation);
@@ -46,7 +46,10 @@
         dissemination.announce(now, self);
     }
 
-    /** A datagram came: while a younger process runs it would have got it, so that one has ended. */
+    /**
+     * Ends the superseded state if a datagram arrives later than {@link #MAX_LATE_DATAGRAM_US}: a younger process would
+     * have received it, so that process has ended.
+     */
     void datagramReceived(long now) {
         if (superseded && now - supersededAt > MAX_LATE_DATAGRAM_US) {
             superseded = false;
@@ -54,7 +57,10 @@
         }
     }
 
-    /** Another member said something of this one: a younger process took its place, or it has to refute that. */
+    /**
+     * Handles an update about this member: a younger process has superseded this one, or this member refutes the
+     * update.
+     */
     void merge(long now, MemberUpdate update) {
         boolean running = update.status() == MemberStatus.JOINING || update.status() == MemberStatus.ALIVE;
         boolean newer = update.incarnation() > self.incarnation;
--- a/src/main/java/magpiewheel/membership/Member.java
+++ b/src/main/java/magpiewheel/membership/Member.java
@@ -1,8 +1,10 @@
 package magpiewheel.membership;
 
-/** What is known of one member, and what was measured of it here. Fields are set by the parts of the membership. */
+/**
+ * State of one member as known here, and what this member measured of it. The classes of the membership set its fields.
+ */
 final class Member {
-    /** Datagrams over which the least delay is taken: after two of these a clock that was stepped is trusted again. */
+    /** Datagrams over which the minimum delay is taken; a stepped clock is trusted again after two such windows. */
     private static final int DELAY_SAMPLES = 32;
 
     private static final long NEVER = Long.MIN_VALUE / 4;
@@ -12,63 +14,64 @@
     long incarnation;
     int zone = MemberUpdate.UNKNOWN_ZONE;
     int address;
-    /** Accusers of a suspect. */
+    /** Observers that accuse it while it is a suspect. */
     int firstAccuser = MemberUpdate.NO_MEMBER;
 
     int secondAccuser = MemberUpdate.NO_MEMBER;
     long suspectedAt;
-    /** Another member declared it dead, whoever accuses it. */
+    /** Whether another member declared it dead; no further accusers are required then. */
     boolean declaredDead;
-    /** The Unix millisecond of the proof in that declaration; 0 for none. */
+    /** Unix time of the proof in that declaration, in milliseconds; 0 for none. */
     long declaredUnreachableMs;
-    /** When this member may accuse it again, and how long the next backoff is. */
+    /** When this member may next accuse it. */
     long nextAccusationAt;
-
+    /** Backoff that applies when the last accusation is refuted. */
     long accusationBackoffUs;
     /**
-     * When its host last proved that nobody listens there, Unix milliseconds; of a suspect, that its first accuser was
-     * refused, and nobody else yet.
+     * Unix time of the last proof that no process listens at its host, in milliseconds. For a suspect: refusal of the
+     * probes of its first accuser, and of no other observer yet.
      */
     long unreachableProvenMs;
 
     int refusedProbesInRow;
     long lastDeadProbeAt = NEVER;
-    /** Since when it is out of the ring, and since when its incarnation is known. */
+    /** When it left the rings. */
     long leftRingAt = NEVER;
-
+    /** When its current incarnation became known. */
     long incarnationKnownAt = NEVER;
-    /**
-     * While it is silent here: probes without an answer, the last of them, refusals in a row and the last probe
-     * refused.
-     */
+    /** Unanswered probes in its current silence. */
     int unansweredProbes;
-
+    /** When it was last probed. */
     long probedAt = NEVER;
+    /** Consecutive refused probes in its current silence. */
     int probesRefused;
+    /** When the last refused probe was sent. */
     long probeRefusedAt = NEVER;
-    /** It came to be observed when others failed: perhaps nobody observed it. */
+    /** Whether this member began to observe it when others failed, so that it may have had no observer. */
     boolean possiblyUnobserved;
-    /** What its own datagrams said. */
+    /** Incarnation in its latest datagram. */
     long senderIncarnation;
-
+    /** Send time of its latest datagram, by its own clock. */
     long lastSentAt = NEVER;
+    /** Estimated send time of its latest datagram, by this member's clock. */
     long lastAliveAt = NEVER;
+    /** Heartbeat interval that its latest datagram states. */
     long heartbeatUs;
-    /** Since when its heartbeats are expected here; {@link #NEVER} where they are not. */
+    /** Since when its heartbeats are expected here; {@link #NEVER} if they are not. */
     long observedSince = NEVER;
-    /**
-     * Messages in a row whose digest differed from the own; when it was last sent a request and a reply, and until when
-     * it is a temporary peer.
-     */
+    /** Consecutive messages whose digest differed from the local one. */
     int digestMismatches;
-
+    /** When it was last sent a digest request. */
     long syncRequestedAt = NEVER;
+    /** When it was last sent a reply. */
     long lastReplyAt = NEVER;
+    /** Until when it is a temporary peer. */
     long temporaryPeerUntil = NEVER;
-    /** Rounds in which an update of it is still to be sent. */
+    /** Rounds in which an update about it is still to be sent. */
     int sendsRemaining;
-
+    /** Whether an update about it is queued. */
     boolean updateQueued;
+
     private long minDelay = Long.MAX_VALUE;
     private long previousMinDelay = Long.MAX_VALUE;
     private int delaySamples;
@@ -90,7 +93,7 @@
         resetProbes();
     }
 
-    /** Forgets the probes of the silence that ended. */
+    /** Resets what is known from probes, as its silence ended. */
     void resetProbes() {
         unansweredProbes = 0;
         probesRefused = 0;
@@ -102,17 +105,17 @@
         return status != MemberStatus.DEAD && status != MemberStatus.LEFT;
     }
 
-    /** Whether it runs as far as is known: some incarnation is known, and it neither failed nor left. */
+    /** Whether it is believed to run: its incarnation is known, and it neither failed nor left. */
     boolean isRunning() {
         return incarnation > 0 && isInRing();
     }
 
-    /** Whether its last datagram was sent within this time; a late one counts from when it was sent. */
+    /** Whether its last datagram was sent at most {@code withinUs} ago; a late one counts from when it was sent. */
     boolean isFresh(long now, long withinUs) {
         return now - lastAliveAt <= withinUs;
     }
 
-    /** A datagram of its own came; returns whether it is newer than all before. */
+    /** Records a datagram that it sent. Returns whether that is newer than all earlier ones. */
     boolean heartbeatReceived(long now, long incarnationOfSender, long sentAt) {
         if (incarnationOfSender < senderIncarnation) {
             return false;
@@ -121,7 +124,7 @@
             return false;
         }
         if (sentAt <= lastSentAt) {
-            // A process that restarted with its clock set back: the delays of the other clock no longer count.
+            // The process restarted with its clock set back: delays measured against the old clock no longer count.
             minDelay = Long.MAX_VALUE;
             previousMinDelay = Long.MAX_VALUE;
             delaySamples = 0;
@@ -146,7 +149,7 @@
         return (firstAccuser == MemberUpdate.NO_MEMBER ? 0 : 1) + (secondAccuser == MemberUpdate.NO_MEMBER ? 0 : 1);
     }
 
-    /** Adds an accuser, two at most; returns whether it is a new one. */
+    /** Adds an accuser, of which there are at most two. Returns whether it was added. */
     boolean addAccuser(int accuser) {
         if (accuser == MemberUpdate.NO_MEMBER || accuser == id || isAccusedBy(accuser) || accuserCount() == 2) {
             return false;
@@ -159,7 +162,7 @@
         return true;
     }
 
-    /** Its host refused a probe of one accuser, which becomes the first. */
+    /** Records that its host refused probes of an accuser, which becomes the first accuser. */
     void addRefusedAccuser(int accuser, long provenMs) {
         if (firstAccuser != accuser) {
             secondAccuser = firstAccuser;
@@ -168,7 +171,7 @@
         unreachableProvenMs = provenMs;
     }
 
-    /** Forgets all accusations and proofs. */
+    /** Clears all accusations and proofs. */
     void clearSuspicion() {
         firstAccuser = MemberUpdate.NO_MEMBER;
         secondAccuser = MemberUpdate.NO_MEMBER;
@@ -193,7 +196,7 @@
                 suspect || status == MemberStatus.DEAD || status == MemberStatus.LEFT ? unreachableProvenMs : 0);
     }
 
-    /** What it adds to a digest of the table: suspects count as alive, and unknown members as nothing. */
+    /** Returns its part of the digest of the table: suspects count as alive, unknown members as 0. */
     int digest() {
         if (incarnation == 0) {
             return 0;
--- a/src/main/java/magpiewheel/membership/MemberStatus.java
+++ b/src/main/java/magpiewheel/membership/MemberStatus.java
@@ -1,17 +1,20 @@
 package magpiewheel.membership;
 
-/** The status of a member; a later one supersedes an earlier one of the same incarnation. The order is the wire's. */
+/**
+ * Status of a member; within an incarnation a later status supersedes an earlier one. The order is fixed, as ordinals
+ * are sent in messages.
+ */
 public enum MemberStatus {
-    /** The settings name it, nobody heard of it. */
+    /** Configured, but not heard of yet. */
     UNKNOWN,
-    /** It runs and does not serve yet. */
+    /** Running, but not serving yet. */
     JOINING,
-    /** It serves. */
+    /** Serving. */
     ALIVE,
-    /** Its observers hear nothing of it; it may refute that. */
+    /** Not heard by its observers; it may still refute that. */
     SUSPECT,
-    /** It failed. */
+    /** Failed. */
     DEAD,
-    /** It left, or drains. */
+    /** Has left, or is draining. */
     LEFT
 }
--- a/src/main/java/magpiewheel/membership/MemberTable.java
+++ b/src/main/java/magpiewheel/membership/MemberTable.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The members that the settings name, with digests by which two tables are compared. */
+/** The configured members, with digests by which two tables are compared. */
 final class MemberTable {
     private final List<Member> members;
     private final Member self;
@@ -16,7 +16,7 @@
     private boolean changed = true;
     private long lastLossAt = Long.MIN_VALUE / 4;
 
-    /** A table in which only this member itself is known, as joining. */
+    /** Creates a table in which only the local member is known, as joining. */
     MemberTable(MembershipConfig config) {
         Member[] all = new Member[config.memberCount()];
         for (int id = 0; id < all.length; id++) {
@@ -28,32 +28,32 @@
         set(self, MemberStatus.JOINING, Math.max(1, config.startedMs()), zone, config.address());
     }
 
-    /** This member itself. */
+    /** Returns the local member. */
     Member self() {
         return self;
     }
 
-    /** The member of a number, which has to be one of the table's. */
+    /** Returns the member with this number, which must be configured. */
     Member get(int id) {
         return members.get(id);
     }
 
-    /** Whether the settings name a member of this number. */
+    /** Whether a member with this number is configured. */
     boolean contains(int id) {
         return id >= 0 && id < members.size();
     }
 
-    /** How many members the settings name. */
+    /** Returns the number of configured members. */
     int size() {
         return members.size();
     }
 
-    /** All members, by number. */
+    /** Returns all members, ordered by number. */
     List<Member> all() {
         return members;
     }
 
-    /** The members that are suspected now. */
+    /** Returns the current suspects. */
     List<Member> suspects() {
         return List.copyOf(suspects);
     }
@@ -63,12 +63,12 @@
         set(member, status, member.incarnation);
     }
 
-    /** Sets the status of a member at an incarnation; its zone and address stay. */
+    /** Sets the status and incarnation of a member, and keeps its zone and address. */
     void set(Member member, MemberStatus status, long incarnation) {
         set(member, status, incarnation, member.zone, member.address);
     }
 
-    /** Sets what is known of a member; an unknown zone or address leaves the known one. */
+    /** Sets the state of a member; an unknown zone or address does not replace a known one. */
     void set(Member member, MemberStatus status, long incarnation, int zone, int address) {
         int before = member.digest();
         member.status = status;
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Forgets all members but itself and those that left: after a partition everything is learnt anew. */
+    /** Resets the other members to unknown, except those that left: after a partition their state is learned again. */
     void forgetOthers() {
         for (Member member : members) {
             if (member != self && member.status != MemberStatus.LEFT && member.status != MemberStatus.UNKNOWN) {
@@ -96,39 +96,39 @@
         }
     }
 
-    /** The digest of the whole table: equal for equal tables. */
+    /** Returns the digest of the whole table; equal tables have equal digests. */
     int digest() {
         return digest;
     }
 
-    /** The digests of the table's buckets. */
+    /** Returns the digest of each bucket. */
     int[] bucketDigests() {
         return bucketDigests;
     }
 
-    /** The bucket that a member belongs to. */
+    /** Returns the bucket to which a member belongs. */
     static int bucketOf(Member member) {
         return member.id % MembershipMessage.BUCKETS;
     }
 
-    /** Notes that the neighbours have to be determined anew. */
+    /** Marks the neighbours as outdated. */
     void markChanged() {
         changed = true;
     }
 
-    /** Whether the neighbours have to be determined anew; asking clears the mark. */
+    /** Returns whether the neighbours are outdated, and clears the mark. */
     boolean takeChanged() {
         boolean wasChanged = changed;
         changed = false;
         return wasChanged;
     }
 
-    /** A member left the ring, or refused a probe. */
+    /** Records that a member left the rings or refused a probe. */
     void recordLoss(long now) {
         lastLossAt = now;
     }
 
-    /** When a member last left the ring or refused a probe. */
+    /** Returns when a member last left the rings or refused a probe. */
     long lastLossAt() {
         return lastLossAt;
     }
--- a/src/main/java/magpiewheel/membership/MemberUpdate.java
+++ b/src/main/java/magpiewheel/membership/MemberUpdate.java
@@ -1,13 +1,14 @@
 package magpiewheel.membership;
 
 /**
- * What one member says of another.
+ * State of one member as reported by another or by itself.
  *
- * @param zone the zone that the other told of itself; {@link #UNKNOWN_ZONE} where it did not
+ * @param zone the zone that the member announced; {@link #UNKNOWN_ZONE} if it announced none
  * @param firstAccuser the first accuser of a suspect; {@link #NO_MEMBER} for none
  * @param secondAccuser the second accuser of a suspect; {@link #NO_MEMBER} for none
- * @param suspectedForUs for how long it is suspected
- * @param unreachableProvenMs the Unix millisecond at which its host proved that nobody listens there; 0 for none
+ * @param suspectedForUs how long a suspect has been suspected, in microseconds
+ * @param unreachableProvenMs Unix time at which its host proved that no process listens there, in milliseconds; 0 for
+ *     none
  */
 record MemberUpdate(
         int memberId,
@@ -19,17 +20,17 @@
         int secondAccuser,
         long suspectedForUs,
         long unreachableProvenMs) {
-    /** In the place of an accuser: none. */
+    /** Value of an accuser for none. */
     static final int NO_MEMBER = 0xffff;
-    /** In the place of a zone that is unknown. */
+    /** Value of a zone that is unknown. */
     static final int UNKNOWN_ZONE = 0xff;
 
-    /** Whether it says that the member failed, or is suspected of that. */
+    /** Whether it reports the member as dead or as a suspect. */
     boolean declaresFailure() {
         return status == MemberStatus.SUSPECT || status == MemberStatus.DEAD;
     }
 
-    /** What a member says of itself. */
+    /** Returns an update that a member sends about itself. */
     static MemberUpdate ofSelf(int memberId, MemberStatus status, long incarnation, int zone, int address) {
         return new MemberUpdate(memberId, status, incarnation, zone, address, NO_MEMBER, NO_MEMBER, 0, 0);
     }
--- a/src/main/java/magpiewheel/membership/MembershipContext.java
+++ b/src/main/java/magpiewheel/membership/MembershipContext.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** What all parts of the membership share. */
+/** Objects that all classes of the membership share. */
 final class MembershipContext {
     final MembershipConfig config;
     final DatagramSender sender;
--- a/src/main/java/magpiewheel/membership/MembershipMessage.java
+++ b/src/main/java/magpiewheel/membership/MembershipMessage.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * A datagram of the membership: a header in which the sender speaks of itself, then updates or digests.
+ * A membership datagram: a header with the sender's own state, then updates or bucket digests.
  *
- * @param hearsReceiver whether the sender hears the member that it writes to
- * @param wantsReply whether the sender wants an answer
- * @param verdict what the sender thinks of its own view
- * @param sentAtUs when it was sent, by the sender's clock
- * @param heartbeatMs from one heartbeat of the sender to the next
- * @param digest the digest of the sender's table
- * @param bucketDigests the digests of its buckets; empty in messages of updates
+ * @param hearsReceiver whether the sender hears the receiver
+ * @param wantsReply whether the sender requests a reply
+ * @param verdict the sender's verdict on its own view
+ * @param sentAtUs send time by the sender's clock, in microseconds
+ * @param heartbeatMs heartbeat interval of the sender, in milliseconds
+ * @param digest digest of the sender's table
+ * @param bucketDigests digests of the buckets of that table; empty in messages with updates
  */
 record MembershipMessage(
         Kind kind,
@@ -26,15 +26,15 @@
         int digest,
         List<MemberUpdate> updates,
         int[] bucketDigests) {
-    /** What follows the header. */
+    /** Content that follows the header. */
     enum Kind {
         UPDATES,
         BUCKET_DIGESTS
     }
 
-    /** The largest datagram. */
+    /** Maximum size of a datagram. */
     static final int MAX_MESSAGE_BYTES = 256;
-    /** Parts of a table that are compared by digest. */
+    /** Number of buckets of a table, which are compared by digest. */
     static final int BUCKETS = 32;
 
     static final int HEADER_BYTES = 32;
@@ -52,12 +52,12 @@
     private static final int MAX_UINT16 = 0xffff;
     private static final long MAX_UINT48 = 0xffff_ffff_ffffL;
 
-    /** Whether bytes are a message of the membership, of whatever version. */
+    /** Whether bytes are a membership message of any version. */
     static boolean isMembershipMessage(byte[] bytes) {
         return bytes.length >= 2 && bytes[0] == MAGIC;
     }
 
-    /** The encoded size of an update. */
+    /** Returns the encoded size of an update. */
     static int encodedBytes(MemberUpdate update) {
         return UPDATE_BYTES
                 + (update.status() == MemberStatus.SUSPECT ? SUSPECT_BYTES : 0)
@@ -121,7 +121,7 @@
         return high << Integer.SIZE | Integer.toUnsignedLong(buffer.getInt());
     }
 
-    /** The message of a member of this number; null where the bytes are none, or another version's. */
+    /** Decodes a message from the member with this number; returns null if it is malformed or of another version. */
     static MembershipMessage decode(int from, byte[] bytes) {
         if (!isMembershipMessage(bytes)
                 || bytes[1] != VERSION
@@ -133,7 +133,7 @@
         int flags = buffer.get();
         int state = buffer.get();
         if (!areValidFlags(flags) || !isValidState(state) || Short.toUnsignedInt(buffer.getShort()) != from) {
-            // A number other than the sender's: the settings of the two differ, and it must not speak for another.
+            // The number is not the sender's: the settings of the two differ, and it must not speak for another member.
             return null;
         }
         MemberStatus status = MemberStatus.values()[state & (1 << STATUS_BIT_COUNT) - 1];
@@ -175,7 +175,9 @@
         return flags >= 0 && flags <= (HEARS_RECEIVER | WANTS_REPLY | HAS_BUCKET_DIGESTS);
     }
 
-    /** Whether a verdict is known, and the status one that a member says of itself: it joins, serves or leaves. */
+    /**
+     * Whether the verdict is known, and the status is one that members report of themselves: joining, alive or left.
+     */
     private static boolean isValidState(int state) {
         int status = state & (1 << STATUS_BIT_COUNT) - 1;
         boolean selfReported = status == MemberStatus.JOINING.ordinal()
@@ -184,7 +186,7 @@
         return state >= 0 && state >>> STATUS_BIT_COUNT < PartitionVerdict.values().length && selfReported;
     }
 
-    /** The updates to the end of a message; null where they are malformed. */
+    /** Reads the updates up to the end of a message; returns null if one is malformed. */
     private static List<MemberUpdate> readUpdates(ByteBuffer buffer) {
         List<MemberUpdate> updates = new ArrayList<>();
         while (buffer.hasRemaining()) {
--- a/src/main/java/magpiewheel/membership/MembershipProtocol.java
+++ b/src/main/java/magpiewheel/membership/MembershipProtocol.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * The membership of the fleet, in the manner of SWIM: which members run, serve, are suspected, dead or left, as far as
- * this one can know, and how complete its view is. {@code docs/design/fleet-as-one.md} has the rules and their reasons.
+ * SWIM-style membership of the fleet: which members run, serve, are suspected, dead or have left, as far as this one
+ * can know, and how complete its view is. {@code docs/design/fleet-as-one.md} has the rules and their reasons.
  *
- * <p>It is free of I/O: the time is passed in, microseconds of a clock that never goes back and is near Unix time.
- * {@link #tick} is to be called when {@link #due} says. One thread at a time.
+ * <p>Performs no I/O. Callers pass the time, in microseconds of a monotonic clock close to Unix time, and call
+ * {@link #tick} at the time that {@link #due} returns. Not thread-safe: one thread at a time may use it.
  */
 public final class MembershipProtocol implements MembershipView {
     private static final long US_PER_MS = 1_000;
-    /** In the place of a zone: a limit of all members. */
+    /** Value of a zone for a limit that all members share. */
     private static final int ALL_ZONES = -1;
 
     private final MembershipConfig config;
@@ -32,7 +32,7 @@
     private final GossipRound round;
     private final QuotaDivision quotas;
 
-    /** A membership that knows nothing but its configuration. */
+    /** Creates a membership that knows only its configuration. */
     public MembershipProtocol(long now, MembershipConfig config, DatagramSender sender) {
         this.config = config;
         MembershipContext context = new MembershipContext(now, config, sender);
@@ -53,19 +53,22 @@
         quotas = new QuotaDivision(config, members, FailureDetector.refutationUs(config));
     }
 
-    /** Whether a message is one of the membership's. */
+    /** Whether a message belongs to the membership protocol. */
     public static boolean isMembershipMessage(byte[] message) {
         return MembershipMessage.isMembershipMessage(message);
     }
 
     // ---------------------------------------------------------------- time
 
-    /** When {@link #tick} wants to be called; it may change with every call. */
+    /**
+     * Returns when {@link #tick} is to be called next, {@code Long.MAX_VALUE} for never; every call of a method may
+     * change it.
+     */
     public long due() {
         return members.size() < 2 ? Long.MAX_VALUE : schedule.due();
     }
 
-    /** Does what is due. */
+    /** Performs the checks and sends the messages that are due. */
     public void tick(long now) {
         if (members.size() < 2) {
             return;
@@ -117,7 +120,7 @@
 
     // ---------------------------------------------------------------- messages and probes
 
-    /** A message from the address of a member. */
+    /** Handles a message that came from the address of a member; ignores invalid ones. */
     public void messageReceived(long now, int sender, byte[] bytes) {
         if (!members.contains(sender) || sender == config.memberId()) {
             return;
@@ -132,18 +135,18 @@
         merger.merge(now, message.sender());
         message.updates().forEach(update -> merger.merge(now, update));
         if (message.kind() == MembershipMessage.Kind.BUCKET_DIGESTS) {
-            // Also where a younger message overtook it: it was asked for once.
+            // Answered even if a newer message arrived first, since the request is sent only once.
             antiEntropy.repair(now, from, message.bucketDigests());
         }
         if (newer) {
             respond(now, from, message);
         } else if (message.sender().incarnation() < from.incarnation && !from.isInRing()) {
-            // The older of two processes, whose younger one has ended: it may speak for the member again.
+            // The younger of two processes has ended: the older one may act as the member again.
             messenger.requestRefutation(now, from);
         }
     }
 
-    /** Counts the message as a heartbeat; returns whether it is newer than all before. */
+    /** Records the message as a heartbeat. Returns whether it is newer than all earlier ones. */
     private boolean recordHeartbeat(long now, Member from, MembershipMessage message) {
         boolean wasOutOfContact = partition.isIsolated() && !partition.hasTwoWayContact(now);
         if (!from.heartbeatReceived(now, message.sender().incarnation(), message.sentAtUs())) {
@@ -171,7 +174,7 @@
         antiEntropy.compare(now, from, message.digest());
     }
 
-    /** The host of a member refused a probe that was sent at a time. */
+    /** Handles the refusal, by the host of a member, of a probe that was sent at {@code probedAt}. */
     public void probeRefused(long now, int memberId, long probedAt) {
         if (!members.contains(memberId)
                 || memberId == config.memberId()
@@ -194,12 +197,12 @@
 
     // ---------------------------------------------------------------- the local member
 
-    /** This member serves from now on. */
+    /** Announces that this member serves. */
     public void startServing(long now) {
         local.startServing(now);
     }
 
-    /** This member drains from now on, or no longer. */
+    /** Announces that this member drains, or that it no longer does. */
     public void setDraining(long now, boolean draining) {
         local.setDraining(now, draining);
     }
@@ -211,7 +214,7 @@
         return members.get(memberId).status;
     }
 
-    /** The known incarnation of a member; 0 if none. */
+    /** Returns the known incarnation of a member; 0 for none. */
     long incarnation(int memberId) {
         return members.get(memberId).incarnation;
     }
--- a/src/main/java/magpiewheel/membership/MembershipView.java
+++ b/src/main/java/magpiewheel/membership/MembershipView.java
@@ -2,32 +2,32 @@
 
 import java.util.List;
 
-/** What the rest of the program may ask of the membership. Members go by their numbers in the settings. */
+/** Read access to the membership for other packages. Members are identified by their numbers in the settings. */
 public interface MembershipView {
-    /** The status of a member. */
+    /** Returns the status of a member. */
     MemberStatus status(int memberId);
 
-    /** How complete this member's view is. */
+    /** Returns the verdict on how complete this member's view is. */
     PartitionVerdict verdict();
 
-    /** The zone of a member; -1 where it is unknown. */
+    /** Returns the zone of a member; -1 if unknown. */
     int zone(int memberId);
 
-    /** The other members that run as far as is known: those that join, are alive or are suspected. */
+    /** Returns the other members believed to run: those that are joining, alive or suspected. */
     List<Integer> runningMembers();
 
-    /** Those of a zone. */
+    /** Returns the members of a zone among {@link #runningMembers}. */
     List<Integer> runningMembersIn(int zone);
 
-    /** The IPv4 addresses of the members of a zone that clients may be given, this one's included. */
+    /** Returns the IPv4 addresses of the members of a zone that clients may be given, including this one. */
     List<Integer> servingAddresses(int zone);
 
-    /** A limit of all members is divided by this: the result is what this member may use of it. */
+    /** Returns the number by which a limit shared by all members is divided to give this member's share. */
     double quotaDivisor(long now);
 
-    /** Likewise for a limit that the members of a zone share. */
+    /** Returns the same number for a limit shared by the members of a zone. */
     double quotaDivisorIn(long now, int zone);
 
-    /** A digest of the view: equal for equal views. */
+    /** Returns a digest of the view; equal views have equal digests. */
     int digest();
 }
--- a/src/main/java/magpiewheel/membership/Messenger.java
+++ b/src/main/java/magpiewheel/membership/Messenger.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Sends the membership's messages, each with what this member says of itself. */
+/** Sends membership messages, each with the local member's own state. */
 final class Messenger {
     private static final int[] NO_DIGESTS = {};
     private static final long US_PER_MS = 1_000;
@@ -25,7 +25,9 @@
         this.partition = partition;
     }
 
-    /** Sends updates; a receiver that is thought to have failed hears that, too, so that it can refute it. */
+    /**
+     * Sends updates. A receiver that is suspected or considered dead is told so as well, so that it can refute that.
+     */
     void sendRound(long now, Member to, List<MemberUpdate> updates, boolean wantsReply) {
         List<MemberUpdate> all = updates;
         boolean failed = to.status == MemberStatus.SUSPECT || to.status == MemberStatus.DEAD;
@@ -37,18 +39,18 @@
         sendUpdates(now, to, all, wantsReply);
     }
 
-    /** Sends these updates. */
+    /** Sends the given updates. */
     void sendUpdates(long now, Member to, List<MemberUpdate> updates, boolean wantsReply) {
         send(now, to, MembershipMessage.Kind.UPDATES, updates, wantsReply, NO_DIGESTS);
     }
 
-    /** Sends the digests of this member's table: the receiver answers with what differs. */
+    /** Sends the digests of this member's table; the receiver replies with the updates that differ. */
     void sendDigests(long now, Member to) {
         int[] digests = members.bucketDigests();
         send(now, to, MembershipMessage.Kind.BUCKET_DIGESTS, List.of(), true, digests);
     }
 
-    /** Answers a message that came a short while ago, unless an answer was sent just now. */
+    /** Replies to a message, unless a reply was sent less than a check interval ago. */
     void reply(long now, Member to, List<MemberUpdate> updates) {
         if (now - to.lastReplyAt >= schedule.checkIntervalUs()) {
             to.lastReplyAt = now;
@@ -56,7 +58,7 @@
         }
     }
 
-    /** Notifies a member of what is thought of it, so that it refutes that. */
+    /** Tells a member the status that it has here, so that it refutes it; an isolated member does not. */
     void requestRefutation(long now, Member to) {
         if (!partition.isIsolated()) {
             reply(now, to, List.of(to.toUpdate(now)));
--- a/src/main/java/magpiewheel/membership/Neighbours.java
+++ b/src/main/java/magpiewheel/membership/Neighbours.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The members that this one exchanges heartbeats with and observes: its neighbours in the rings. */
+/** The neighbours of this member in the rings, with which it exchanges heartbeats and which it observes. */
 final class Neighbours {
     private final MembershipConfig config;
     private final MemberTable members;
@@ -21,7 +21,7 @@
         schedule = context.schedule;
     }
 
-    /** The neighbours as of the last update. */
+    /** Returns the neighbours as of the last update. */
     List<Member> list() {
         return neighbours;
     }
@@ -31,7 +31,7 @@
         return neighbours.contains(member);
     }
 
-    /** Determines the neighbours anew where the table changed or one fell silent; returns whether it did. */
+    /** Recomputes the neighbours if the table changed or a neighbour fell silent. Returns whether it did. */
     boolean update(long now) {
         for (Member member : neighbours) {
             if (member.isInRing() && member.status != MemberStatus.SUSPECT && monitor.isSilent(now, member)) {
@@ -65,12 +65,12 @@
 
     private void observe(long now, Member member) {
         if (!member.isObserved() && member.status == MemberStatus.SUSPECT) {
-            // It is to answer at once.
+            // Sends the next round early, so that the suspect answers soon.
             schedule.flushSoon(now);
         }
         long recentUs = HeartbeatMonitor.SUSPECT_AFTER_HEARTBEATS * config.heartbeatUs();
         if (!member.isObserved() && now - members.lastLossAt() <= recentUs) {
-            // Others that observed it may have failed together with it.
+            // Its other observers may have failed together with it.
             member.possiblyUnobserved = true;
         }
         member.observe(now);
--- a/src/main/java/magpiewheel/membership/ObserverRings.java
+++ b/src/main/java/magpiewheel/membership/ObserverRings.java
@@ -7,15 +7,16 @@
 import java.util.stream.IntStream;
 
 /**
- * The rings in which members observe their neighbours: the same at every member, so that equal views give equal
+ * Rings in which members observe their neighbours. All members compute the same rings, so equal views give equal
  * neighbours.
  */
 final class ObserverRings {
     /**
-     * With two rings a member has four neighbours, and an update is everywhere in about seven steps at 1,000 members.
+     * Number of rings: with two, a member has four neighbours, and an update reaches 1,000 members in about seven
+     * steps.
      */
     static final int RINGS = 2;
-    /** Silent members that are skipped in one direction at most. */
+    /** Maximum number of silent members skipped in one direction. */
     private static final int MAX_LOOKAHEAD = 8;
 
     private final int[][] rings = new int[RINGS][];
@@ -37,7 +38,7 @@
         }
     }
 
-    /** 64 well-mixed bits of two numbers. */
+    /** Returns a well-mixed 64-bit hash of two numbers. */
     static long mix(long first, long second) {
         long z = first * 0x9e3779b97f4a7c15L + (second + 1) * 0xd1b54a32d192ed03L;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
@@ -46,8 +47,9 @@
     }
 
     /**
-     * The neighbours of a front among those in the rings: in each direction the next one; where that is silent, those
-     * behind it as well, as many as were silent on the way, so that a row of dead is crossed in few steps.
+     * Returns the neighbours of a member among those in the rings: the next one in each direction. If that is silent,
+     * those behind it are included until as many responding members as silent ones are found, so that a row of dead
+     * members is crossed in few steps.
      */
     Set<Integer> observersOf(int member, IntPredicate isInRing, IntPredicate isSilent) {
         Set<Integer> found = new LinkedHashSet<>();
--- a/src/main/java/magpiewheel/membership/PartitionDetector.java
+++ b/src/main/java/magpiewheel/membership/PartitionDetector.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Set;
 
-/** Whether this member's view is complete, partial, or that of an isolated member. */
+/** Determines whether this member's view is complete, partial or isolated. */
 final class PartitionDetector {
-    /** Heartbeats without anyone after the start until that means something. */
+    /** Heartbeats after the start from which hearing no member means isolation. */
     private static final int ISOLATED_AFTER_HEARTBEATS = 20;
-    /** us; how long a better verdict has to hold until it counts. */
+    /** Time for which a better verdict has to hold before it is adopted. */
     private static final long RECOVERY_US = 2_000_000;
 
     private final MembershipConfig config;
@@ -29,17 +29,17 @@
         verdict = new VerdictHysteresis(HeartbeatMonitor.SUSPECT_AFTER_HEARTBEATS * config.heartbeatUs(), RECOVERY_US);
     }
 
-    /** The verdict on this member's own view. */
+    /** Returns the verdict on this member's own view. */
     PartitionVerdict verdict() {
         return verdict.current();
     }
 
-    /** Whether this member is isolated: what it thinks of others says nothing. */
+    /** Whether this member is isolated, so that its view of others means nothing. */
     boolean isIsolated() {
         return verdict.current() == PartitionVerdict.ISOLATED;
     }
 
-    /** A datagram said whether its sender hears this member; returns whether that is new. */
+    /** Records whether the sender of a datagram hears this member. Returns whether it does so only now. */
     boolean recordHearer(Member sender, boolean hears) {
         if (!hears) {
             hearers.remove(sender);
@@ -54,7 +54,7 @@
         return !hearers.isEmpty();
     }
 
-    /** Judges the view anew. */
+    /** Updates the verdict. */
     void update(long now, boolean inContact, List<Member> neighbours) {
         boolean meaningful =
                 monitor.heardAnyone() || monitor.uptimeUs(now) > ISOLATED_AFTER_HEARTBEATS * config.heartbeatUs();
@@ -67,7 +67,7 @@
         return partial ? PartitionVerdict.PARTIAL : PartitionVerdict.COMPLETE;
     }
 
-    /** Whether a neighbour is silent for longer than it takes to be declared dead: others must hear it. */
+    /** Whether a neighbour has been silent for longer than a declaration of its death takes: others must hear it. */
     private boolean isHeardByOthersOnly(long now, Member member) {
         long declaredAfterUs = monitor.silenceUs(member)
                 + refutationUs
@@ -78,7 +78,7 @@
                 && now - monitor.silentSince(member) > declaredAfterUs;
     }
 
-    /** Determines whether a zone with members that were heard is dead as a whole, and nobody proved it. */
+    /** Determines whether some zone has no member in the rings any more, with at least one death unproven. */
     void updateLostZones() {
         int[] deadCount = new int[MemberUpdate.UNKNOWN_ZONE + 1];
         boolean[] hasRunning = new boolean[MemberUpdate.UNKNOWN_ZONE + 1];
--- a/src/main/java/magpiewheel/membership/PartitionVerdict.java
+++ b/src/main/java/magpiewheel/membership/PartitionVerdict.java
@@ -1,10 +1,13 @@
 package magpiewheel.membership;
 
-/** How complete a member takes its own view to be. The order is the wire's, and that of the figures. */
+/**
+ * How complete a member considers its own view. The order is fixed, as ordinals are sent in messages and published as
+ * figures.
+ */
 public enum PartitionVerdict {
     /** It hears all members that others hear. */
     COMPLETE,
-    /** Some members can not be reached from here while others hear them, or a zone is lost as a whole. */
+    /** Some members cannot be reached from here while others hear them, or a whole zone is lost. */
     PARTIAL,
     /** No member both hears this one and is heard by it. */
     ISOLATED
--- a/src/main/java/magpiewheel/membership/QuotaDivision.java
+++ b/src/main/java/magpiewheel/membership/QuotaDivision.java
@@ -1,18 +1,22 @@
 package magpiewheel.membership;
 
 /**
- * How a limit is divided. All members that the settings name have a share, since a silent one may run on the other side
- * of a partition; only where its host proved that nobody listens there the share goes to the others, but for what a
- * member that returns uses at first. A proof is a lease: it ends before a member that returns has its full share again.
+ * Divides limits among the members. Every configured member has a share, since a silent one may run on the other side
+ * of a partition. Only if its host proved that no process listens there do the others get its share, except for the
+ * part that a returning member uses at first. A proof is a lease: it expires before a returning member has its full
+ * share again.
  */
 final class QuotaDivision {
-    /** us; a proof holds for so long, and is renewed often enough to survive some lost updates. */
+    /** Time for which a proof is valid. It is renewed often enough to survive some lost updates. */
     static final long PROOF_LEASE_US = 4_000_000;
 
     static final long PROOF_RENEWAL_US = 1_000_000;
-    /** us; a member that starts uses a reduced share for so long: the lease, and clocks 0.4 s off both ways. */
+    /**
+     * Time after its start for which a member uses a reduced share: the lease of a proof, and clock errors of 0.4 s in
+     * both directions.
+     */
     static final long REDUCED_AFTER_START_US = 5_000_000;
-    /** The part of its share that a member uses that just started, and that is reserved for each one proven dead. */
+    /** Fraction of its share that a newly started member uses, and that is reserved for each member proven dead. */
     static final double REDUCED_SHARE = 0.25;
 
     private final MembershipConfig config;
@@ -25,7 +29,7 @@
         this.refutationUs = refutationUs;
     }
 
-    /** A limit of all members or, with a zone, of that zone's is divided by this. */
+    /** Returns the divisor of a limit that a zone shares or, for a negative zone, that all members share. */
     double divisor(long now, long uptimeUs, int zone) {
         return uptimeUs < REDUCED_AFTER_START_US ? shares(now, zone) / REDUCED_SHARE : shares(now, zone);
     }
@@ -45,8 +49,8 @@
     }
 
     /**
-     * Whether its host proved a short while ago that nobody listens there, and nobody heard of it since; not within the
-     * time in which it could refute that, as a filter may have answered for its host.
+     * Whether the host of a member recently proved that no process listens there, and the member has not been heard of
+     * since. Not within its refutation time, as a filter may have answered for its host.
      */
     private boolean isProvenUnreachable(long now, Member member) {
         return !member.isInRing()
--- a/src/main/java/magpiewheel/membership/RoundSchedule.java
+++ b/src/main/java/magpiewheel/membership/RoundSchedule.java
@@ -1,8 +1,8 @@
 package magpiewheel.membership;
 
-/** When the next check and the next round of messages are due: one a heartbeat, and sooner where there are updates. */
+/** Schedules the checks and the rounds of messages: one round per heartbeat, and earlier ones for updates. */
 final class RoundSchedule {
-    /** Parts of a heartbeat: members are checked once in each, and updates wait for one at most. */
+    /** Checks of the members per heartbeat; updates wait for at most one check interval. */
     private static final int CHECKS_PER_HEARTBEAT = 5;
 
     private final long heartbeatUs;
@@ -19,7 +19,7 @@
         nextHeartbeatAt = now;
     }
 
-    /** When something is due next. */
+    /** Returns when the next check or early round is due. */
     long due() {
         return Math.min(nextCheckAt, flushAt);
     }
@@ -29,7 +29,7 @@
         return now - nextCheckAt > 2 * heartbeatUs;
     }
 
-    /** Whether a check is due; if so the next one is scheduled. */
+    /** Returns whether a check is due, and if so schedules the next one. */
     boolean startCheck(long now) {
         if (now < nextCheckAt) {
             return false;
@@ -43,7 +43,7 @@
         return now >= flushAt || now >= nextHeartbeatAt;
     }
 
-    /** Starts a round; returns whether it is a heartbeat. */
+    /** Starts a round. Returns whether it is a heartbeat. */
     boolean startRound(long now) {
         boolean heartbeat = now >= nextHeartbeatAt;
         flushAt = Long.MAX_VALUE;
@@ -55,22 +55,22 @@
         return heartbeat;
     }
 
-    /** Schedules a round soon, but not sooner than a part of a heartbeat after the last one. */
+    /** Schedules an early round, at least one check interval after the last round. */
     void flushSoon(long now) {
         flushAt = Math.min(flushAt, Math.max(now, lastRoundAt + checkIntervalUs()));
     }
 
-    /** Schedules the next round after a part of a heartbeat: the last one could not hold all updates. */
+    /** Schedules the next round one check interval from now: the last one could not hold all updates. */
     void flushRemaining(long now) {
         flushAt = now + checkIntervalUs();
     }
 
-    /** A part of a heartbeat, us. */
+    /** Returns the interval between checks, in microseconds. */
     long checkIntervalUs() {
         return heartbeatUs / CHECKS_PER_HEARTBEAT;
     }
 
-    /** Whether this is one of the heartbeats that come every so many. */
+    /** Whether the number of heartbeats sent is a multiple of {@code count}. */
     boolean isMultipleOf(int count) {
         return heartbeats % count == 0;
     }
--- a/src/main/java/magpiewheel/membership/UpdateDissemination.java
+++ b/src/main/java/magpiewheel/membership/UpdateDissemination.java
@@ -4,11 +4,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The updates that are still to be sent, each with several rounds of messages (infection-style dissemination). */
+/** Queue of the updates to be sent, each in several rounds of messages (infection-style dissemination). */
 final class UpdateDissemination {
-    /** Rounds in which an update is sent; one for a member that joins, since it is soon announced as alive. */
+    /** Rounds in which an update is sent; one for a joining member, since it is soon announced as alive. */
     private static final int ROUNDS_PER_UPDATE = 3;
-    /** us; with heartbeats no longer than this updates of others are sent at once, too: lookups depend on them. */
+    /**
+     * Longest heartbeat interval with which updates about other members are sent early too: DNS lookups depend on them.
+     */
     private static final long MAX_FAST_HEARTBEAT_US = 100_000;
 
     private final MembershipConfig config;
@@ -23,7 +25,7 @@
         this.schedule = schedule;
     }
 
-    /** The state of a member changed: it is sent soon, and again with the next rounds. */
+    /** Queues an update about a member whose state changed, to be sent with the next rounds. */
     void announce(long now, Member member) {
         if (!member.updateQueued) {
             member.updateQueued = true;
@@ -36,13 +38,13 @@
     }
 
     /**
-     * The updates that one message holds, those sent least often first.
+     * Returns the updates that one message holds, those sent least often first.
      *
-     * @param isolated whether this member is isolated, and keeps to itself what it thinks of failures
+     * @param isolated whether this member is isolated, and so reports no failures of others
      */
     List<MemberUpdate> takeUpdates(long now, boolean isolated) {
         List<MemberUpdate> updates = new ArrayList<>();
-        // Space is left for what the receiver must hear about itself.
+        // Space is reserved for the update that tells the receiver its own status.
         int space = MembershipMessage.MAX_MESSAGE_BYTES
                 - MembershipMessage.HEADER_BYTES
                 - MembershipMessage.UPDATE_BYTES
@@ -85,7 +87,7 @@
         return overflowed;
     }
 
-    /** Whether no update is to be sent. */
+    /** Whether no update is queued. */
     boolean isIdle() {
         return queue.isEmpty();
     }
--- a/src/main/java/magpiewheel/membership/UpdateMerger.java
+++ b/src/main/java/magpiewheel/membership/UpdateMerger.java
@@ -1,6 +1,6 @@
 package magpiewheel.membership;
 
-/** Merges updates from other members into the table: the higher incarnation counts, then the later status. */
+/** Merges updates from other members into the table: the higher incarnation wins, then the later status. */
 final class UpdateMerger {
     private static final long US_PER_MS = 1_000;
 
@@ -20,7 +20,7 @@
         this.local = local;
     }
 
-    /** Merges one update; one of a member that the settings do not name is ignored. */
+    /** Merges one update; an update about a member that is not configured is ignored. */
     void merge(long now, MemberUpdate update) {
         if (!members.contains(update.memberId())) {
             return;
@@ -44,19 +44,22 @@
         }
     }
 
-    /** The Unix millisecond of the proof that comes with an update of a death; 0 where there is none. */
+    /** Returns the Unix time of the proof in an update about a death, in milliseconds; 0 for none. */
     private long deathProofMs(MemberUpdate update) {
         return config.reachabilityProbes() && update.status() == MemberStatus.DEAD ? update.unreachableProvenMs() : 0;
     }
 
-    /** Whether nothing was seen here of a death: it may be declared on the other side of a partition. */
+    /**
+     * Whether a reported death is not confirmed here: it has no proof, or the member was heard recently. It may have
+     * been declared on the other side of a partition.
+     */
     private boolean isUnconfirmedDeath(long now, Member member, MemberUpdate update) {
         return update.status() == MemberStatus.DEAD
                 && member.status.compareTo(MemberStatus.SUSPECT) <= 0
                 && (deathProofMs(update) == 0 || member.isFresh(now, prober.probeAfterUs(member)));
     }
 
-    /** The member becomes a suspect that may refute its death. */
+    /** Makes the member a suspect that can still refute its declared death. */
     private void suspectDeclaredDead(long now, Member member, MemberUpdate update) {
         long proof = deathProofMs(update);
         if (member.status == MemberStatus.SUSPECT) {
@@ -67,7 +70,7 @@
         }
     }
 
-    /** The update replaces what is known, with this status in place of its own. */
+    /** Replaces the known state by that of the update, with the given status in place of its own. */
     private void replace(long now, Member member, MemberUpdate update, MemberStatus status) {
         boolean asSent = status == update.status();
         boolean sameIncarnation = update.incarnation() == member.incarnation;
@@ -93,7 +96,7 @@
         dissemination.announce(now, member);
     }
 
-    /** Status and incarnation are known already; only accusers and proofs may be new. */
+    /** Merges the accusers and proofs of an update whose status and incarnation are already known. */
     private void mergeDetails(long now, Member member, MemberUpdate update) {
         boolean changed = false;
         if (member.status == MemberStatus.SUSPECT) {
@@ -105,7 +108,7 @@
             changed = mergeSuspicion(now, member, update);
         }
         if (update.unreachableProvenMs() > member.unreachableProvenMs && !member.isInRing()) {
-            // Proofs are renewed: a small difference is passed on with a small delay.
+            // Proofs are renewed regularly: one that is only slightly newer is not announced at once.
             long differenceMs = update.unreachableProvenMs() - member.unreachableProvenMs;
             changed |= differenceMs > QuotaDivision.PROOF_RENEWAL_US / (2 * US_PER_MS);
             member.unreachableProvenMs = update.unreachableProvenMs();
@@ -113,12 +116,12 @@
         if (changed) {
             dissemination.announce(now, member);
         } else if (member.sendsRemaining > 0) {
-            // Others disseminate it, too.
+            // Other members already disseminate this update.
             member.sendsRemaining--;
         }
     }
 
-    /** Whether two of a suspect's observers were refused. */
+    /** Whether probes of two different observers of a suspect were refused. */
     private static boolean isSecondProof(Member suspect, MemberUpdate update) {
         return update.unreachableProvenMs() > 0
                 && suspect.unreachableProvenMs > 0
--- a/src/main/java/magpiewheel/membership/VerdictHysteresis.java
+++ b/src/main/java/magpiewheel/membership/VerdictHysteresis.java
@@ -1,6 +1,9 @@
 package magpiewheel.membership;
 
-/** A verdict with hysteresis: a worse observation has to hold for a while, a better one for longer. */
+/**
+ * Partition verdict with hysteresis: a worse observation has to hold for a while before it is adopted, a better one for
+ * longer.
+ */
 final class VerdictHysteresis {
     private final long worseAfterUs;
     private final long betterAfterUs;
@@ -14,7 +17,7 @@
         this.betterAfterUs = betterAfterUs;
     }
 
-    /** Takes an observation; returns the verdict. */
+    /** Records an observation. Returns the resulting verdict. */
     PartitionVerdict update(long now, PartitionVerdict observation) {
         if (observation.compareTo(current) > 0) {
             if (observed.compareTo(current) <= 0) {
