--- a/src/test/java/magpiewheel/routing/AnswerRateBySizeTest.java
+++ b/src/test/java/magpiewheel/routing/AnswerRateBySizeTest.java
@@ -4,7 +4,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import magpiewheel.routing.OverloadedLocation.Kind;
+import magpiewheel.routing.OverloadedLocation.TrafficClass;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -24,28 +24,29 @@
     private static final double OWED_CROWDED = 0.5;
 
     /** Long clips and short pages. */
-    private static final List<Kind> CLIPS =
-            List.of(new Kind(0.55, 400_000, 500_000, 5_000_000, 2), new Kind(0.45, 80_000, 400_000, 3_000_000, 1));
+    private static final List<TrafficClass> CLIPS = List.of(
+            new TrafficClass(0.55, 400_000, 500_000, 5_000_000, 2),
+            new TrafficClass(0.45, 80_000, 400_000, 3_000_000, 1));
 
     /** Four classes alike in size, each worth twice the one before. */
-    private static final List<Kind> STEPS = List.of(
-            new Kind(0.25, 150_000, 400_000, 2_500_000, 1),
-            new Kind(0.25, 150_000, 400_000, 2_500_000, 2),
-            new Kind(0.25, 150_000, 400_000, 2_500_000, 4),
-            new Kind(0.25, 150_000, 400_000, 2_500_000, 8));
+    private static final List<TrafficClass> STEPS = List.of(
+            new TrafficClass(0.25, 150_000, 400_000, 2_500_000, 1),
+            new TrafficClass(0.25, 150_000, 400_000, 2_500_000, 2),
+            new TrafficClass(0.25, 150_000, 400_000, 2_500_000, 4),
+            new TrafficClass(0.25, 150_000, 400_000, 2_500_000, 8));
 
     /** One class alone. */
-    private static final List<Kind> ALONE = List.of(new Kind(1, 250_000, 600_000, 4_000_000, 1));
+    private static final List<TrafficClass> ALONE = List.of(new TrafficClass(1, 250_000, 600_000, 4_000_000, 1));
 
     private static void holds(double load, double owed) {
         List<String> fallsShort = new ArrayList<>();
-        for (List<Kind> kinds : List.of(CLIPS, STEPS, ALONE)) {
+        for (List<TrafficClass> kinds : List.of(CLIPS, STEPS, ALONE)) {
             for (int seed = 1; seed <= SEEDS; seed++) {
                 OverloadedLocation location = new OverloadedLocation(seed, kinds).run(END, load);
                 for (int kind = 0; kind < kinds.size(); kind++) {
-                    double all = location.answered(kind, 0, 1);
-                    double fifth = location.answered(kind, 0.7, 0.9);
-                    double tenth = location.answered(kind, 0.9, 1);
+                    double all = location.answeredShare(kind, 0, 1);
+                    double fifth = location.answeredShare(kind, 0.7, 0.9);
+                    double tenth = location.answeredShare(kind, 0.9, 1);
                     System.out.printf(
                             "%d kinds, seed %d, kind %d: %.3f %.3f %.3f%n",
                             kinds.size(), seed, kind, all, fifth, tenth);
--- a/src/test/java/magpiewheel/routing/DecisionFingerprintTest.java
+++ b/src/test/java/magpiewheel/routing/DecisionFingerprintTest.java
@@ -31,8 +31,8 @@
         "11, 82843:8b219f8884001bfd",
         "12, 65437:91518be0186c4091"
     })
-    void randomEventsWithRegionsAndBoundedReads(long seed, String fingerprint) {
-        assertEquals(fingerprint, new RandomEvents(seed).play(EVENTS).toString());
+    void randomEventsWithRegionsAndBoundedReads(long seed, String expected) {
+        assertEquals(expected, new RandomEvents(seed).run(EVENTS).toString());
     }
 
     @ParameterizedTest
@@ -42,51 +42,52 @@
         "false, true, 91940:8d51333a16842ce8",
         "false, false, 102010:a83ed0bcc03f35be"
     })
-    void eightFrontsOfFourBranches(boolean led, boolean joins, String fingerprint) {
-        RegionalFleetWorld world = new RegionalFleetWorld(5, led, 4, 40, joins);
-        world.wanted(0, 9 * SECOND, 50 * RegionalFleetWorld.MS, 20 * RegionalFleetWorld.MS);
-        world.net.at(4 * SECOND, () -> world.hangs(RegionalFleetWorld.PARENTS + 1));
-        world.net.at(6 * SECOND, () -> world.becomes(RegionalFleetWorld.PARENTS + 2, EndpointState.DRAINING));
+    void eightRoutersInFourZones(boolean regions, boolean joins, String expected) {
+        RegionalFleetWorld world = new RegionalFleetWorld(5, regions, 4, 40, joins);
+        world.scheduleRequests(0, 9 * SECOND, 50 * RegionalFleetWorld.MS, 20 * RegionalFleetWorld.MS);
+        world.net.at(4 * SECOND, () -> world.hang(RegionalFleetWorld.PARENT_ID_OFFSET + 1));
+        world.net.at(
+                6 * SECOND, () -> world.changeState(RegionalFleetWorld.PARENT_ID_OFFSET + 2, EndpointState.DRAINING));
         world.runTo(10 * SECOND);
-        assertEquals(fingerprint, world.actions.toString());
+        assertEquals(expected, world.actions.toString());
     }
 
     @ParameterizedTest
     @CsvSource({"1, 20, 100435:dde8951db726986d", "101, 20, 100435:2165c63e2d7a0f74", "1, 30, 164080:969067aca9fb88bf"})
-    void fleetWithANodeThatStarted(long cold, int fronts, String fingerprint) {
-        WarmingFleet.Plans plans =
-                WarmingFleet.Plans.of(3, fronts, cold).whereFrontsRestart().weighing(6);
+    void fleetWithAWarmingEndpoint(long cold, int routers, String expected) {
+        WarmingFleet.Scenario plans =
+                WarmingFleet.Scenario.of(3, routers, cold).withRouterRestarts().withEndpointWeight(6);
         WarmingFleet fleet = new WarmingFleet(plans).run(5 * SECOND, 10);
-        assertEquals(fingerprint, fleet.actions.toString());
+        assertEquals(expected, fleet.actions.toString());
     }
 
     @Test
-    void oneRouterOfTheDesign() {
+    void oneRouterUnderMixedEvents() {
         DesignWorld world = new DesignWorld();
-        IntStream.rangeClosed(1, 6).forEach(cache -> world.listed(cache, EndpointState.READY, 0));
-        world.listed(101, EndpointState.READY, 0);
-        world.listed(102, EndpointState.READY, 0);
-        world.listed(DesignWorld.ORIGIN, EndpointState.READY, 0);
-        world.meets(1);
-        world.meets(2);
-        world.pick(200);
+        IntStream.rangeClosed(1, 6).forEach(cache -> world.changeEndpoint(cache, EndpointState.READY, 0));
+        world.changeEndpoint(101, EndpointState.READY, 0);
+        world.changeEndpoint(102, EndpointState.READY, 0);
+        world.changeEndpoint(DesignWorld.ORIGIN, EndpointState.READY, 0);
+        world.discoverRouter(1);
+        world.discoverRouter(2);
+        world.select(200);
         world.scan(300, DesignWorld.object("B"), 3);
-        world.holds(1, world.now, 4, DesignWorld.object("C"), 200 * DesignWorld.MS);
-        world.busy(2, 4, 30);
+        world.receiveHolderHint(1, world.nowUs, 4, DesignWorld.object("C"), 200 * DesignWorld.MS);
+        world.receiveEndpointLoad(2, 4, 30);
         world.read(DesignWorld.object("C"));
-        world.answer(AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN);
-        world.answer(AttemptResult.OK, CacheStatus.FILLED);
+        world.complete(AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN);
+        world.complete(AttemptResult.OK, CacheStatus.FILLED);
         world.purge(DesignWorld.object("B"), true, 100 * DesignWorld.MS);
-        world.readWithOwn(DesignWorld.object("B"), 2 * DesignWorld.SECOND);
+        world.readWithLocalCopy(DesignWorld.object("B"), 2 * DesignWorld.SECOND);
         world.write(DesignWorld.object("D"), true);
-        world.answer(AttemptResult.CONNECTION_LOST, CacheStatus.UNKNOWN);
-        world.fills(12, 101, 900 * DesignWorld.MS);
-        world.pick(LongStream.rangeClosed(1, 60).map(i -> 20_000 + i).toArray());
-        world.crowd();
-        world.listed(3, EndpointState.DRAINING, 0);
-        world.listed(7, EndpointState.READY, world.now);
-        world.pick(100);
-        world.pass(3 * DesignWorld.SECOND);
-        assertEquals("22683:f769fe633ce66147", world.actions.toString());
+        world.complete(AttemptResult.CONNECTION_LOST, CacheStatus.UNKNOWN);
+        world.completeFills(12, 101, 900 * DesignWorld.MS);
+        world.select(LongStream.rangeClosed(1, 60).map(i -> 20_000 + i).toArray());
+        world.requestSelectedAtOnce();
+        world.changeEndpoint(3, EndpointState.DRAINING, 0);
+        world.changeEndpoint(7, EndpointState.READY, world.nowUs);
+        world.select(100);
+        world.advance(3 * DesignWorld.SECOND);
+        assertEquals("22683:f769fe633ce66147", world.fingerprint.toString());
     }
 }
--- a/src/test/java/magpiewheel/routing/FingerprintedActions.java
+++ b/src/test/java/magpiewheel/routing/FingerprintedActions.java
@@ -5,39 +5,39 @@
 
 /** Passes actions of one instance on, and folds each with its time and all of its values into a fingerprint. */
 final class FingerprintedActions implements RoutingActions {
-    private enum Kind {
-        ATTEMPT,
-        CANCEL,
-        OWN,
-        REFUSE,
+    private enum Call {
+        START_ATTEMPT,
+        CANCEL_ATTEMPT,
+        SERVE_LOCAL_COPY,
+        REJECT,
         FAIL,
-        TIMER,
-        PROBE,
-        TELL,
-        KNOCK,
+        SET_TIMER,
+        CHECK_HEALTH,
+        SEND_TO_PEER,
+        PROBE_REACHABILITY,
         SUBSCRIBE,
-        FETCH_LIST
+        FETCH_ENDPOINT_LIST
     }
 
-    private final RoutingActions next;
+    private final RoutingActions delegate;
     private final Fingerprint fingerprint;
-    private final int instance;
+    private final int routerId;
     private final LongSupplier clock;
 
-    FingerprintedActions(RoutingActions next, Fingerprint fingerprint, int instance, LongSupplier clock) {
-        this.next = next;
+    FingerprintedActions(RoutingActions delegate, Fingerprint fingerprint, int routerId, LongSupplier clock) {
+        this.delegate = delegate;
         this.fingerprint = fingerprint;
-        this.instance = instance;
+        this.routerId = routerId;
         this.clock = clock;
     }
 
-    private Fingerprint add(Kind kind) {
-        return fingerprint.add((long) kind.ordinal()).add((long) instance).add(clock.getAsLong());
+    private Fingerprint add(Call call) {
+        return fingerprint.add((long) call.ordinal()).add((long) routerId).add(clock.getAsLong());
     }
 
     @Override
     public void startAttempt(long request, long node, AttemptPlan plan) {
-        add(Kind.ATTEMPT).add(request).add(node);
+        add(Call.START_ATTEMPT).add(request).add(node);
         fingerprint
                 .add((long) plan.retentionRank())
                 .add(plan.deadlineUs())
@@ -48,72 +48,72 @@
                 .add(plan.fillSource())
                 .add(plan.maxAgeUs())
                 .add(plan.startByUs());
-        next.startAttempt(request, node, plan);
+        delegate.startAttempt(request, node, plan);
     }
 
     @Override
     public void cancelAttempt(long request, int attempt) {
-        add(Kind.CANCEL).add(request).add((long) attempt);
-        next.cancelAttempt(request, attempt);
+        add(Call.CANCEL_ATTEMPT).add(request).add((long) attempt);
+        delegate.cancelAttempt(request, attempt);
     }
 
     @Override
     public void serveLocalCopy(long request) {
-        add(Kind.OWN).add(request);
-        next.serveLocalCopy(request);
+        add(Call.SERVE_LOCAL_COPY).add(request);
+        delegate.serveLocalCopy(request);
     }
 
     @Override
     public void reject(long request, long backoffUs) {
-        add(Kind.REFUSE).add(request).add(backoffUs);
-        next.reject(request, backoffUs);
+        add(Call.REJECT).add(request).add(backoffUs);
+        delegate.reject(request, backoffUs);
     }
 
     @Override
     public void fail(long request) {
-        add(Kind.FAIL).add(request);
-        next.fail(request);
+        add(Call.FAIL).add(request);
+        delegate.fail(request);
     }
 
     @Override
     public void setTimer(long atUs, long handle) {
-        add(Kind.TIMER).add(atUs).add(handle);
-        next.setTimer(atUs, handle);
+        add(Call.SET_TIMER).add(atUs).add(handle);
+        delegate.setTimer(atUs, handle);
     }
 
     @Override
     public void checkHealth(long node) {
-        add(Kind.PROBE).add(node);
-        next.checkHealth(node);
+        add(Call.CHECK_HEALTH).add(node);
+        delegate.checkHealth(node);
     }
 
     @Override
     public void sendToPeer(int recipient, byte[] message) {
-        add(Kind.TELL).add((long) recipient).add(message);
-        next.sendToPeer(recipient, message);
+        add(Call.SEND_TO_PEER).add((long) recipient).add(message);
+        delegate.sendToPeer(recipient, message);
     }
 
     @Override
-    public void probeReachability(int director, long at) {
-        add(Kind.KNOCK).add((long) director).add(at);
-        next.probeReachability(director, at);
+    public void probeReachability(int router, long atUs) {
+        add(Call.PROBE_REACHABILITY).add((long) router).add(atUs);
+        delegate.probeReachability(router, atUs);
     }
 
     @Override
     public void subscribe(boolean on) {
-        add(Kind.SUBSCRIBE).add(on);
-        next.subscribe(on);
+        add(Call.SUBSCRIBE).add(on);
+        delegate.subscribe(on);
     }
 
     @Override
     public void fetchEndpointList() {
-        add(Kind.FETCH_LIST);
-        next.fetchEndpointList();
+        add(Call.FETCH_ENDPOINT_LIST);
+        delegate.fetchEndpointList();
     }
 
     /** Log lines are wording: they are no part of the fingerprint. */
     @Override
     public void log(String line) {
-        next.log(line);
+        delegate.log(line);
     }
 }
--- a/src/test/java/magpiewheel/routing/HoldOnlyAttemptTest.java
+++ b/src/test/java/magpiewheel/routing/HoldOnlyAttemptTest.java
@@ -219,8 +219,10 @@
                 EndpointListMode.CACHED,
                 List.of(
                         EndpointInfo.builder(1, 0, 0).build(),
-                        EndpointInfo.builder(101, 1, RegionalFleetWorld.HUB).build(),
-                        EndpointInfo.builder(201, 2, RegionalFleetWorld.HUB).build()));
+                        EndpointInfo.builder(101, 1, RegionalFleetWorld.HUB_ZONE)
+                                .build(),
+                        EndpointInfo.builder(201, 2, RegionalFleetWorld.HUB_ZONE)
+                                .build()));
         for (long id = 1; id <= 200; id++) {
             led.requestArrived(
                     at, RoutingRequest.builder(id, 0, id).group(5).sizeKb(100).build());
@@ -251,11 +253,12 @@
     @Test
     void withLooksAnObjectWantedInFourBranchesLeavesTheOriginOnce() {
         RegionalFleetWorld world = new RegionalFleetWorld(2, true, 4, 0, false);
-        world.wanted(0, 13 * SECOND, 50 * MS, 20 * MS);
+        world.scheduleRequests(0, 13 * SECOND, 50 * MS, 20 * MS);
         world.runTo(17 * SECOND);
-        assertTrue(world.leader() > RegionalFleetWorld.PARENTS);
-        assertTrue(world.fetchesAPart(10 * SECOND, 13 * SECOND, 50 * MS) <= 1.05);
-        assertEquals(world.asked, world.answers("served", 0, Long.MAX_VALUE));
-        assertTrue(world.sent.stream().filter(s -> s.node() == s.source()).count() > world.asked / 2);
+        assertTrue(world.agreedLeader() > RegionalFleetWorld.PARENT_ID_OFFSET);
+        assertTrue(world.originFetchesPerObject(10 * SECOND, 13 * SECOND, 50 * MS) <= 1.05);
+        assertEquals(world.requestCount, world.answers("served", 0, Long.MAX_VALUE));
+        assertTrue(
+                world.attempts.stream().filter(s -> s.node() == s.fillSource()).count() > world.requestCount / 2);
     }
 }
--- a/src/test/java/magpiewheel/routing/OverloadedLocation.java
+++ b/src/test/java/magpiewheel/routing/OverloadedLocation.java
@@ -17,237 +17,252 @@
 final class OverloadedLocation {
     static final long MS = 1_000;
     static final long SECOND = 1_000 * MS;
-    private static final int FRONTS = 3;
+    private static final int ROUTERS = 3;
     private static final int CACHES = 4;
     private static final long PARENT = 101;
     private static final long ORIGIN = 201;
     private static final long START_US = 1_800_000_000_000_000L;
-    private static final double FLOW_KB_PER_S = 1_000;
+    private static final double TRANSFER_KB_PER_S = 1_000;
     /** Transfers at a client's pace that one cache carries, and those that the location's link does. */
-    private static final double CACHE_FLOWS = 8;
+    private static final double CACHE_TRANSFERS = 8;
 
-    private static final double LINK_FLOWS = 20;
+    private static final double LINK_TRANSFERS = 20;
     private static final int OBJECTS = 3_000;
     /** Objects of low numbers are asked for more often, by a power of a number that is drawn evenly. */
-    private static final double SKEW = 3;
+    private static final double POPULARITY_EXPONENT = 3;
     /** Share of the objects that a cache holds at the start. */
-    private static final double HELD = 0.7;
+    private static final double INITIALLY_CACHED_SHARE = 0.7;
 
-    private static final double SIGMA = 1;
+    private static final double SIZE_SIGMA = 1;
 
     /** A class of requests: share of the requests, mean sending time, aim, deadline, worth. */
-    record Kind(double share, long meanUs, long aimUs, long deadlineUs, double worth) {}
+    record TrafficClass(
+            double share, long meanTransferUs, long latencyObjectiveUs, long deadlineUs, double priorityWeight) {}
 
     /** What became of a request. */
-    private record End(int kind, double us, boolean answered) {}
+    private record FinalAnswer(int trafficClass, double transferUs, boolean answered) {}
 
-    private final class Front extends NoOpActions {
-        final RequestRouter rules;
+    private final class SimulatedRouter extends NoOpActions {
+        final RequestRouter router;
         final Map<Long, Integer> attempts = new HashMap<>();
-        final Map<Long, RoutingRequest> open = new HashMap<>();
-        final int me;
+        final Map<Long, RoutingRequest> requests = new HashMap<>();
+        final int routerId;
 
-        Front(int me) {
-            this.me = me;
-            RoutingSettings settings = settings(me);
-            RouterTopology place = settings.topology();
-            rules = new RequestRouter(
-                    settings, net.random.nextLong(), this, place.membershipConfig(0, 100 * MS, 0, false), null, false);
-            rules.endpointsChanged(clock(), EndpointListMode.CACHED, list());
-            rules.setServing(clock(), true);
+        SimulatedRouter(int routerId) {
+            this.routerId = routerId;
+            RoutingSettings settings = settings(routerId);
+            RouterTopology topology = settings.topology();
+            router = new RequestRouter(
+                    settings,
+                    net.random.nextLong(),
+                    this,
+                    topology.membershipConfig(0, 100 * MS, 0, false),
+                    null,
+                    false);
+            router.endpointsChanged(clock(), EndpointListMode.CACHED, endpoints());
+            router.setServing(clock(), true);
         }
 
-        void ask(RoutingRequest request) {
-            open.put(request.id(), request);
-            rules.requestArrived(clock(), request);
+        void submit(RoutingRequest request) {
+            requests.put(request.id(), request);
+            router.requestArrived(clock(), request);
         }
 
         @Override
         public void startAttempt(long id, long node, AttemptPlan plan) {
             int index = attempts.merge(id, 1, Integer::sum) - 1;
-            RoutingRequest request = open.get(id);
-            boolean cache = node <= CACHES;
-            boolean hit = cache && holds(node, request.objectId());
-            if (cache && !hit && plan.fillSource() == node) {
+            RoutingRequest request = requests.get(id);
+            boolean toCache = node <= CACHES;
+            boolean hit = toCache && isCached(node, request.objectId());
+            if (toCache && !hit && plan.fillSource() == node) {
                 net.at(
                         net.now + 2 * MS,
                         () -> endAttempt(request, index, node, AttemptResult.MISS, CacheStatus.UNKNOWN, 2 * MS));
                 return;
             }
-            CacheStatus note = hit ? CacheStatus.HIT : CacheStatus.FILLED;
-            double slower = cache ? inHand.merge(node, 1, Integer::sum) / CACHE_FLOWS : 1;
-            slower = hit ? slower : Math.max(slower, inHand.merge(0L, 1, Integer::sum) / LINK_FLOWS);
-            long took = (long) (sendingUs(request) * Math.max(1, slower)) + 5 * MS;
-            long left = plan.deadlineUs() - clock();
-            AttemptResult result = took < left ? AttemptResult.OK : AttemptResult.TIMEOUT;
-            net.at(net.now + Math.min(took, left), () -> {
-                inHand.merge(node, cache ? -1 : 0, Integer::sum);
-                inHand.merge(0L, hit ? 0 : -1, Integer::sum);
-                if (result == AttemptResult.OK && cache) {
-                    held.add(spot(node, request.objectId()));
+            CacheStatus cacheStatus = hit ? CacheStatus.HIT : CacheStatus.FILLED;
+            double slowdown = toCache ? inFlight.merge(node, 1, Integer::sum) / CACHE_TRANSFERS : 1;
+            slowdown = hit ? slowdown : Math.max(slowdown, inFlight.merge(0L, 1, Integer::sum) / LINK_TRANSFERS);
+            long durationUs = (long) (transferUs(request) * Math.max(1, slowdown)) + 5 * MS;
+            long remainingUs = plan.deadlineUs() - clock();
+            AttemptResult result = durationUs < remainingUs ? AttemptResult.OK : AttemptResult.TIMEOUT;
+            net.at(net.now + Math.min(durationUs, remainingUs), () -> {
+                inFlight.merge(node, toCache ? -1 : 0, Integer::sum);
+                inFlight.merge(0L, hit ? 0 : -1, Integer::sum);
+                if (result == AttemptResult.OK && toCache) {
+                    cachedCopies.add(copyKey(node, request.objectId()));
                 }
                 endAttempt(
                         request,
                         index,
                         node,
                         result,
-                        result == AttemptResult.OK ? note : CacheStatus.UNKNOWN,
-                        Math.min(took, left));
+                        result == AttemptResult.OK ? cacheStatus : CacheStatus.UNKNOWN,
+                        Math.min(durationUs, remainingUs));
             });
         }
 
         private void endAttempt(
-                RoutingRequest request, int index, long node, AttemptResult result, CacheStatus note, long took) {
+                RoutingRequest request,
+                int index,
+                long node,
+                AttemptResult result,
+                CacheStatus cacheStatus,
+                long durationUs) {
             boolean served = result == AttemptResult.OK;
             if (served) {
-                end(request.id(), true);
+                recordFinalAnswer(request.id(), true);
             }
-            rules.attemptEnded(
+            router.attemptEnded(
                     clock(),
                     AttemptOutcome.builder(request.id(), index, node, result)
-                            .durationUs(took)
+                            .durationUs(durationUs)
                             .requestCompleted(served)
-                            .cacheStatus(note)
+                            .cacheStatus(cacheStatus)
                             .firstByteUs(5 * MS)
                             .build());
         }
 
-        private void end(long id, boolean answered) {
-            RoutingRequest request = open.get(id);
+        private void recordFinalAnswer(long id, boolean answered) {
+            RoutingRequest request = requests.get(id);
             if (request != null && attempts.put(-id, 1) == null) {
-                ends.add(new End(request.requestClass(), sendingUs(request), answered));
+                finalAnswers.add(new FinalAnswer(request.requestClass(), transferUs(request), answered));
             }
         }
 
         @Override
         public void reject(long request, long backoffUs) {
-            end(request, false);
+            recordFinalAnswer(request, false);
         }
 
         @Override
         public void fail(long request) {
-            end(request, false);
+            recordFinalAnswer(request, false);
         }
 
         @Override
         public void sendToPeer(int recipient, byte[] message) {
             net.send(
-                    me,
+                    routerId,
                     recipient,
                     message,
-                    (to, from, bytes) -> fronts.get(to).rules.peerMessageReceived(clock(), from, bytes));
+                    (to, from, bytes) -> routers.get(to).router.peerMessageReceived(clock(), from, bytes));
         }
 
         @Override
-        public void setTimer(long at, long handle) {
-            net.at(at - START_US, () -> rules.timerExpired(clock(), handle));
+        public void setTimer(long atUs, long handle) {
+            net.at(atUs - START_US, () -> router.timerExpired(clock(), handle));
         }
     }
 
-    private final List<Kind> kinds;
+    private final List<TrafficClass> trafficClasses;
     private final SimulatedNetwork net;
-    private final List<Front> fronts = new ArrayList<>();
-    private final Map<Long, Double> sizes = new HashMap<>();
-    private final Map<Long, Integer> inHand = new HashMap<>();
-    private final Set<Long> held = new HashSet<>();
-    private final List<End> ends = new ArrayList<>();
+    private final List<SimulatedRouter> routers = new ArrayList<>();
+    private final Map<Long, Double> transferUsByObject = new HashMap<>();
+    private final Map<Long, Integer> inFlight = new HashMap<>();
+    private final Set<Long> cachedCopies = new HashSet<>();
+    private final List<FinalAnswer> finalAnswers = new ArrayList<>();
     private long lastRequest;
 
-    OverloadedLocation(long seed, List<Kind> kinds) {
-        this.kinds = kinds;
-        net = new SimulatedNetwork(seed, FRONTS, 0.05, 0.01);
-        for (long object = 0; object < OBJECTS * kinds.size(); object++) {
-            if (net.random.nextDouble() < HELD) {
-                held.add(spot(1 + net.random.nextInt(CACHES), object + 1));
+    OverloadedLocation(long seed, List<TrafficClass> trafficClasses) {
+        this.trafficClasses = trafficClasses;
+        net = new SimulatedNetwork(seed, ROUTERS, 0.05, 0.01);
+        for (long object = 0; object < OBJECTS * trafficClasses.size(); object++) {
+            if (net.random.nextDouble() < INITIALLY_CACHED_SHARE) {
+                cachedCopies.add(copyKey(1 + net.random.nextInt(CACHES), object + 1));
             }
         }
-        for (int me = 0; me < FRONTS; me++) {
-            fronts.add(new Front(me));
+        for (int routerId = 0; routerId < ROUTERS; routerId++) {
+            routers.add(new SimulatedRouter(routerId));
         }
     }
 
     /** Asks for so many times what the caches carry, until then. */
-    OverloadedLocation run(long end, double load) {
-        double meanUs =
-                kinds.stream().mapToDouble(kind -> kind.share() * kind.meanUs()).sum();
-        long step = (long) (meanUs / (load * CACHES * CACHE_FLOWS));
-        net.every(0, step, this::ask);
-        net.runUntil(end, () -> {});
+    OverloadedLocation run(long endUs, double load) {
+        double meanTransferUs = trafficClasses.stream()
+                .mapToDouble(kind -> kind.share() * kind.meanTransferUs())
+                .sum();
+        long intervalUs = (long) (meanTransferUs / (load * CACHES * CACHE_TRANSFERS));
+        net.every(0, intervalUs, this::submitRandomRequest);
+        net.runUntil(endUs, () -> {});
         return this;
     }
 
-    private void ask() {
-        int kind = 0;
-        for (double draw = net.random.nextDouble(); draw >= kinds.get(kind).share() && kind + 1 < kinds.size(); ) {
-            draw -= kinds.get(kind++).share();
+    private void submitRandomRequest() {
+        int trafficClass = 0;
+        for (double draw = net.random.nextDouble();
+                draw >= trafficClasses.get(trafficClass).share() && trafficClass + 1 < trafficClasses.size(); ) {
+            draw -= trafficClasses.get(trafficClass++).share();
         }
-        long rank = (long) (OBJECTS * Math.pow(net.random.nextDouble(), SKEW));
-        long object = 1 + rank * kinds.size() + kind;
-        double mean = kinds.get(kind).meanUs();
-        double us = sizes.computeIfAbsent(object, key -> ObjectSizes.lognormal(net.random, mean, SIGMA));
-        RoutingRequest request = RoutingRequest.builder(++lastRequest, kind, object)
+        long rank = (long) (OBJECTS * Math.pow(net.random.nextDouble(), POPULARITY_EXPONENT));
+        long object = 1 + rank * trafficClasses.size() + trafficClass;
+        double meanTransferUs = trafficClasses.get(trafficClass).meanTransferUs();
+        double transferUs = transferUsByObject.computeIfAbsent(
+                object, key -> ObjectSizes.lognormal(net.random, meanTransferUs, SIZE_SIGMA));
+        RoutingRequest request = RoutingRequest.builder(++lastRequest, trafficClass, object)
                 .group(5)
-                .sizeKb(us / SECOND * FLOW_KB_PER_S)
+                .sizeKb(transferUs / SECOND * TRANSFER_KB_PER_S)
                 .build();
-        fronts.get(net.random.nextInt(FRONTS)).ask(request);
+        routers.get(net.random.nextInt(ROUTERS)).submit(request);
     }
 
-    private boolean holds(long cache, long object) {
-        return held.contains(spot(cache, object));
+    private boolean isCached(long cache, long object) {
+        return cachedCopies.contains(copyKey(cache, object));
     }
 
-    private static long spot(long cache, long object) {
+    private static long copyKey(long cache, long object) {
         return object * (CACHES + 1) + cache;
     }
 
-    private static double sendingUs(RoutingRequest request) {
-        return request.sizeKb() / FLOW_KB_PER_S * SECOND;
+    private static double transferUs(RoutingRequest request) {
+        return request.sizeKb() / TRANSFER_KB_PER_S * SECOND;
     }
 
     /** Share of a class's requests that were answered, of the part between two ranks by size, 0 the smallest. */
-    double answered(int kind, double from, double to) {
-        List<End> bySize = ends.stream()
-                .filter(end -> end.kind() == kind)
-                .sorted(Comparator.comparingDouble(End::us))
+    double answeredShare(int trafficClass, double fromRank, double toRank) {
+        List<FinalAnswer> bySize = finalAnswers.stream()
+                .filter(end -> end.trafficClass() == trafficClass)
+                .sorted(Comparator.comparingDouble(FinalAnswer::transferUs))
                 .toList();
-        List<End> part = bySize.subList((int) (from * bySize.size()), (int) (to * bySize.size()));
-        return part.stream().filter(End::answered).count() / (double) part.size();
+        List<FinalAnswer> part = bySize.subList((int) (fromRank * bySize.size()), (int) (toRank * bySize.size()));
+        return part.stream().filter(FinalAnswer::answered).count() / (double) part.size();
     }
 
     private long clock() {
         return START_US + net.now;
     }
 
-    private static List<EndpointInfo> list() {
-        List<EndpointInfo> all = new ArrayList<>();
+    private static List<EndpointInfo> endpoints() {
+        List<EndpointInfo> endpoints = new ArrayList<>();
         for (long id = 1; id <= CACHES; id++) {
-            all.add(EndpointInfo.builder(id, 0, 0).weight(CACHE_FLOWS).build());
+            endpoints.add(EndpointInfo.builder(id, 0, 0).weight(CACHE_TRANSFERS).build());
         }
-        all.add(EndpointInfo.builder(PARENT, 1, 1).weight(4 * CACHE_FLOWS).build());
-        all.add(EndpointInfo.builder(ORIGIN, 2, 1).weight(0).build());
-        return all;
+        endpoints.add(
+                EndpointInfo.builder(PARENT, 1, 1).weight(4 * CACHE_TRANSFERS).build());
+        endpoints.add(EndpointInfo.builder(ORIGIN, 2, 1).weight(0).build());
+        return endpoints;
     }
 
-    private RoutingSettings settings(int me) {
-        List<RequestClass> profiles = kinds.stream()
-                .map(kind -> RequestClass.builder(kind.aimUs(), kind.deadlineUs())
+    private RoutingSettings settings(int routerId) {
+        List<RequestClass> requestClasses = trafficClasses.stream()
+                .map(kind -> RequestClass.builder(kind.latencyObjectiveUs(), kind.deadlineUs())
                         .transferTimeFactor(2)
-                        .priorityWeight(kind.worth())
+                        .priorityWeight(kind.priorityWeight())
                         .latePriorityWeight(0.2)
                         .stalePriorityWeight(0.5)
                         .build())
                 .toList();
-        double link = LINK_FLOWS * FLOW_KB_PER_S;
+        double linkKbPerS = LINK_TRANSFERS * TRANSFER_KB_PER_S;
         return RoutingSettings.builder(
-                        RouterTopology.builder(me, FRONTS, 0)
-                                .routersByZone(new int[] {FRONTS, 0})
+                        RouterTopology.builder(routerId, ROUTERS, 0)
+                                .routersByZone(new int[] {ROUTERS, 0})
                                 .hubByZone(new int[] {1, 1})
-                                .linkKbPerSByZone(new double[] {link, 0})
+                                .linkKbPerSByZone(new double[] {linkKbPerS, 0})
                                 .parentKind(1)
                                 .originKind(2)
-                                .transferKbPerS(FLOW_KB_PER_S)
+                                .transferKbPerS(TRANSFER_KB_PER_S)
                                 .build(),
-                        profiles,
+                        requestClasses,
                         SimulatedSite.limits(8).build(),
                         SimulatedSite.safetyLimits(
                                 new SlowStartProfile(0.2, 12 * SECOND, 3, SECOND),
--- a/src/test/java/magpiewheel/routing/RegionalFleetWorld.java
+++ b/src/test/java/magpiewheel/routing/RegionalFleetWorld.java
@@ -18,240 +18,247 @@
  * origin counts fetches of each part. What is judged is what these, and the clients, saw.
  */
 final class RegionalFleetWorld {
-    static final int FRONTS = 8;
-    static final int BRANCHES = 4;
-    static final int HUB = BRANCHES;
+    static final int ROUTERS = 8;
+    static final int ROUTER_ZONES = 4;
+    static final int HUB_ZONE = ROUTER_ZONES;
     static final long MS = 1_000;
     static final long SECOND = 1_000 * MS;
     static final long ORIGIN = 201;
-    static final long PARENTS = 100;
+    static final long PARENT_ID_OFFSET = 100;
     /** us; what a request's object takes at a client's pace, and when an answer for it is overdue. */
-    static final long OWN_US = 10 * MS;
+    static final long TRANSFER_US = 10 * MS;
 
-    static final long OVERDUE_US = 400 * MS + 2 * OWN_US;
+    static final long RESPONSE_OVERDUE_US = 400 * MS + 2 * TRANSFER_US;
     private static final long START_US = 1_800_000_000_000_000L;
-    private static final int CACHES = 3;
+    private static final int CACHES_PER_ZONE = 3;
 
     /** A stand-in cache, or parent. */
-    private final class StandIn {
+    private final class SimulatedCache {
         final long id;
-        final Set<Long> held = new HashSet<>();
-        final Map<Long, List<Consumer<CacheStatus>>> fetching = new HashMap<>();
-        boolean hangs;
+        final Set<Long> cachedObjects = new HashSet<>();
+        final Map<Long, List<Consumer<CacheStatus>>> waitingByObject = new HashMap<>();
+        boolean hung;
 
-        StandIn(long id) {
+        SimulatedCache(long id) {
             this.id = id;
         }
 
         /** Says how it came by the object; with no source it says so, and one that hangs never does. */
-        void asked(long object, long source, Consumer<CacheStatus> told) {
-            if (hangs) {
+        void request(long object, long source, Consumer<CacheStatus> callback) {
+            if (hung) {
                 return;
             }
-            Consumer<CacheStatus> answer = note -> {
-                if (!hangs) {
-                    told.accept(note);
+            Consumer<CacheStatus> respond = status -> {
+                if (!hung) {
+                    callback.accept(status);
                 }
             };
-            if (held.contains(object)) {
-                net.at(net.now + 2 * MS + net.random.nextLong(2 * MS), () -> answer.accept(CacheStatus.HIT));
+            if (cachedObjects.contains(object)) {
+                net.at(net.now + 2 * MS + net.random.nextLong(2 * MS), () -> respond.accept(CacheStatus.HIT));
             } else if (source == id) {
-                CacheStatus lacks =
-                        !joins && fetching.containsKey(object) ? CacheStatus.COALESCED : CacheStatus.SOURCE_MISS;
-                net.at(net.now + 2 * MS, () -> answer.accept(lacks));
-            } else if (fetching.containsKey(object)) {
-                fetching.get(object).add(answer);
+                CacheStatus missStatus = !cachesJoinFills && waitingByObject.containsKey(object)
+                        ? CacheStatus.COALESCED
+                        : CacheStatus.SOURCE_MISS;
+                net.at(net.now + 2 * MS, () -> respond.accept(missStatus));
+            } else if (waitingByObject.containsKey(object)) {
+                waitingByObject.get(object).add(respond);
             } else {
-                fetching.put(object, new ArrayList<>(List.of(answer)));
-                Consumer<CacheStatus> came = note -> {
-                    held.add(object);
-                    fetching.remove(object).forEach(waiting -> waiting.accept(note));
+                waitingByObject.put(object, new ArrayList<>(List.of(respond)));
+                Consumer<CacheStatus> completeFill = status -> {
+                    cachedObjects.add(object);
+                    waitingByObject.remove(object).forEach(waiting -> waiting.accept(status));
                 };
                 if (source == ORIGIN) {
-                    fetches.merge(object, 1, Integer::sum);
-                    fetchedAt.add(net.now);
-                    long more = (long) (-unevenUs * Math.log(1 - net.random.nextDouble()));
+                    originFetchesByObject.merge(object, 1, Integer::sum);
+                    originFetchTimesUs.add(net.now);
+                    long extraUs = (long) (-meanExtraOriginUs * Math.log(1 - net.random.nextDouble()));
                     net.at(
-                            net.now + 30 * MS + net.random.nextLong(20 * MS) + more,
-                            () -> came.accept(CacheStatus.FILLED_BY_ORIGIN));
+                            net.now + 30 * MS + net.random.nextLong(20 * MS) + extraUs,
+                            () -> completeFill.accept(CacheStatus.FILLED_BY_ORIGIN));
                 } else {
-                    nodes.get(source)
-                            .asked(
+                    caches.get(source)
+                            .request(
                                     object,
                                     ORIGIN,
-                                    note -> came.accept(note == CacheStatus.HIT ? CacheStatus.FILLED : note));
+                                    status -> completeFill.accept(
+                                            status == CacheStatus.HIT ? CacheStatus.FILLED : status));
                 }
             }
         }
     }
 
     /** One router. */
-    private final class Front extends NoOpActions {
-        final int me;
-        final RequestRouter rules;
-        final Map<Long, List<Boolean>> open = new HashMap<>();
-        final Map<Long, long[]> asked = new HashMap<>();
-
-        Front(int me) {
-            this.me = me;
-            RoutingSettings settings = settings(me, joins);
-            this.rules = new RequestRouter(
+    private final class SimulatedRouter extends NoOpActions {
+        final int routerId;
+        final RequestRouter router;
+        final Map<Long, List<Boolean>> attemptsInFlight = new HashMap<>();
+        final Map<Long, long[]> requests = new HashMap<>();
+
+        SimulatedRouter(int routerId) {
+            this.routerId = routerId;
+            RoutingSettings settings = settings(routerId, cachesJoinFills);
+            this.router = new RequestRouter(
                     settings,
                     net.random.nextLong(),
-                    new FingerprintedActions(this, actions, me, () -> net.now),
+                    new FingerprintedActions(this, actions, routerId, () -> net.now),
                     settings.topology().membershipConfig(0, 50 * MS, clock() / MS, false),
-                    led ? settings.regionConfig(clock() / MS, originTransfers) : null,
+                    regionsEnabled ? settings.regionConfig(clock() / MS, originTransfers) : null,
                     false);
         }
 
         @Override
         public void startAttempt(long request, long node, AttemptPlan plan) {
-            List<Boolean> attempts = open.computeIfAbsent(request, id -> new ArrayList<>());
-            int index = attempts.size();
-            attempts.add(true);
-            long since = net.now;
-            sent.add(new Sent(net.now, me, node, plan.fillSource()));
-            Consumer<CacheStatus> ended = note -> over(request, index, node, since, AttemptResult.OK, note);
+            List<Boolean> inFlight = attemptsInFlight.computeIfAbsent(request, id -> new ArrayList<>());
+            int index = inFlight.size();
+            inFlight.add(true);
+            long startedUs = net.now;
+            attempts.add(new StartedAttempt(net.now, routerId, node, plan.fillSource()));
+            Consumer<CacheStatus> respond =
+                    status -> endAttempt(request, index, node, startedUs, AttemptResult.OK, status);
             net.at(
                     plan.deadlineUs() - START_US,
-                    () -> over(request, index, node, since, AttemptResult.TIMEOUT, CacheStatus.UNKNOWN));
-            long object = asked.get(request)[1];
-            StandIn target = nodes.get(node);
+                    () -> endAttempt(request, index, node, startedUs, AttemptResult.TIMEOUT, CacheStatus.UNKNOWN));
+            long object = requests.get(request)[1];
+            SimulatedCache target = caches.get(node);
             net.at(
                     net.now + MS,
-                    () -> target.asked(object, plan.fillSource() == node ? node : plan.fillSource(), note -> {
-                        boolean lacks = note == CacheStatus.SOURCE_MISS || note == CacheStatus.COALESCED;
-                        over(
+                    () -> target.request(object, plan.fillSource() == node ? node : plan.fillSource(), status -> {
+                        boolean miss = status == CacheStatus.SOURCE_MISS || status == CacheStatus.COALESCED;
+                        endAttempt(
                                 request,
                                 index,
                                 node,
-                                since,
-                                lacks ? AttemptResult.MISS : AttemptResult.OK,
-                                note == CacheStatus.SOURCE_MISS ? CacheStatus.UNKNOWN : note);
+                                startedUs,
+                                miss ? AttemptResult.MISS : AttemptResult.OK,
+                                status == CacheStatus.SOURCE_MISS ? CacheStatus.UNKNOWN : status);
                     }));
         }
 
-        private void over(long request, int index, long node, long since, AttemptResult result, CacheStatus note) {
-            if (open.containsKey(request) && open.get(request).get(index)) {
-                open.get(request).set(index, false);
+        private void endAttempt(
+                long request, int index, long node, long startedUs, AttemptResult result, CacheStatus cacheStatus) {
+            if (attemptsInFlight.containsKey(request)
+                    && attemptsInFlight.get(request).get(index)) {
+                attemptsInFlight.get(request).set(index, false);
                 if (result == AttemptResult.OK) {
-                    answered(request, "served");
+                    recordAnswer(request, "served");
                 }
-                rules.attemptEnded(
+                router.attemptEnded(
                         clock(),
                         AttemptOutcome.builder(request, index, node, result)
-                                .durationUs(net.now - since)
+                                .durationUs(net.now - startedUs)
                                 .requestCompleted(result == AttemptResult.OK)
-                                .cacheStatus(note)
-                                .firstByteUs(net.now - since)
+                                .cacheStatus(cacheStatus)
+                                .firstByteUs(net.now - startedUs)
                                 .build());
             }
         }
 
-        void answered(long request, String how) {
-            long[] from = asked.get(request);
-            answers.add(new Answer(from[0], net.now - from[0], me, how));
+        void recordAnswer(long request, String outcome) {
+            long[] arrival = requests.get(request);
+            answers.add(new Answer(arrival[0], net.now - arrival[0], routerId, outcome));
         }
 
         @Override
         public void cancelAttempt(long request, int attempt) {
             long node = 0;
-            net.at(net.now, () -> over(request, attempt, node, net.now, AttemptResult.CANCELLED, CacheStatus.UNKNOWN));
+            net.at(
+                    net.now,
+                    () -> endAttempt(request, attempt, node, net.now, AttemptResult.CANCELLED, CacheStatus.UNKNOWN));
         }
 
         @Override
         public void reject(long request, long backoffUs) {
-            answered(request, backoffUs > 0 ? "refused" : "refused without a pause");
+            recordAnswer(request, backoffUs > 0 ? "refused" : "refused without a pause");
         }
 
         @Override
         public void fail(long request) {
-            answered(request, "failed");
+            recordAnswer(request, "failed");
         }
 
         @Override
-        public void setTimer(long at, long handle) {
-            net.at(at - START_US, () -> rules.timerExpired(clock(), handle));
+        public void setTimer(long atUs, long handle) {
+            net.at(atUs - START_US, () -> router.timerExpired(clock(), handle));
         }
 
         @Override
         public void sendToPeer(int recipient, byte[] message) {
             net.send(
-                    me,
+                    routerId,
                     recipient,
                     message,
-                    (to, from, bytes) -> fronts.get(to).rules.peerMessageReceived(clock(), from, bytes));
+                    (to, from, bytes) -> routers.get(to).router.peerMessageReceived(clock(), from, bytes));
         }
     }
 
     /** An attempt, as it went out. */
-    record Sent(long at, int front, long node, long source) {}
+    record StartedAttempt(long atUs, int router, long node, long fillSource) {}
 
     /** A final answer: of a request of a time, after so long. */
-    record Answer(long askedAt, long tookUs, int front, String how) {}
+    record Answer(long requestedAtUs, long durationUs, int router, String outcome) {}
 
     final SimulatedNetwork net;
     final Fingerprint actions = new Fingerprint();
-    final List<Sent> sent = new ArrayList<>();
+    final List<StartedAttempt> attempts = new ArrayList<>();
     final List<Answer> answers = new ArrayList<>();
-    final Map<Long, Integer> fetches = new HashMap<>();
-    final List<Long> fetchedAt = new ArrayList<>();
-    long asked;
+    final Map<Long, Integer> originFetchesByObject = new HashMap<>();
+    final List<Long> originFetchTimesUs = new ArrayList<>();
+    long requestCount;
     /** us; the origin takes so much longer in the mean, now little and now much. */
-    long unevenUs;
+    long meanExtraOriginUs;
 
-    private final boolean led;
-    private final boolean joins;
+    private final boolean regionsEnabled;
+    private final boolean cachesJoinFills;
     private final int originTransfers;
-    private final List<Front> fronts = new ArrayList<>();
-    private final Map<Long, StandIn> nodes = new HashMap<>();
-    private final Map<Long, EndpointInfo> list = new TreeMap<>();
+    private final List<SimulatedRouter> routers = new ArrayList<>();
+    private final Map<Long, SimulatedCache> caches = new HashMap<>();
+    private final Map<Long, EndpointInfo> endpoints = new TreeMap<>();
     private long lastRequest;
 
     /** Routers that start together, with regions or without. */
-    RegionalFleetWorld(long seed, boolean led, int parents, int originTransfers) {
-        this(seed, led, parents, originTransfers, true);
+    RegionalFleetWorld(long seed, boolean regionsEnabled, int parents, int originTransfers) {
+        this(seed, regionsEnabled, parents, originTransfers, true);
     }
 
     /** Likewise; what does not join is asked first for what it holds, and says what is on its way. */
-    RegionalFleetWorld(long seed, boolean led, int parents, int originTransfers, boolean joins) {
-        this.joins = joins;
-        this.net = new SimulatedNetwork(seed, FRONTS, 0.05, 0);
-        this.led = led;
+    RegionalFleetWorld(long seed, boolean regionsEnabled, int parents, int originTransfers, boolean cachesJoinFills) {
+        this.cachesJoinFills = cachesJoinFills;
+        this.net = new SimulatedNetwork(seed, ROUTERS, 0.05, 0);
+        this.regionsEnabled = regionsEnabled;
         this.originTransfers = originTransfers;
-        for (int branch = 0; branch < BRANCHES; branch++) {
-            for (int i = 1; i <= CACHES; i++) {
-                put(10L * branch + i, 0, branch);
+        for (int zone = 0; zone < ROUTER_ZONES; zone++) {
+            for (int i = 1; i <= CACHES_PER_ZONE; i++) {
+                addEndpoint(10L * zone + i, 0, zone);
             }
         }
         for (int i = 1; i <= parents; i++) {
-            put(PARENTS + i, 1, HUB);
+            addEndpoint(PARENT_ID_OFFSET + i, 1, HUB_ZONE);
         }
-        put(ORIGIN, 2, HUB);
-        for (int i = 0; i < FRONTS; i++) {
-            fronts.add(new Front(i));
+        addEndpoint(ORIGIN, 2, HUB_ZONE);
+        for (int i = 0; i < ROUTERS; i++) {
+            routers.add(new SimulatedRouter(i));
         }
-        for (Front front : fronts) {
-            front.rules.endpointsChanged(clock(), EndpointListMode.CACHED, List.copyOf(list.values()));
-            front.rules.setServing(clock(), true);
+        for (SimulatedRouter simulated : routers) {
+            simulated.router.endpointsChanged(clock(), EndpointListMode.CACHED, List.copyOf(endpoints.values()));
+            simulated.router.setServing(clock(), true);
         }
     }
 
-    private void put(long id, int kind, int zone) {
-        nodes.put(id, new StandIn(id));
-        list.put(id, EndpointInfo.builder(id, kind, zone).build());
+    private void addEndpoint(long id, int kind, int zone) {
+        caches.put(id, new SimulatedCache(id));
+        endpoints.put(id, EndpointInfo.builder(id, kind, zone).build());
     }
 
-    static RoutingSettings settings(int me) {
-        return settings(me, true);
+    static RoutingSettings settings(int routerId) {
+        return settings(routerId, true);
     }
 
-    static RoutingSettings settings(int me, boolean joins) {
-        int[] hubs = {HUB, HUB, HUB, HUB, HUB};
+    static RoutingSettings settings(int routerId, boolean cachesJoinFills) {
+        int[] hubByZone = {HUB_ZONE, HUB_ZONE, HUB_ZONE, HUB_ZONE, HUB_ZONE};
         return RoutingSettings.builder(
-                        RouterTopology.builder(me, FRONTS, me / 2)
+                        RouterTopology.builder(routerId, ROUTERS, routerId / 2)
                                 .routersByZone(new int[] {2, 2, 2, 2, 0})
-                                .hubByZone(hubs)
+                                .hubByZone(hubByZone)
                                 .linkKbPerSByZone(new double[] {100_000, 100_000, 100_000, 100_000, 0})
                                 .parentKind(1)
                                 .originKind(2)
@@ -268,7 +275,7 @@
                                 new SlowStartProfile(0.2, 17 * SECOND, 2, SECOND),
                                 new SlowStartProfile(0.1, 20 * SECOND, 2, SECOND)))
                 .overQuotaPriorityWeight(0)
-                .cachesJoinFills(joins)
+                .cachesJoinFills(cachesJoinFills)
                 .detailedCacheStatus(true)
                 .build();
     }
@@ -280,87 +287,89 @@
     // ---------------------------------------------------------------- what happens
 
     /** One new object after another, each wanted in all branches within some time. */
-    void wanted(long from, long to, long every, long within) {
-        for (long at = from; at < to; at += every) {
-            long object = object(at);
-            for (int branch = 0; branch < BRANCHES; branch++) {
-                int front = 2 * branch + net.random.nextInt(2);
-                net.at(at + net.random.nextLong(within), () -> ask(front, object));
+    void scheduleRequests(long fromUs, long toUs, long intervalUs, long spreadUs) {
+        for (long atUs = fromUs; atUs < toUs; atUs += intervalUs) {
+            long object = objectRequestedAt(atUs);
+            for (int zone = 0; zone < ROUTER_ZONES; zone++) {
+                int routerId = 2 * zone + net.random.nextInt(2);
+                net.at(atUs + net.random.nextLong(spreadUs), () -> submit(routerId, object));
             }
         }
     }
 
-    static long object(long at) {
-        return 1_000_000 + at;
+    static long objectRequestedAt(long atUs) {
+        return 1_000_000 + atUs;
     }
 
-    void ask(int number, long object) {
-        Front front = fronts.get(number);
+    void submit(int routerId, long object) {
+        SimulatedRouter simulated = routers.get(routerId);
         long id = ++lastRequest;
-        asked++;
-        front.asked.put(id, new long[] {net.now, object});
-        front.rules.requestArrived(
+        requestCount++;
+        simulated.requests.put(id, new long[] {net.now, object});
+        simulated.router.requestArrived(
                 clock(),
                 RoutingRequest.builder(id, 0, object)
                         .group(5)
-                        .sizeKb(OWN_US / 100.0)
+                        .sizeKb(TRANSFER_US / 100.0)
                         .build());
     }
 
     /** The list changes; each router hears of it some time later, which is returned by router. */
-    long[] becomes(long node, EndpointState state) {
-        EndpointInfo old = list.get(node);
-        EndpointInfo told = EndpointInfo.builder(node, old.kind(), old.zone())
-                .startedUs(old.startedUs())
+    long[] changeState(long node, EndpointState state) {
+        EndpointInfo previous = endpoints.get(node);
+        EndpointInfo changed = EndpointInfo.builder(node, previous.kind(), previous.zone())
+                .startedUs(previous.startedUs())
                 .state(state)
                 .build();
-        long[] at = new long[FRONTS];
-        for (Front front : fronts) {
-            at[front.me] = net.now + 1 + net.random.nextLong(200 * MS);
-            net.at(at[front.me], () -> front.rules.endpointsChanged(clock(), EndpointListMode.DELTA, List.of(told)));
+        long[] appliedAtUs = new long[ROUTERS];
+        for (SimulatedRouter simulated : routers) {
+            appliedAtUs[simulated.routerId] = net.now + 1 + net.random.nextLong(200 * MS);
+            net.at(
+                    appliedAtUs[simulated.routerId],
+                    () -> simulated.router.endpointsChanged(clock(), EndpointListMode.DELTA, List.of(changed)));
         }
-        return at;
+        return appliedAtUs;
     }
 
-    void hangs(long node) {
-        nodes.get(node).hangs = true;
+    void hang(long node) {
+        caches.get(node).hung = true;
     }
 
     /** All caches of a branch lose what they hold. */
-    void emptied(int branch) {
-        list.values().stream()
-                .filter(m -> m.zone() == branch)
-                .forEach(m -> nodes.get(m.id()).held.clear());
+    void emptyCaches(int zone) {
+        endpoints.values().stream()
+                .filter(m -> m.zone() == zone)
+                .forEach(m -> caches.get(m.id()).cachedObjects.clear());
     }
 
     /** Cuts the routers into two halves of the same size. */
-    void halves(boolean cut) {
-        for (int one = 0; one < FRONTS; one++) {
-            for (int two = 0; two < FRONTS; two++) {
-                net.cut(one, two, cut && one / 4 != two / 4);
+    void partition(boolean partitioned) {
+        for (int sender = 0; sender < ROUTERS; sender++) {
+            for (int recipient = 0; recipient < ROUTERS; recipient++) {
+                net.cut(sender, recipient, partitioned && sender / 4 != recipient / 4);
             }
         }
     }
 
-    void runTo(long end) {
-        net.runUntil(end, () -> {});
+    void runTo(long endUs) {
+        net.runUntil(endUs, () -> {});
     }
 
-    void runTo(long end, Runnable check) {
-        net.runUntil(end, check);
+    void runTo(long endUs, Runnable check) {
+        net.runUntil(endUs, check);
     }
 
     // ---------------------------------------------------------------- what was seen
 
-    long figure(int front, String name) {
-        return fronts.get(front).rules.statistics(clock()).getOrDefault(name, -1L);
+    long statistic(int routerId, String name) {
+        return routers.get(routerId).router.statistics(clock()).getOrDefault(name, -1L);
     }
 
     /** The parent that all routers hold to lead; 0 if they differ, or none does. */
-    long leader() {
-        long first = figure(0, "region_leader");
-        for (int i = 1; i < FRONTS; i++) {
-            if (figure(i, "region_leader") != first) {
+    long agreedLeader() {
+        long first = statistic(0, "region_leader");
+        for (int i = 1; i < ROUTERS; i++) {
+            if (statistic(i, "region_leader") != first) {
                 return 0;
             }
         }
@@ -368,19 +377,19 @@
     }
 
     /** Origin fetches for each part of those wanted. */
-    double fetchesAPart(long from, long to, long every) {
+    double originFetchesPerObject(long fromUs, long toUs, long intervalUs) {
         double sum = 0;
-        int parts = 0;
-        for (long at = from; at < to; at += every) {
-            sum += fetches.getOrDefault(object(at), 0);
-            parts++;
+        int objects = 0;
+        for (long atUs = fromUs; atUs < toUs; atUs += intervalUs) {
+            sum += originFetchesByObject.getOrDefault(objectRequestedAt(atUs), 0);
+            objects++;
         }
-        return sum / parts;
+        return sum / objects;
     }
 
-    long answers(String how, long from, long to) {
+    long answers(String outcome, long fromUs, long toUs) {
         return answers.stream()
-                .filter(a -> a.how().equals(how) && a.askedAt() >= from && a.askedAt() < to)
+                .filter(a -> a.outcome().equals(outcome) && a.requestedAtUs() >= fromUs && a.requestedAtUs() < toUs)
                 .count();
     }
 }
--- a/src/test/java/magpiewheel/routing/WarmingFleet.java
+++ b/src/test/java/magpiewheel/routing/WarmingFleet.java
@@ -21,103 +21,136 @@
     private static final long ORIGIN = 201;
     private static final int CACHES = 4;
     private static final long START_US = 1_800_000_000_000_000L;
-    private static final double FLOW_KB_PER_S = 1_000;
-    private static final double COLD_FROM = 0.2;
-    private static final double PARENT_COLD_FROM = 0.1;
+    private static final double TRANSFER_KB_PER_S = 1_000;
+    private static final double CACHE_INITIAL_SHARE = 0.2;
+    private static final double PARENT_INITIAL_SHARE = 0.1;
     private static final long WARM_UP_US = 12 * SECOND;
-    private static final double MULTIPLE = 3;
-    private static final double PARENT_MULTIPLE = 2;
-    private static final long TIP_AFTER_US = 3 * SECOND;
+    private static final double CACHE_LOAD_MULTIPLE = 3;
+    private static final double PARENT_LOAD_MULTIPLE = 2;
+    private static final long LOAD_WINDOW_US = 3 * SECOND;
     /** us; mean sending times of the two classes, and how often each is asked for. */
-    private static final double[] MEAN_US = {300 * MS, 60 * MS};
+    private static final double[] MEAN_TRANSFER_US = {300 * MS, 60 * MS};
 
     /** Spread of sizes within a class, that of a lognormal distribution. */
-    private static final double SIGMA = 1.2;
+    private static final double SIZE_SIGMA = 1.2;
 
     /** How a run goes. */
-    record Plans(
+    record Scenario(
             long seed,
-            int fronts,
-            long cold,
-            double weight,
-            boolean sized,
-            boolean othersFail,
-            boolean restarts,
-            boolean listFlaps) {
-        static Plans of(long seed, int fronts, long cold) {
-            return new Plans(seed, fronts, cold, 4, true, false, false, false);
+            int routers,
+            long warmingEndpoint,
+            double endpointWeight,
+            boolean sizesKnown,
+            boolean otherCachesFail,
+            boolean routersRestart,
+            boolean endpointListFlaps) {
+        static Scenario of(long seed, int routers, long warmingEndpoint) {
+            return new Scenario(seed, routers, warmingEndpoint, 4, true, false, false, false);
         }
 
-        Plans weighing(double its) {
-            return new Plans(seed, fronts, cold, its, sized, othersFail, restarts, listFlaps);
+        Scenario withEndpointWeight(double endpointWeight) {
+            return new Scenario(
+                    seed,
+                    routers,
+                    warmingEndpoint,
+                    endpointWeight,
+                    sizesKnown,
+                    otherCachesFail,
+                    routersRestart,
+                    endpointListFlaps);
         }
 
-        Plans withoutSizes() {
-            return new Plans(seed, fronts, cold, weight, false, othersFail, restarts, listFlaps);
+        Scenario withUnknownSizes() {
+            return new Scenario(
+                    seed,
+                    routers,
+                    warmingEndpoint,
+                    endpointWeight,
+                    false,
+                    otherCachesFail,
+                    routersRestart,
+                    endpointListFlaps);
         }
 
-        Plans whereOthersFail() {
-            return new Plans(seed, fronts, cold, weight, sized, true, restarts, listFlaps);
+        Scenario withOtherCachesFailing() {
+            return new Scenario(
+                    seed,
+                    routers,
+                    warmingEndpoint,
+                    endpointWeight,
+                    sizesKnown,
+                    true,
+                    routersRestart,
+                    endpointListFlaps);
         }
 
-        Plans whereFrontsRestart() {
-            return new Plans(seed, fronts, cold, weight, sized, othersFail, true, listFlaps);
+        Scenario withRouterRestarts() {
+            return new Scenario(
+                    seed,
+                    routers,
+                    warmingEndpoint,
+                    endpointWeight,
+                    sizesKnown,
+                    otherCachesFail,
+                    true,
+                    endpointListFlaps);
         }
 
-        Plans whereTheListFlaps() {
-            return new Plans(seed, fronts, cold, weight, sized, othersFail, restarts, true);
+        Scenario withFlappingEndpointList() {
+            return new Scenario(
+                    seed, routers, warmingEndpoint, endpointWeight, sizesKnown, otherCachesFail, routersRestart, true);
         }
     }
 
     /** Something of a class reaches the cold node. */
-    record Arrival(long at, int profile) {}
+    record Arrival(long atUs, int requestClass) {}
 
-    private final class Front extends NoOpActions {
-        final int me;
-        final RequestRouter rules;
+    private final class SimulatedRouter extends NoOpActions {
+        final int routerId;
+        final RequestRouter router;
         final Map<Long, Integer> attempts = new HashMap<>();
         final Map<Long, RoutingRequest> requests = new HashMap<>();
-        boolean runs = true;
+        boolean running = true;
 
-        Front(int me) {
-            this.me = me;
-            RoutingSettings settings = settings(me);
-            rules = new RequestRouter(
+        SimulatedRouter(int routerId) {
+            this.routerId = routerId;
+            RoutingSettings settings = settings(routerId);
+            router = new RequestRouter(
                     settings,
                     net.random.nextLong(),
-                    new FingerprintedActions(this, actions, me, () -> net.now),
+                    new FingerprintedActions(this, actions, routerId, () -> net.now),
                     settings.topology().membershipConfig(0, 100 * MS, Math.max(1, clock() / MS), false),
                     null,
                     false);
-            rules.endpointsChanged(clock(), EndpointListMode.CACHED, list(true));
-            rules.setServing(clock(), true);
+            router.endpointsChanged(clock(), EndpointListMode.CACHED, endpoints(true));
+            router.setServing(clock(), true);
         }
 
-        void ask(RoutingRequest request) {
+        void submit(RoutingRequest request) {
             requests.put(request.id(), request);
-            rules.requestArrived(clock(), request);
+            router.requestArrived(clock(), request);
         }
 
         @Override
         public void startAttempt(long request, long node, AttemptPlan plan) {
             int index = attempts.merge(request, 1, Integer::sum) - 1;
-            RoutingRequest asked = requests.get(request);
-            long arrives = net.now + 200 + net.random.nextLong(2 * MS);
-            if (node == plans.cold || plan.fillSource() == plans.cold) {
-                arrivals.add(new Arrival(arrives, asked.requestClass()));
+            RoutingRequest routingRequest = requests.get(request);
+            long arrivalUs = net.now + 200 + net.random.nextLong(2 * MS);
+            if (node == scenario.warmingEndpoint || plan.fillSource() == scenario.warmingEndpoint) {
+                arrivals.add(new Arrival(arrivalUs, routingRequest.requestClass()));
             }
-            boolean fails = plans.othersFail && node != plans.cold && node <= CACHES;
-            long tookUs = fails ? MS : transferUs(asked) + 5 * MS;
-            CacheStatus note = fails || plan.fillSource() == node ? CacheStatus.UNKNOWN : CacheStatus.HIT;
+            boolean fails = scenario.otherCachesFail && node != scenario.warmingEndpoint && node <= CACHES;
+            long durationUs = fails ? MS : transferUs(routingRequest) + 5 * MS;
+            CacheStatus cacheStatus = fails || plan.fillSource() == node ? CacheStatus.UNKNOWN : CacheStatus.HIT;
             AttemptResult result = fails ? AttemptResult.UNREACHABLE : AttemptResult.OK;
-            net.at(arrives + tookUs, () -> {
-                if (runs) {
-                    rules.attemptEnded(
+            net.at(arrivalUs + durationUs, () -> {
+                if (running) {
+                    router.attemptEnded(
                             clock(),
                             AttemptOutcome.builder(request, index, node, result)
-                                    .durationUs(tookUs)
+                                    .durationUs(durationUs)
                                     .requestCompleted(!fails)
-                                    .cacheStatus(note)
+                                    .cacheStatus(cacheStatus)
                                     .firstByteUs(5 * MS)
                                     .build());
                 }
@@ -127,17 +160,17 @@
         @Override
         public void sendToPeer(int recipient, byte[] message) {
             net.send(
-                    me,
+                    routerId,
                     recipient,
                     message,
-                    (to, from, bytes) -> fronts.get(to).rules.peerMessageReceived(clock(), from, bytes));
+                    (to, from, bytes) -> routers.get(to).router.peerMessageReceived(clock(), from, bytes));
         }
 
         @Override
-        public void setTimer(long at, long handle) {
-            net.at(at - START_US, () -> {
-                if (runs) {
-                    rules.timerExpired(clock(), handle);
+        public void setTimer(long atUs, long handle) {
+            net.at(atUs - START_US, () -> {
+                if (running) {
+                    router.timerExpired(clock(), handle);
                 }
             });
         }
@@ -145,19 +178,19 @@
 
     final Fingerprint actions = new Fingerprint();
     final List<Arrival> arrivals = new ArrayList<>();
-    private final Plans plans;
+    private final Scenario scenario;
     private final SimulatedNetwork net;
-    private final List<Front> fronts = new ArrayList<>();
-    private final Map<Long, Double> sizes = new HashMap<>();
-    private final Map<Long, Long> transfers = new HashMap<>();
+    private final List<SimulatedRouter> routers = new ArrayList<>();
+    private final Map<Long, Double> transferUsByObject = new HashMap<>();
+    private final Map<Long, Long> transferUsByRequest = new HashMap<>();
     private long lastRequest;
 
     /** A fleet whose cold node started as the run begins; one in ten of its datagrams is lost. */
-    WarmingFleet(Plans plans) {
-        this.plans = plans;
-        net = new SimulatedNetwork(plans.seed(), plans.fronts(), 0.1, 0.02);
-        for (int me = 0; me < plans.fronts(); me++) {
-            fronts.add(new Front(me));
+    WarmingFleet(Scenario scenario) {
+        this.scenario = scenario;
+        net = new SimulatedNetwork(scenario.seed(), scenario.routers(), 0.1, 0.02);
+        for (int routerId = 0; routerId < scenario.routers(); routerId++) {
+            routers.add(new SimulatedRouter(routerId));
         }
     }
 
@@ -165,112 +198,124 @@
         return START_US + net.now;
     }
 
-    private List<EndpointInfo> list(boolean withCold) {
-        List<EndpointInfo> all = new ArrayList<>();
+    private List<EndpointInfo> endpoints(boolean withWarmingEndpoint) {
+        List<EndpointInfo> endpoints = new ArrayList<>();
         for (long id = CACHE; id <= CACHES; id++) {
-            all.add(member(id, 0));
+            endpoints.add(endpoint(id, 0));
         }
-        all.add(member(PARENT, 1));
-        all.add(member(PARENT + 1, 1));
-        all.add(member(ORIGIN, 2));
-        all.removeIf(member -> !withCold && member.id() == plans.cold);
-        return all;
+        endpoints.add(endpoint(PARENT, 1));
+        endpoints.add(endpoint(PARENT + 1, 1));
+        endpoints.add(endpoint(ORIGIN, 2));
+        endpoints.removeIf(member -> !withWarmingEndpoint && member.id() == scenario.warmingEndpoint);
+        return endpoints;
     }
 
-    private EndpointInfo member(long id, int kind) {
-        long started = id == plans.cold ? START_US : 0;
+    private EndpointInfo endpoint(long id, int kind) {
+        long startedUs = id == scenario.warmingEndpoint ? START_US : 0;
         return EndpointInfo.builder(id, kind, 0)
-                .startedUs(started)
-                .weight(plans.weight)
+                .startedUs(startedUs)
+                .weight(scenario.endpointWeight)
                 .build();
     }
 
     /** Asks at every front so many times a second until then; the objects are few, and are everybody's. */
-    WarmingFleet run(long end, int perSecond) {
-        long step = SECOND / perSecond;
-        for (int me = 0; me < plans.fronts(); me++) {
-            int number = me;
-            net.every(net.random.nextLong(step), step, () -> ask(number));
+    WarmingFleet run(long endUs, int requestsPerSecond) {
+        long intervalUs = SECOND / requestsPerSecond;
+        for (int index = 0; index < scenario.routers(); index++) {
+            int routerId = index;
+            net.every(net.random.nextLong(intervalUs), intervalUs, () -> submitRandomRequest(routerId));
         }
-        for (int me = 0; plans.restarts && me < plans.fronts(); me++) {
-            int number = me;
-            net.at(SECOND + number % 10 * 250 * MS, () -> restart(number));
+        for (int index = 0; scenario.routersRestart && index < scenario.routers(); index++) {
+            int routerId = index;
+            net.at(SECOND + routerId % 10 * 250 * MS, () -> restart(routerId));
         }
-        if (plans.listFlaps) {
+        if (scenario.endpointListFlaps) {
             net.every(SECOND, SECOND / 5, () -> {
-                fronts.forEach(front -> front.rules.endpointsChanged(clock(), EndpointListMode.FULL, list(false)));
-                fronts.forEach(front -> front.rules.endpointsChanged(clock(), EndpointListMode.FULL, list(true)));
+                routers.forEach(
+                        front -> front.router.endpointsChanged(clock(), EndpointListMode.FULL, endpoints(false)));
+                routers.forEach(
+                        front -> front.router.endpointsChanged(clock(), EndpointListMode.FULL, endpoints(true)));
             });
         }
-        net.runUntil(end, () -> {});
+        net.runUntil(endUs, () -> {});
         return this;
     }
 
-    private void restart(int number) {
-        fronts.get(number).runs = false;
-        fronts.set(number, new Front(number));
+    private void restart(int routerId) {
+        routers.get(routerId).running = false;
+        routers.set(routerId, new SimulatedRouter(routerId));
     }
 
-    private void ask(int number) {
-        int profile = net.random.nextInt(2);
+    private void submitRandomRequest(int routerId) {
+        int requestClass = net.random.nextInt(2);
         long object = 1 + net.random.nextInt(2_000);
-        double us = sizes.computeIfAbsent(
-                2 * object + profile, key -> ObjectSizes.lognormal(net.random, MEAN_US[profile], SIGMA));
-        double kbytes = us / SECOND * FLOW_KB_PER_S;
-        RoutingRequest request = RoutingRequest.builder(++lastRequest, profile, 2 * object + profile)
+        double transferUs = transferUsByObject.computeIfAbsent(
+                2 * object + requestClass,
+                key -> ObjectSizes.lognormal(net.random, MEAN_TRANSFER_US[requestClass], SIZE_SIGMA));
+        double sizeKb = transferUs / SECOND * TRANSFER_KB_PER_S;
+        RoutingRequest request = RoutingRequest.builder(++lastRequest, requestClass, 2 * object + requestClass)
                 .group(5)
-                .sizeKb(plans.sized ? kbytes : 0)
+                .sizeKb(scenario.sizesKnown ? sizeKb : 0)
                 .build();
-        transfers.put(request.id(), (long) us);
-        fronts.get(number).ask(request);
+        transferUsByRequest.put(request.id(), (long) transferUs);
+        routers.get(routerId).submit(request);
     }
 
     private long transferUs(RoutingRequest request) {
-        return transfers.get(request.id());
+        return transferUsByRequest.get(request.id());
     }
 
     /** The window that holds most beyond what the node bears then, N + 2 x root of N + 2: by how many requests. */
-    double worst() {
-        double meanUs = (MEAN_US[0] + MEAN_US[1]) / 2;
+    double worstExcessRequests() {
+        double meanTransferUs = (MEAN_TRANSFER_US[0] + MEAN_TRANSFER_US[1]) / 2;
         double worst = Double.NEGATIVE_INFINITY;
-        List<Arrival> inOrder = new ArrayList<>(arrivals);
-        inOrder.sort(Comparator.comparingLong(Arrival::at));
+        List<Arrival> sortedArrivals = new ArrayList<>(arrivals);
+        sortedArrivals.sort(Comparator.comparingLong(Arrival::atUs));
         double requests = 0;
-        int first = 0;
-        for (Arrival last : inOrder) {
-            requests += MEAN_US[last.profile()] / meanUs;
-            while (inOrder.get(first).at() <= last.at() - TIP_AFTER_US) {
-                requests -= MEAN_US[inOrder.get(first++).profile()] / meanUs;
+        int windowStart = 0;
+        for (Arrival last : sortedArrivals) {
+            requests += MEAN_TRANSFER_US[last.requestClass()] / meanTransferUs;
+            while (sortedArrivals.get(windowStart).atUs() <= last.atUs() - LOAD_WINDOW_US) {
+                requests -= MEAN_TRANSFER_US[sortedArrivals.get(windowStart++).requestClass()] / meanTransferUs;
             }
-            double bears = bears(last.at()) / meanUs;
-            worst = Math.max(worst, last.at() < WARM_UP_US ? requests - (bears + 2 * Math.sqrt(bears) + 2) : worst);
+            double permittedRequests = permittedWorkUs(last.atUs()) / meanTransferUs;
+            worst = Math.max(
+                    worst,
+                    last.atUs() < WARM_UP_US
+                            ? requests - (permittedRequests + 2 * Math.sqrt(permittedRequests) + 2)
+                            : worst);
         }
         return worst;
     }
 
     /** Work that the node bears in a window that ends then: it is as it was at the window's start. */
-    private double bears(long end) {
-        boolean parent = plans.cold == PARENT;
-        double from = parent ? PARENT_COLD_FROM : COLD_FROM;
-        double present = from + (1 - from) * Math.max(0, end - TIP_AFTER_US) / WARM_UP_US;
-        return (parent ? PARENT_MULTIPLE : MULTIPLE) * present * plans.weight * TIP_AFTER_US;
+    private double permittedWorkUs(long endUs) {
+        boolean parent = scenario.warmingEndpoint == PARENT;
+        double initialShare = parent ? PARENT_INITIAL_SHARE : CACHE_INITIAL_SHARE;
+        double currentShare = initialShare + (1 - initialShare) * Math.max(0, endUs - LOAD_WINDOW_US) / WARM_UP_US;
+        return (parent ? PARENT_LOAD_MULTIPLE : CACHE_LOAD_MULTIPLE)
+                * currentShare
+                * scenario.endpointWeight
+                * LOAD_WINDOW_US;
     }
 
-    private RoutingSettings settings(int me) {
+    private RoutingSettings settings(int routerId) {
         return RoutingSettings.builder(
-                        RouterTopology.builder(me, plans.fronts, 0)
-                                .routersByZone(new int[] {plans.fronts})
+                        RouterTopology.builder(routerId, scenario.routers, 0)
+                                .routersByZone(new int[] {scenario.routers})
                                 .hubByZone(new int[] {0})
-                                .linkKbPerSByZone(new double[] {50 * FLOW_KB_PER_S})
+                                .linkKbPerSByZone(new double[] {50 * TRANSFER_KB_PER_S})
                                 .parentKind(1)
                                 .originKind(2)
-                                .transferKbPerS(FLOW_KB_PER_S)
+                                .transferKbPerS(TRANSFER_KB_PER_S)
                                 .build(),
-                        List.of(profile(600 * MS), profile(400 * MS)),
+                        List.of(requestClass(600 * MS), requestClass(400 * MS)),
                         SimulatedSite.limits(8).build(),
                         SimulatedSite.safetyLimits(
-                                new SlowStartProfile(COLD_FROM, WARM_UP_US, MULTIPLE, TIP_AFTER_US),
-                                new SlowStartProfile(PARENT_COLD_FROM, WARM_UP_US, PARENT_MULTIPLE, TIP_AFTER_US)))
+                                new SlowStartProfile(
+                                        CACHE_INITIAL_SHARE, WARM_UP_US, CACHE_LOAD_MULTIPLE, LOAD_WINDOW_US),
+                                new SlowStartProfile(
+                                        PARENT_INITIAL_SHARE, WARM_UP_US, PARENT_LOAD_MULTIPLE, LOAD_WINDOW_US)))
                 .overQuotaPriorityWeight(0)
                 .cachesJoinFills(true)
                 .mayBypassCaches(true)
@@ -279,8 +324,8 @@
                 .build();
     }
 
-    private static RequestClass profile(long aimUs) {
-        return RequestClass.builder(aimUs, 6 * SECOND)
+    private static RequestClass requestClass(long latencyObjectiveUs) {
+        return RequestClass.builder(latencyObjectiveUs, 6 * SECOND)
                 .transferTimeFactor(2)
                 .latePriorityWeight(0.2)
                 .stalePriorityWeight(0.5)
--- a/src/test/java/magpiewheel/routing/WarmingFleetTest.java
+++ b/src/test/java/magpiewheel/routing/WarmingFleetTest.java
@@ -5,84 +5,90 @@
 
 import java.util.List;
 import java.util.function.UnaryOperator;
-import magpiewheel.routing.WarmingFleet.Plans;
+import magpiewheel.routing.WarmingFleet.Scenario;
 import org.junit.jupiter.api.Test;
 
 /** What all fronts together send to a node that started lately stays under what the settings let it bear. */
 class WarmingFleetTest {
-    private static final int[] FRONTS = {1, 20, 30, 100};
+    private static final int[] ROUTER_COUNTS = {1, 20, 30, 100};
     private static final int SEEDS = 3;
     /** Fleets from this size on are tried with one seed: their messages take longer than what is looked at. */
-    private static final int LARGE = 30;
+    private static final int SINGLE_SEED_ROUTERS = 30;
 
-    private static final long END = 8 * WarmingFleet.SECOND;
+    private static final long END_US = 8 * WarmingFleet.SECOND;
     /** Requests a second that the whole fleet is asked for: far more than a cold node bears. */
-    private static final int PER_SECOND = 300;
-
-    private static void holds(long cold, UnaryOperator<Plans> how) {
-        for (int fronts : FRONTS) {
-            for (int seed = 1; seed <= (fronts < LARGE ? SEEDS : 1); seed++) {
-                Plans plans = how.apply(Plans.of(seed, fronts, cold));
-                double worst = new WarmingFleet(plans)
-                        .run(END, Math.max(2, PER_SECOND / fronts))
-                        .worst();
-                assertTrue(worst <= 0, worst + " requests too many, " + plans);
+    private static final int FLEET_REQUESTS_PER_SECOND = 300;
+
+    private static void assertWithinBudget(long warmingEndpoint, UnaryOperator<Scenario> scenarioChange) {
+        for (int routers : ROUTER_COUNTS) {
+            for (int seed = 1; seed <= (routers < SINGLE_SEED_ROUTERS ? SEEDS : 1); seed++) {
+                Scenario scenario = scenarioChange.apply(Scenario.of(seed, routers, warmingEndpoint));
+                double excess = new WarmingFleet(scenario)
+                        .run(END_US, Math.max(2, FLEET_REQUESTS_PER_SECOND / routers))
+                        .worstExcessRequests();
+                assertTrue(excess <= 0, excess + " requests too many, " + scenario);
             }
         }
     }
 
     @Test
-    void aColdCacheKeepsItsBudget() {
-        holds(WarmingFleet.CACHE, plans -> plans);
+    void warmingCacheStaysWithinItsBudget() {
+        assertWithinBudget(WarmingFleet.CACHE, plans -> plans);
     }
 
     @Test
-    void aColdCacheIsOfUseToAHundredFrontsWhileItWarms() {
-        Plans plans = Plans.of(1, 100, WarmingFleet.CACHE);
-        int used = new WarmingFleet(plans).run(END, PER_SECOND / 100).arrivals.size();
-        assertTrue(used > 0, "requests that reached it: " + used);
+    void warmingCacheReceivesRequestsFromAHundredRouters() {
+        Scenario scenario = Scenario.of(1, 100, WarmingFleet.CACHE);
+        int arrivals = new WarmingFleet(scenario)
+                .run(END_US, FLEET_REQUESTS_PER_SECOND / 100)
+                .arrivals
+                .size();
+        assertTrue(arrivals > 0, "requests that reached it: " + arrivals);
     }
 
     @Test
-    void aColdParentKeepsItsBudget() {
-        holds(WarmingFleet.PARENT, plans -> plans);
+    void warmingParentStaysWithinItsBudget() {
+        assertWithinBudget(WarmingFleet.PARENT, plans -> plans);
     }
 
     @Test
-    void sizesNeedNotBeTold() {
-        holds(WarmingFleet.CACHE, Plans::withoutSizes);
+    void budgetHoldsWithUnknownSizes() {
+        assertWithinBudget(WarmingFleet.CACHE, Scenario::withUnknownSizes);
     }
 
     @Test
-    void firstAttemptsThatFailDoNotAllTurnToTheColdCache() {
-        holds(WarmingFleet.CACHE, Plans::whereOthersFail);
+    void retriesDoNotOverloadTheWarmingCache() {
+        assertWithinBudget(WarmingFleet.CACHE, Scenario::withOtherCachesFailing);
     }
 
     @Test
-    void frontsThatRestartHaveNoNewBudget() {
-        holds(WarmingFleet.CACHE, plans -> plans.whereOthersFail().whereFrontsRestart());
+    void restartedRoutersGetNoNewBudget() {
+        assertWithinBudget(
+                WarmingFleet.CACHE, plans -> plans.withOtherCachesFailing().withRouterRestarts());
     }
 
     @Test
-    void frontsThatRestartHaveNoNewBudgetAtAColdParent() {
-        holds(WarmingFleet.PARENT, Plans::whereFrontsRestart);
+    void restartedRoutersGetNoNewBudgetAtAWarmingParent() {
+        assertWithinBudget(WarmingFleet.PARENT, Scenario::withRouterRestarts);
     }
 
     @Test
-    void aNodeThatIsMissingFromAListForAMomentHasNoNewBudget() {
-        holds(WarmingFleet.CACHE, plans -> plans.whereOthersFail().whereTheListFlaps());
+    void relistedEndpointGetsNoNewBudget() {
+        assertWithinBudget(
+                WarmingFleet.CACHE, plans -> plans.withOtherCachesFailing().withFlappingEndpointList());
     }
 
     @Test
-    void aSmallNodeBearsNoMoreThanItsSize() {
-        holds(WarmingFleet.CACHE, plans -> plans.whereOthersFail().weighing(1));
+    void budgetFollowsTheEndpointWeight() {
+        assertWithinBudget(
+                WarmingFleet.CACHE, plans -> plans.withOtherCachesFailing().withEndpointWeight(1));
     }
 
     /** Its own fronts divide its budget: one that clients of another location ask would use a part that nobody has. */
     @Test
-    void noLookupNamesAColdCacheOfAnotherLocation() {
+    void selectCacheSkipsWarmingCachesOfAnotherZone() {
         RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
-        RequestRouter rules = new RequestRouter(
+        RequestRouter router = new RequestRouter(
                 settings,
                 42,
                 new RecordingActions(),
@@ -90,35 +96,35 @@
                 null,
                 false);
         long now = 100 * WarmingFleet.SECOND;
-        long there = 11;
-        rules.endpointsChanged(
+        long remoteCache = 11;
+        router.endpointsChanged(
                 now,
                 EndpointListMode.CACHED,
-                List.of(RequestRouterFixture.endpoint(there, 0, 1, now, EndpointState.READY)));
-        assertEquals(RoutingPolicy.NO_CACHE, rules.selectCache(now, 1, 77));
-        assertEquals(there, rules.selectCache(now + 60 * WarmingFleet.SECOND, 1, 77));
+                List.of(RequestRouterFixture.endpoint(remoteCache, 0, 1, now, EndpointState.READY)));
+        assertEquals(RoutingPolicy.NO_CACHE, router.selectCache(now, 1, 77));
+        assertEquals(remoteCache, router.selectCache(now + 60 * WarmingFleet.SECOND, 1, 77));
     }
 
     /** Of a front that just started the one before may have used its part already, whether refusals are told or not. */
     @Test
-    void aFrontThatStartsHasTheFirstPartOfItsShare() {
+    void startedRouterBeginsWithAReducedQuota() {
         RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
         long now = 100 * WarmingFleet.SECOND;
-        RequestRouter rules = new RequestRouter(
+        RequestRouter router = new RequestRouter(
                 settings,
                 42,
                 new RecordingActions(),
                 settings.topology().membershipConfig(0, 400_000, now / WarmingFleet.MS, false),
                 null,
                 false);
-        assertEquals(8, rules.membership().quotaDivisor(now));
-        assertEquals(8, rules.membership().quotaDivisorIn(now, 0));
-        assertEquals(2, rules.membership().quotaDivisor(now + 6 * WarmingFleet.SECOND));
+        assertEquals(8, router.membership().quotaDivisor(now));
+        assertEquals(8, router.membership().quotaDivisorIn(now, 0));
+        assertEquals(2, router.membership().quotaDivisor(now + 6 * WarmingFleet.SECOND));
     }
 
     /** Those that end first are the short ones: a limit kept with their mean would be passed many times over. */
     @Test
-    void theFirstFewTransfersDoNotTellHowLongTheyTake() {
+    void cautiousTransferTimeIgnoresTheFirstFewTransfers() {
         RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
         TransferTimes transfers = new TransferTimes(settings.requestClasses(), 10_000);
         assertEquals(500_000, transfers.conservativeUs(0));
