--- a/src/test/java/magpiewheel/routing/DemandDistributionTest.java
+++ b/src/test/java/magpiewheel/routing/DemandDistributionTest.java
@@ -8,16 +8,16 @@
 
 class DemandDistributionTest {
     @Test
-    void nothingAskedForIsBelowNothing() {
+    void shareIsZeroWithoutDemand() {
         assertEquals(0, new DemandDistribution().shareBelow(1));
     }
 
     @Test
-    void timeNotRequestsIsWhatCounts() {
+    void shareIsMeasuredInTransferTimeNotRequests() {
         DemandDistribution demand = new DemandDistribution();
         demand.add(1, 30);
         demand.add(4, 10);
-        assertEquals(0.375, demand.shareBelow(1), 1e-9, "half of its like");
+        assertEquals(0.375, demand.shareBelow(1), 1e-9, "half of the demand in the same bucket counts as lower");
         assertEquals(0.75, demand.shareBelow(2), 1e-9);
         assertEquals(0.875, demand.shareBelow(4), 1e-9);
         assertEquals(1, demand.shareBelow(Double.MAX_VALUE), 1e-9);
@@ -25,24 +25,24 @@
     }
 
     @Test
-    void theMeanOverAllTimeAskedForIsAHalf() {
+    void shareAveragedOverAllTransferTimeIsOneHalf() {
         SplittableRandom random = new SplittableRandom(7);
         DemandDistribution demand = new DemandDistribution();
-        double[] times = random.doubles(250, 1, 1_000).toArray();
-        for (double time : times) {
-            demand.add(1 / time, time);
+        double[] transferTimes = random.doubles(250, 1, 1_000).toArray();
+        for (double transferTime : transferTimes) {
+            demand.add(1 / transferTime, transferTime);
         }
-        double sum = 0;
-        double all = 0;
-        for (double time : times) {
-            sum += time * demand.shareBelow(1 / time);
-            all += time;
+        double weightedShare = 0;
+        double totalTransferTime = 0;
+        for (double transferTime : transferTimes) {
+            weightedShare += transferTime * demand.shareBelow(1 / transferTime);
+            totalTransferTime += transferTime;
         }
-        assertEquals(0.5, sum / all, 1e-9);
+        assertEquals(0.5, weightedShare / totalTransferTime, 1e-9);
     }
 
     @Test
-    void whatWasAskedForLongAgoFades() {
+    void oldDemandDecays() {
         DemandDistribution demand = new DemandDistribution();
         for (int i = 0; i < 256; i++) {
             demand.add(8, 1);
@@ -50,6 +50,6 @@
         for (int i = 0; i < 2_048; i++) {
             demand.add(1, 1);
         }
-        assertTrue(demand.shareBelow(2) > 0.99, "" + demand.shareBelow(2));
+        assertTrue(demand.shareBelow(2) > 0.99, "share of demand below density 2: " + demand.shareBelow(2));
     }
 }
--- a/src/test/java/magpiewheel/routing/PackagesTest.java
+++ b/src/test/java/magpiewheel/routing/PackagesTest.java
@@ -17,52 +17,52 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The house rules on packages: no import runs in a circle, and the core knows no wire. */
+/** Dependency rules of the packages: no cyclic imports, and the core imports no network protocol. */
 class PackagesTest {
     private static final Pattern IMPORT = Pattern.compile("import magpiewheel\\.([a-z]+)\\.");
 
     private static Map<String, Set<String>> imports() throws IOException {
-        Map<String, Set<String>> all = new TreeMap<>();
+        Map<String, Set<String>> importsByPackage = new TreeMap<>();
         try (Stream<Path> files = Files.walk(Path.of("src/main/java/magpiewheel"))) {
             for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
-                String own = file.getParent().getFileName().toString();
-                Set<String> to = all.computeIfAbsent(own, key -> new TreeSet<>());
+                String packageName = file.getParent().getFileName().toString();
+                Set<String> imported = importsByPackage.computeIfAbsent(packageName, key -> new TreeSet<>());
                 Matcher matcher = IMPORT.matcher(Files.readString(file));
                 while (matcher.find()) {
-                    to.add(matcher.group(1));
+                    imported.add(matcher.group(1));
                 }
-                to.remove(own);
+                imported.remove(packageName);
             }
         }
-        return all;
+        return importsByPackage;
     }
 
     @Test
-    void noImportRunsInACircle() throws IOException {
-        Map<String, Set<String>> all = imports();
-        assertTrue(all.size() > 8);
-        for (String start : all.keySet()) {
+    void packagesHaveNoCyclicImports() throws IOException {
+        Map<String, Set<String>> importsByPackage = imports();
+        assertTrue(importsByPackage.size() > 8);
+        for (String start : importsByPackage.keySet()) {
             Set<String> reached = new HashSet<>();
-            List<String> next = List.copyOf(all.get(start));
+            List<String> next = List.copyOf(importsByPackage.get(start));
             while (!next.isEmpty()) {
                 reached.addAll(next);
                 next = next.stream()
-                        .flatMap(p -> all.getOrDefault(p, Set.of()).stream())
+                        .flatMap(p -> importsByPackage.getOrDefault(p, Set.of()).stream())
                         .filter(p -> !reached.contains(p))
                         .distinct()
                         .toList();
             }
-            assertTrue(!reached.contains(start), start + " is reached from itself");
+            assertTrue(!reached.contains(start), "package " + start + " imports itself through other packages");
         }
     }
 
     @Test
-    void pinsImportOnlyWhoIsThere() throws IOException {
+    void stalenessImportsOnlyMembership() throws IOException {
         assertEquals(Set.of("membership"), imports().get("staleness"));
     }
 
     @Test
-    void theModuleImportsOnlyWhoIsThereAndTheCoreOnlyTheModule() throws IOException {
+    void routingAndEngineImportOnlyTheirDependencies() throws IOException {
         assertEquals(Set.of(), imports().get("membership"));
         assertEquals(Set.of("membership"), imports().get("region"));
         assertEquals(Set.of("membership", "region", "staleness"), imports().get("routing"));
--- a/src/test/java/magpiewheel/routing/PeerMessageCodecGoldenTest.java
+++ b/src/test/java/magpiewheel/routing/PeerMessageCodecGoldenTest.java
@@ -8,7 +8,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The octets of messages between the fronts of a location: other versions of the program read them. */
+/** The bytes of messages between the routers of a zone, which other versions of the program read. */
 class PeerMessageCodecGoldenTest {
     private static final long CACHE = 0x0a124a07c32bL;
 
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void loadsFillsAndHolders() {
+    void bytesOfLoadsFillsAndHolders() {
         PeerMessage message = new PeerMessage(
                 7,
                 1_764_576_000_123_456L,
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void whatOneDatagramCannotHoldGoesIntoMore() {
+    void hintsBeyondOneDatagramAreSplitIntoSeveral() {
         List<HolderHint> holders = IntStream.range(0, 14)
                 .mapToObj(i -> new HolderHint(i, i, CACHE, 1, 50 * i))
                 .toList();
--- a/src/test/java/magpiewheel/routing/PeerMessageCodecTest.java
+++ b/src/test/java/magpiewheel/routing/PeerMessageCodecTest.java
@@ -11,41 +11,41 @@
 import org.junit.jupiter.api.Test;
 
 class PeerMessageCodecTest {
-    private static PeerMessage message(int holders) {
-        List<HolderHint> list = new ArrayList<>();
-        for (int i = 0; i < holders; i++) {
-            list.add(new HolderHint(1_000L + i, i, 0x0a124a07c32bL, 300, 50));
+    private static PeerMessage message(int holderCount) {
+        List<HolderHint> holders = new ArrayList<>();
+        for (int i = 0; i < holderCount; i++) {
+            holders.add(new HolderHint(1_000L + i, i, 0x0a124a07c32bL, 300, 50));
         }
         return new PeerMessage(
-                7, 123_456_789L, 3, 12.25, 0.6, List.of(new EndpointLoad(0x0a124a07c32bL, 5, 9.5)), List.of(), list);
+                7, 123_456_789L, 3, 12.25, 0.6, List.of(new EndpointLoad(0x0a124a07c32bL, 5, 9.5)), List.of(), holders);
     }
 
     @Test
-    void whatIsToldIsHeard() {
+    void encodedMessagesDecodeToTheSameContent() {
         List<byte[]> messages = PeerMessageCodec.encode(message(40));
-        List<HolderHint> heard = new ArrayList<>();
+        List<HolderHint> holders = new ArrayList<>();
         for (byte[] bytes : messages) {
             assertTrue(bytes.length <= PeerMessageCodec.MAX_MESSAGE_BYTES);
-            PeerMessage one = PeerMessageCodec.decode(bytes);
+            PeerMessage decoded = PeerMessageCodec.decode(bytes);
             assertEquals(
                     message(0),
                     new PeerMessage(
-                            one.zone(),
-                            one.sentAtUs(),
-                            one.fillsInFlight(),
-                            one.fillLimit(),
-                            one.originLateRatio(),
-                            one.loads(),
+                            decoded.zone(),
+                            decoded.sentAtUs(),
+                            decoded.fillsInFlight(),
+                            decoded.fillLimit(),
+                            decoded.originLateRatio(),
+                            decoded.loads(),
                             List.of(),
                             List.of()));
-            heard.addAll(one.holders());
+            holders.addAll(decoded.holders());
         }
-        assertEquals(message(40).holders(), heard);
+        assertEquals(message(40).holders(), holders);
     }
 
-    /** Whole limits, cut off, pulled the average of a location down (kayal-offices-later big-1). */
+    /** Guards against limits truncated to whole numbers, which pulled the average limit of a zone down. */
     @Test
-    void aLimitIsNotCutToAWholeNumber() {
+    void limitsKeepTheirFractions() {
         assertEquals(
                 12.25,
                 PeerMessageCodec.decode(PeerMessageCodec.encode(message(0)).get(0))
@@ -53,33 +53,36 @@
     }
 
     @Test
-    void otherVersionsAndCutMessagesArePassedOver() {
-        byte[] good = PeerMessageCodec.encode(message(2)).get(0);
-        byte[] older = good.clone();
-        older[0] = 1;
-        assertNull(PeerMessageCodec.decode(older));
-        for (int length = 0; length < good.length; length++) {
-            byte[] cut = Arrays.copyOf(good, length);
-            PeerMessage message = assertDoesNotThrow(() -> PeerMessageCodec.decode(cut));
-            assertTrue(message == null || message.holders().size() < 2, "cut to " + length);
+    void unknownVersionsAreRejectedAndTruncatedMessagesDoNotThrow() {
+        byte[] valid = PeerMessageCodec.encode(message(2)).get(0);
+        byte[] unknownVersion = valid.clone();
+        unknownVersion[0] = 1;
+        assertNull(PeerMessageCodec.decode(unknownVersion));
+        for (int length = 0; length < valid.length; length++) {
+            byte[] truncated = Arrays.copyOf(valid, length);
+            PeerMessage message = assertDoesNotThrow(() -> PeerMessageCodec.decode(truncated));
+            assertTrue(
+                    message == null || message.holders().size() < 2,
+                    "all holders were decoded from a message truncated to " + length + " bytes");
         }
     }
 
-    /** During a release fronts of the version before still talk: their messages tell of no fills on their way. */
+    /** During a rollout, routers of the previous release still send messages, which report no fills in flight. */
     @Test
-    void aMessageOfTheVersionBeforeIsHeard() {
-        byte[] now = PeerMessageCodec.encode(message(1)).get(0);
-        byte[] before = new byte[now.length - 1];
-        System.arraycopy(now, 0, before, 0, 15);
-        System.arraycopy(now, 16, before, 15, now.length - 16);
-        before[0] = 3;
-        before[before.length - 1] = 50;
-        before[before.length - 2] = 0;
-        PeerMessage heard = PeerMessageCodec.decode(before);
-        HolderHint told = new HolderHint(1_000, PeerMessageCodec.UNKNOWN_PART, 0x0a124a07c32bL, 300, 50);
+    void messageOfThePreviousVersionIsDecoded() {
+        byte[] current = PeerMessageCodec.encode(message(1)).get(0);
+        byte[] previous = new byte[current.length - 1];
+        System.arraycopy(current, 0, previous, 0, 15);
+        System.arraycopy(current, 16, previous, 15, current.length - 16);
+        previous[0] = 3;
+        previous[previous.length - 1] = 50;
+        previous[previous.length - 2] = 0;
+        PeerMessage decoded = PeerMessageCodec.decode(previous);
+        HolderHint holder = new HolderHint(1_000, PeerMessageCodec.UNKNOWN_PART, 0x0a124a07c32bL, 300, 50);
         assertEquals(
-                new PeerMessage(7, 123_456_789L, 3, 12.25, 0.6, message(1).loads(), List.of(), List.of(told)), heard);
-        before[0] = 2;
-        assertNull(PeerMessageCodec.decode(before));
+                new PeerMessage(7, 123_456_789L, 3, 12.25, 0.6, message(1).loads(), List.of(), List.of(holder)),
+                decoded);
+        previous[0] = 2;
+        assertNull(PeerMessageCodec.decode(previous));
     }
 }
