--- a/src/main/java/magpiewheel/routing/Endpoint.java
+++ b/src/main/java/magpiewheel/routing/Endpoint.java
@@ -57,7 +57,7 @@
         lastAnsweredAt = answered ? now : lastAnsweredAt;
     }
 
-    /** Ejects it for a time; afterwards it is on probation, and gets one request at a time until one succeeds. */
+    /** Ejects it for a time; afterwards it is on probation, and receives one request at a time until one succeeds. */
     void eject(long now, long durationUs) {
         ejectionUs = durationUs;
         ejectedUntil = now + durationUs;
@@ -100,7 +100,7 @@
         return state == EndpointState.READY;
     }
 
-    /** Whether it gets no new requests now because it is draining or ejected. */
+    /** Whether it receives no new requests now because it is draining or ejected. */
     boolean isAvoided(long now) {
         return state == EndpointState.DRAINING || isReady() && now < ejectedUntil;
     }
--- a/src/main/java/magpiewheel/routing/PeerMessageCodec.java
+++ b/src/main/java/magpiewheel/routing/PeerMessageCodec.java
@@ -16,7 +16,7 @@
     private static final int HEADER_BYTES = 17;
     private static final int LOAD_BYTES = 9;
     private static final int HINT_BYTES = 18;
-    /** Leaves space for one hint, so that each message carries at least one. */
+    /** Maximum number of loads in a message; it leaves space for one hint. */
     private static final int MAX_LOADS = (MAX_MESSAGE_BYTES - HEADER_BYTES - HINT_BYTES) / LOAD_BYTES;
 
     private static final int PORT_BITS = 16;
--- a/src/main/java/magpiewheel/routing/RequestLimits.java
+++ b/src/main/java/magpiewheel/routing/RequestLimits.java
@@ -22,7 +22,7 @@
         int maxInFlight,
         long maxRetryAfterUs,
         long connectTimeoutUs) {
-    /** Returns the permitted part of a retry-after time, us; 0 where rejections carry none. */
+    /** Returns a retry-after time, limited to the permitted maximum, us; 0 where rejections carry none. */
     public long retryAfterUs(long wantedUs) {
         return maySendRetryAfter ? Math.min(maxRetryAfterUs, wantedUs) : 0;
     }
--- a/src/main/java/magpiewheel/routing/TransferTimes.java
+++ b/src/main/java/magpiewheel/routing/TransferTimes.java
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Counts a transfer time.
+     * Adds a transfer time to the averages of a class.
      *
      * @param lowLoad false if the transfer may have shared a link with many others
      */
@@ -82,8 +82,9 @@
     }
 
     /**
-     * Returns the estimate for hard limits, us: the mean of a class, approached from its latency objective over many
-     * samples. The first few samples say little where sizes vary, and the shortest transfers end first.
+     * Returns the estimate for hard limits, us: the mean of a class or, if that is longer, an average that starts at
+     * the latency objective and approaches the samples slowly. The first few samples say little where sizes vary much,
+     * and the shortest transfers end first.
      */
     double conservativeUs(int requestClass) {
         return Math.max(conservativeMeans[requestClass], meanUs(requestClass));
