--- a/src/test/java/magpiewheel/routing/AnswerRateBySizeTest.java
+++ b/src/test/java/magpiewheel/routing/AnswerRateBySizeTest.java
@@ -44,17 +44,17 @@
             for (int seed = 1; seed <= SEEDS; seed++) {
                 OverloadedLocation location = new OverloadedLocation(seed, kinds).run(DURATION_US, load);
                 for (int kind = 0; kind < kinds.size(); kind++) {
-                    double all = location.answeredShare(kind, 0, 1);
-                    double fifth = location.answeredShare(kind, 0.7, 0.9);
-                    double tenth = location.answeredShare(kind, 0.9, 1);
+                    double overallRate = location.answeredShare(kind, 0, 1);
+                    double largeRate = location.answeredShare(kind, 0.7, 0.9);
+                    double largestRate = location.answeredShare(kind, 0.9, 1);
                     System.out.printf(
                             "%d kinds, seed %d, kind %d: %.3f %.3f %.3f%n",
-                            kinds.size(), seed, kind, all, fifth, tenth);
-                    if (Math.min(fifth, tenth) < minRelativeRate * all) {
+                            kinds.size(), seed, kind, overallRate, largeRate, largestRate);
+                    if (Math.min(largeRate, largestRate) < minRelativeRate * overallRate) {
                         violations.add(String.format(
                                 "seed %d, class %d of %d: answer rate %.2f, of the fifth below the largest tenth %.2f,"
                                         + " of the largest tenth %.2f",
-                                seed, kind, kinds.size(), all, fifth, tenth));
+                                seed, kind, kinds.size(), overallRate, largeRate, largestRate));
                     }
                 }
             }
