--- a/src/test/java/magpiewheel/region/ElectionTest.java
+++ b/src/test/java/magpiewheel/region/ElectionTest.java
@@ -24,54 +24,56 @@
  */
 class ElectionTest {
     private static final int REGION = 77;
-    private static final long NOBODY = -1;
+    private static final long NO_LEADER = -1;
     private static final long START_MS = 1_800_000_000_000L;
 
     /** A schedule of faults over some fronts; it fails at the first moment with two leaders. */
-    static final class World {
+    static final class ElectionSimulation {
         final SimulatedNetwork net;
-        final Election[] fronts;
-        final double[] rate;
-        final long[] offset;
+        final Election[] routers;
+        final double[] clockRates;
+        final long[] clockOffsets;
         final boolean[] paused;
-        final List<List<Runnable>> waiting = new ArrayList<>();
-        final long[] wish;
+        final List<List<Runnable>> deferred = new ArrayList<>();
+        final long[] preferredLeaders;
         final Map<Long, Long> leaderByTerm = new HashMap<>();
-        final long[] led;
+        final long[] checksWithLease;
         final long seed;
-        long ledMoments;
-        long moments;
-        int leaders;
+        long checksWithLeader;
+        long checks;
+        int leaderChanges;
         long lastLeader;
 
-        World(long seed, int count, double loss, double late) {
+        ElectionSimulation(long seed, int count, double lossShare, double delayedShare) {
             this.seed = seed;
-            net = new SimulatedNetwork(seed, count, loss, late);
-            fronts = new Election[count];
-            rate = new double[count];
-            offset = new long[count];
+            net = new SimulatedNetwork(seed, count, lossShare, delayedShare);
+            routers = new Election[count];
+            clockRates = new double[count];
+            clockOffsets = new long[count];
             paused = new boolean[count];
-            wish = new long[count];
-            led = new long[count];
+            preferredLeaders = new long[count];
+            checksWithLease = new long[count];
             for (int i = 0; i < count; i++) {
-                rate[i] = 1 + (net.random.nextDouble() * 2 - 1) * 0.01;
-                offset[i] = 1_000_000_000L + net.random.nextLong(1_000_000_000L);
-                waiting.add(new ArrayList<>());
+                clockRates[i] = 1 + (net.random.nextDouble() * 2 - 1) * 0.01;
+                clockOffsets[i] = 1_000_000_000L + net.random.nextLong(1_000_000_000L);
+                deferred.add(new ArrayList<>());
                 start(i);
-                int me = i;
-                net.every(net.random.nextLong(10_000), 10_000, () -> run(me, () -> tick(me)));
+                int router = i;
+                net.every(net.random.nextLong(10_000), 10_000, () -> runOrDefer(router, () -> tick(router)));
             }
         }
 
-        long local(int front) {
-            return offset[front] + (long) (net.now * rate[front]);
+        long localTime(int router) {
+            return clockOffsets[router] + (long) (net.now * clockRates[router]);
         }
 
-        void start(int me) {
-            Election.Delegate mind = new Election.Delegate() {
+        void start(int router) {
+            Election.Delegate delegate = new Election.Delegate() {
                 @Override
                 public long chooseLeader(long now, long current) {
-                    return wish[me] == NOBODY ? 0 : wish[me] != 0 ? wish[me] : current != 0 ? current : 1;
+                    return preferredLeaders[router] == NO_LEADER
+                            ? 0
+                            : preferredLeaders[router] != 0 ? preferredLeaders[router] : current != 0 ? current : 1;
                 }
 
                 @Override
@@ -81,56 +83,61 @@
 
                 @Override
                 public RegionMessage.Vote createVote(
-                        RegionMessage.Header head, boolean yes, long clock, long echo, long holdsTo) {
-                    return new RegionMessage.Vote(head, yes, 0, clock, echo, holdsTo, 0, 0, 0, List.of());
+                        RegionMessage.Header header,
+                        boolean granted,
+                        long votedAt,
+                        long requestSentAt,
+                        long votedTerm) {
+                    return new RegionMessage.Vote(
+                            header, granted, 0, votedAt, requestSentAt, votedTerm, 0, 0, 0, List.of());
                 }
             };
-            fronts[me] = new Election(
-                    local(me),
-                    new Election.Participants(me, START_MS + net.now / 1_000, REGION, fronts.length),
+            routers[router] = new Election(
+                    localTime(router),
+                    new Election.Participants(router, START_MS + net.now / 1_000, REGION, routers.length),
                     0,
-                    mind,
-                    (to, bytes) -> net.send(me, to, bytes, this::messageReceived));
+                    delegate,
+                    (to, bytes) -> net.send(router, to, bytes, this::messageReceived));
         }
 
-        void run(int front, Runnable does) {
-            if (paused[front]) {
-                waiting.get(front).add(does);
+        void runOrDefer(int router, Runnable action) {
+            if (paused[router]) {
+                deferred.get(router).add(action);
             } else {
-                does.run();
+                action.run();
             }
         }
 
-        void tick(int me) {
-            List<Integer> others = IntStream.range(0, fronts.length)
-                    .filter(i -> i != me && net.reaches(i, me))
+        void tick(int router) {
+            List<Integer> others = IntStream.range(0, routers.length)
+                    .filter(i -> i != router && net.reaches(i, router))
                     .boxed()
                     .toList();
-            fronts[me].tick(local(me), others, others.isEmpty());
+            routers[router].tick(localTime(router), others, others.isEmpty());
         }
 
         void messageReceived(int to, int from, byte[] bytes) {
-            run(to, () -> {
+            runOrDefer(to, () -> {
                 RegionMessage message = RegionMessageCodec.decode(bytes);
-                if (message instanceof RegionMessage.LeaseRequest ask) {
-                    fronts[to].requestReceived(local(to), from, ask);
+                if (message instanceof RegionMessage.LeaseRequest request) {
+                    routers[to].requestReceived(localTime(to), from, request);
                 } else {
-                    fronts[to].voteReceived(local(to), from, (RegionMessage.Vote) message, Set.of(0));
+                    routers[to].voteReceived(localTime(to), from, (RegionMessage.Vote) message, Set.of(0));
                 }
             });
         }
 
-        void resume(int front) {
-            paused[front] = false;
-            List<Runnable> held = new ArrayList<>(waiting.get(front));
-            waiting.get(front).clear();
-            held.forEach(Runnable::run);
+        void resume(int router) {
+            paused[router] = false;
+            List<Runnable> deferredActions = new ArrayList<>(deferred.get(router));
+            deferred.get(router).clear();
+            deferredActions.forEach(Runnable::run);
         }
 
-        void faults(long end) {
+        void scheduleFaults(long end) {
             for (long at = 0; at < end; at += 100_000 + net.random.nextLong(400_000)) {
-                int one = net.random.nextInt(fronts.length);
-                int two = net.random.nextInt(fronts.length);
+                int one = net.random.nextInt(routers.length);
+                int two = net.random.nextInt(routers.length);
                 long length = 50_000 + net.random.nextLong(2_500_000);
                 long when = at;
                 switch (net.random.nextInt(6)) {
@@ -145,33 +152,33 @@
                             }
                         });
                     case 2 -> {
-                        Set<Integer> side = new HashSet<>();
-                        IntStream.range(0, fronts.length)
+                        Set<Integer> partition = new HashSet<>();
+                        IntStream.range(0, routers.length)
                                 .filter(i -> net.random.nextBoolean())
-                                .forEach(side::add);
+                                .forEach(partition::add);
                         net.at(when, () -> {
-                            for (int i = 0; i < fronts.length; i++) {
-                                for (int j = 0; j < fronts.length; j++) {
-                                    net.cut(i, j, side.contains(i) != side.contains(j));
+                            for (int i = 0; i < routers.length; i++) {
+                                for (int j = 0; j < routers.length; j++) {
+                                    net.setBlocked(i, j, partition.contains(i) != partition.contains(j));
                                 }
                             }
                         });
                         net.at(when + length, net::heal);
                     }
                     case 3 -> {
-                        net.at(when, () -> net.cut(one, two, true));
-                        net.at(when + length, () -> net.cut(one, two, false));
+                        net.at(when, () -> net.setBlocked(one, two, true));
+                        net.at(when + length, () -> net.setBlocked(one, two, false));
                     }
-                    case 4 -> net.at(when, () -> java.util.Arrays.fill(wish, 1 + net.random.nextInt(3)));
-                    default -> net.at(when, () -> wish[one] = net.random.nextInt(4));
+                    case 4 -> net.at(when, () -> java.util.Arrays.fill(preferredLeaders, 1 + net.random.nextInt(3)));
+                    default -> net.at(when, () -> preferredLeaders[one] = net.random.nextInt(4));
                 }
             }
         }
 
         void check() {
             long leading = 0;
-            for (int i = 0; i < fronts.length; i++) {
-                Lease lease = paused[i] ? null : fronts[i].lease(local(i));
+            for (int i = 0; i < routers.length; i++) {
+                Lease lease = paused[i] ? null : routers[i].lease(localTime(i));
                 if (lease == null) {
                     continue;
                 }
@@ -179,127 +186,128 @@
                 assertEquals(before, lease.leader(), "two leaders in term " + lease.term() + ", seed " + seed);
                 assertTrue(leading == 0 || leading == lease.leader(), "two leases at " + net.now + ", seed " + seed);
                 leading = lease.leader();
-                led[i]++;
+                checksWithLease[i]++;
             }
-            moments++;
-            ledMoments += leading != 0 ? 1 : 0;
-            leaders += leading != 0 && leading != lastLeader ? 1 : 0;
+            checks++;
+            checksWithLeader += leading != 0 ? 1 : 0;
+            leaderChanges += leading != 0 && leading != lastLeader ? 1 : 0;
             lastLeader = leading != 0 ? leading : lastLeader;
         }
     }
 
     /** What a schedule came to: leaders after one another, and the share of moments with one. */
-    static double[] play(long seed, int fronts, long us) {
-        World world = new World(seed, fronts, 0.02 + seed % 4 * 0.06, 0.05);
-        world.faults(us);
-        world.net.runUntil(us, world::check);
-        return new double[] {world.leaders, world.ledMoments / (double) world.moments};
+    static double[] runSchedule(long seed, int routers, long us) {
+        ElectionSimulation simulation = new ElectionSimulation(seed, routers, 0.02 + seed % 4 * 0.06, 0.05);
+        simulation.scheduleFaults(us);
+        simulation.net.runUntil(us, simulation::check);
+        return new double[] {simulation.leaderChanges, simulation.checksWithLeader / (double) simulation.checks};
     }
 
     @Property(tries = 120, seed = "19")
-    void neverTwoLeadersInATermNorTwoLeasesAtAMoment(
-            @ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 3, max = 9) int fronts) {
-        play(seed, fronts, 12_000_000);
+    void neverTwoLeadersInATermOrTwoValidLeases(
+            @ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 3, max = 9) int routers) {
+        runSchedule(seed, routers, 12_000_000);
     }
 
     /** Else who drives it would call it for ever, and hear no message that ends this. */
     @Test
-    void whoCanProposeNobodyIsNotDueAtOnceAgain() {
-        World world = new World(5, 3, 0, 0);
-        Election front = world.fronts[0];
-        long now = world.local(0) + 10_000_000;
-        front.tick(now, List.of(), true);
-        assertTrue(front.due(now) > now, "alone");
-        world.wish[0] = NOBODY;
+    void routerThatCannotProposeIsNotDueImmediately() {
+        ElectionSimulation simulation = new ElectionSimulation(5, 3, 0, 0);
+        Election router = simulation.routers[0];
+        long now = simulation.localTime(0) + 10_000_000;
+        router.tick(now, List.of(), true);
+        assertTrue(router.due(now) > now, "alone");
+        simulation.preferredLeaders[0] = NO_LEADER;
         now += 1_000_000;
-        front.tick(now, List.of(1, 2), false);
-        assertTrue(front.due(now) > now, "without a fit parent");
-        world.wish[0] = 1;
-        front.tick(now, List.of(1, 2), false);
-        assertEquals(0, front.proposer(), "yet it proposes as soon as it can");
+        router.tick(now, List.of(1, 2), false);
+        assertTrue(router.due(now) > now, "without a fit parent");
+        simulation.preferredLeaders[0] = 1;
+        router.tick(now, List.of(1, 2), false);
+        assertEquals(0, router.proposer(), "yet it proposes as soon as it can");
     }
 
     /** The schedules are no empty proof: leaders are elected, replaced and followed in them. */
     @Test
-    void leadersComeAndGoInTheSchedules() {
-        double leaders = 0;
-        double led = 0;
+    void schedulesElectAndReplaceLeaders() {
+        double leaderChanges = 0;
+        double leaderShare = 0;
         for (long seed = 1; seed <= 20; seed++) {
-            double[] figures = play(seed, 5, 12_000_000);
-            leaders += figures[0];
-            led += figures[1] / 20;
+            double[] figures = runSchedule(seed, 5, 12_000_000);
+            leaderChanges += figures[0];
+            leaderShare += figures[1] / 20;
         }
-        System.out.printf("20 schedules of 12 s: %.0f leaders, led %.3f of the moments%n", leaders, led);
-        assertTrue(leaders > 60, "leaders " + leaders);
-        assertTrue(led > 0.3, "led " + led);
+        System.out.printf("20 schedules of 12 s: %.0f leaders, led %.3f of the moments%n", leaderChanges, leaderShare);
+        assertTrue(leaderChanges > 60, "leaders " + leaderChanges);
+        assertTrue(leaderShare > 0.3, "led " + leaderShare);
     }
 
     @Test
-    void aSoundRegionIsLedAllTheTimeByEveryFront() {
-        World world = new World(3, 8, 0.05, 0);
-        world.net.runUntil(2_000_000, () -> {});
-        java.util.Arrays.fill(world.led, 0);
-        world.moments = 0;
-        world.net.runUntil(30_000_000, world::check);
-        assertEquals(1, world.leaderByTerm.values().stream().distinct().count());
-        for (long led : world.led) {
-            assertTrue(led > 0.98 * world.moments, "led " + led + " of " + world.moments);
+    void healthyRegionHasOneLeaderAtAllRouters() {
+        ElectionSimulation simulation = new ElectionSimulation(3, 8, 0.05, 0);
+        simulation.net.runUntil(2_000_000, () -> {});
+        java.util.Arrays.fill(simulation.checksWithLease, 0);
+        simulation.checks = 0;
+        simulation.net.runUntil(30_000_000, simulation::check);
+        assertEquals(1, simulation.leaderByTerm.values().stream().distinct().count());
+        for (long checksWithLease : simulation.checksWithLease) {
+            assertTrue(
+                    checksWithLease > 0.98 * simulation.checks, "led " + checksWithLease + " of " + simulation.checks);
         }
     }
 
     @Test
-    void aNewWishOfTheHolderIsFollowedAtOnce() {
-        World world = new World(5, 6, 0, 0);
-        world.net.runUntil(3_000_000, world::check);
-        java.util.Arrays.fill(world.wish, 2);
-        world.net.runUntil(3_120_000, world::check);
+    void preferenceOfTheLeaseHolderTakesEffectAtOnce() {
+        ElectionSimulation simulation = new ElectionSimulation(5, 6, 0, 0);
+        simulation.net.runUntil(3_000_000, simulation::check);
+        java.util.Arrays.fill(simulation.preferredLeaders, 2);
+        simulation.net.runUntil(3_120_000, simulation::check);
         for (int i = 0; i < 6; i++) {
-            assertEquals(2, world.fronts[i].lease(world.local(i)).leader());
+            assertEquals(2, simulation.routers[i].lease(simulation.localTime(i)).leader());
         }
     }
 
     @Test
-    void theProposersLossLeavesTheLeader() {
-        World world = new World(6, 6, 0, 0);
-        world.net.runUntil(3_000_000, world::check);
-        world.paused[0] = true;
+    void leaderSurvivesTheLossOfTheProposer() {
+        ElectionSimulation simulation = new ElectionSimulation(6, 6, 0, 0);
+        simulation.net.runUntil(3_000_000, simulation::check);
+        simulation.paused[0] = true;
         long[] gaps = {0};
-        world.net.runUntil(6_000_000, () -> {
-            world.check();
-            gaps[0] += world.fronts[3].lease(world.local(3)) == null ? 1 : 0;
+        simulation.net.runUntil(6_000_000, () -> {
+            simulation.check();
+            gaps[0] += simulation.routers[3].lease(simulation.localTime(3)) == null ? 1 : 0;
         });
-        assertTrue(IntStream.range(1, 6).allMatch(i -> world.fronts[i].lease(world.local(i)) != null));
+        assertTrue(IntStream.range(1, 6).allMatch(i -> simulation.routers[i].lease(simulation.localTime(i)) != null));
         assertEquals(0, gaps[0]);
-        assertEquals(1, world.leaders);
+        assertEquals(1, simulation.leaderChanges);
     }
 
     @Test
-    void aMinorityHasNoLeaderAndAMajorityHas() {
-        World world = new World(7, 5, 0, 0);
-        world.net.runUntil(3_000_000, world::check);
+    void onlyTheMajorityOfAPartitionHasALeader() {
+        ElectionSimulation simulation = new ElectionSimulation(7, 5, 0, 0);
+        simulation.net.runUntil(3_000_000, simulation::check);
         for (int i = 0; i < 2; i++) {
             for (int j = 2; j < 5; j++) {
-                world.net.cut(i, j, true);
-                world.net.cut(j, i, true);
+                simulation.net.setBlocked(i, j, true);
+                simulation.net.setBlocked(j, i, true);
             }
         }
-        world.net.runUntil(6_000_000, world::check);
-        assertNull(world.fronts[0].lease(world.local(0)));
-        assertNull(world.fronts[1].lease(world.local(1)));
-        assertTrue(IntStream.range(2, 5).allMatch(i -> world.fronts[i].lease(world.local(i)) != null));
+        simulation.net.runUntil(6_000_000, simulation::check);
+        assertNull(simulation.routers[0].lease(simulation.localTime(0)));
+        assertNull(simulation.routers[1].lease(simulation.localTime(1)));
+        assertTrue(IntStream.range(2, 5).allMatch(i -> simulation.routers[i].lease(simulation.localTime(i)) != null));
     }
 
     /** A front alone with its messages: what it sends is kept. */
-    private static final class Alone {
+    private static final class SingleRouter {
         final List<RegionMessage> sent = new ArrayList<>();
-        final Election front;
+        final Election election;
 
-        Alone(int me, long now, long startedMs) {
-            World world = new World(1, 5, 0, 0);
-            world.start(me);
-            front = new Election(
+        SingleRouter(int routerId, long now, long startedMs) {
+            ElectionSimulation simulation = new ElectionSimulation(1, 5, 0, 0);
+            simulation.start(routerId);
+            election = new Election(
                     now,
-                    new Election.Participants(me, startedMs, REGION, 5),
+                    new Election.Participants(routerId, startedMs, REGION, 5),
                     0,
                     new Election.Delegate() {
                         @Override
@@ -314,20 +322,25 @@
 
                         @Override
                         public RegionMessage.Vote createVote(
-                                RegionMessage.Header head, boolean yes, long clock, long echo, long holdsTo) {
-                            return new RegionMessage.Vote(head, yes, 0, clock, echo, holdsTo, 0, 0, 0, List.of());
+                                RegionMessage.Header header,
+                                boolean granted,
+                                long votedAt,
+                                long requestSentAt,
+                                long votedTerm) {
+                            return new RegionMessage.Vote(
+                                    header, granted, 0, votedAt, requestSentAt, votedTerm, 0, 0, 0, List.of());
                         }
                     },
                     (to, bytes) -> sent.add(RegionMessageCodec.decode(bytes)));
         }
 
-        RegionMessage.Vote ask(long now, int from, long counter, long leader, long startedMs) {
+        RegionMessage.Vote requestVote(long now, int from, long termCounter, long leader, long startedMs) {
             sent.clear();
-            front.requestReceived(
+            election.requestReceived(
                     now,
                     from,
                     new RegionMessage.LeaseRequest(
-                            new RegionMessage.Header(REGION, counter << 16 | from, startedMs),
+                            new RegionMessage.Header(REGION, termCounter << 16 | from, startedMs),
                             leader,
                             5,
                             0,
@@ -339,50 +352,62 @@
     }
 
     @Test
-    void aFrontThatStartedVotesForNothingUntilALeaseHasPassed() {
-        Alone alone = new Alone(2, 0, START_MS);
-        assertNull(alone.ask(1_000, 0, START_MS + 5, 9, START_MS));
-        assertNull(alone.ask(Lease.PROMISE_US, 0, START_MS + 5, 9, START_MS));
-        assertTrue(alone.ask(Lease.STARTUP_SILENCE_US, 0, START_MS + 5, 9, START_MS)
+    void startedRouterDoesNotVoteUntilEarlierPromisesExpired() {
+        SingleRouter single = new SingleRouter(2, 0, START_MS);
+        assertNull(single.requestVote(1_000, 0, START_MS + 5, 9, START_MS));
+        assertNull(single.requestVote(Lease.PROMISE_US, 0, START_MS + 5, 9, START_MS));
+        assertTrue(single.requestVote(Lease.STARTUP_SILENCE_US, 0, START_MS + 5, 9, START_MS)
                 .granted());
     }
 
     @Test
-    void aVoteIsGivenOnceATermAndBindsUntilItsPromiseHasRunOut() {
-        Alone alone = new Alone(2, 0, START_MS);
+    void voteBindsWithinItsTermAndUntilItsPromiseExpires() {
+        SingleRouter single = new SingleRouter(2, 0, START_MS);
         long t = 1_000_000;
-        assertTrue(alone.ask(t, 0, START_MS + 5, 9, START_MS).granted());
-        assertTrue(alone.ask(t + 1, 0, START_MS + 5, 9, START_MS).granted(), "a renewal");
-        assertFalse(alone.ask(t + 2, 0, START_MS + 5, 8, START_MS).granted(), "another leader in the same term");
-        assertFalse(alone.ask(t + 3, 1, START_MS + 4, 9, START_MS).granted(), "an old term");
-        assertFalse(alone.ask(t + 4, 1, START_MS + 6, 8, START_MS).granted(), "it promised");
-        assertTrue(alone.ask(t + Lease.PROMISE_US + 2, 1, START_MS + 7, 8, START_MS)
+        assertTrue(single.requestVote(t, 0, START_MS + 5, 9, START_MS).granted());
+        assertTrue(single.requestVote(t + 1, 0, START_MS + 5, 9, START_MS).granted(), "a renewal");
+        assertFalse(
+                single.requestVote(t + 2, 0, START_MS + 5, 8, START_MS).granted(), "another leader in the same term");
+        assertFalse(single.requestVote(t + 3, 1, START_MS + 4, 9, START_MS).granted(), "an old term");
+        assertFalse(single.requestVote(t + 4, 1, START_MS + 6, 8, START_MS).granted(), "it promised");
+        assertTrue(single.requestVote(t + Lease.PROMISE_US + 2, 1, START_MS + 7, 8, START_MS)
                 .granted());
-        assertNull(alone.ask(t + 9, 3, START_MS + 9 << 16, 8, START_MS), "a term of days ahead");
+        assertNull(single.requestVote(t + 9, 3, START_MS + 9 << 16, 8, START_MS), "a term of days ahead");
     }
 
     @Test
-    void votesOfAnotherTermABranchElsewhereOrBeforeARestartAreRefused() {
-        Alone alone = new Alone(0, 0, START_MS);
+    void votesOfOtherTermsZonesOrProcessesAreIgnored() {
+        SingleRouter single = new SingleRouter(0, 0, START_MS);
         long t = 2_000_000;
-        alone.front.tick(t, List.of(1, 2, 3, 4), false);
-        long term = alone.sent.get(0).header().term();
+        single.election.tick(t, List.of(1, 2, 3, 4), false);
+        long term = single.sent.get(0).header().term();
         long now = t + 1;
-        assertFalse(alone.front.voteReceived(now, 1, vote(term - 65_536, START_MS, 0, t), Set.of(0)), "an old term");
-        assertFalse(alone.front.voteReceived(now, 1, vote(term, START_MS, 7, t), Set.of(0)), "a branch elsewhere");
-        assertFalse(alone.front.voteReceived(now, 1, vote(term, START_MS, 0, t - 1), Set.of(0)), "before it was asked");
-        assertTrue(alone.front.voteReceived(now, 1, vote(term, START_MS + 100, 0, t), Set.of(0)));
-        assertFalse(alone.front.holdsLease(now), "two of five are a minority");
-        assertFalse(alone.front.voteReceived(now, 1, vote(term, START_MS, 0, t), Set.of(0)), "before its restart");
-        alone.front.voteReceived(now, 1, vote(term, START_MS + 100, 0, t), Set.of(0));
-        assertFalse(alone.front.holdsLease(now), "a doubled vote is one vote");
-        assertTrue(alone.front.voteReceived(now, 2, vote(term, START_MS, 0, t), Set.of(0)));
-        assertTrue(alone.front.holdsLease(now));
-        assertEquals(t + Lease.VALIDITY_US, alone.front.lease(now).untilUs(), "it counts from when it asked");
+        assertFalse(
+                single.election.voteReceived(now, 1, vote(term - 65_536, START_MS, 0, t), Set.of(0)), "an old term");
+        assertFalse(single.election.voteReceived(now, 1, vote(term, START_MS, 7, t), Set.of(0)), "a branch elsewhere");
+        assertFalse(
+                single.election.voteReceived(now, 1, vote(term, START_MS, 0, t - 1), Set.of(0)), "before it was asked");
+        assertTrue(single.election.voteReceived(now, 1, vote(term, START_MS + 100, 0, t), Set.of(0)));
+        assertFalse(single.election.holdsLease(now), "two of five are a minority");
+        assertFalse(single.election.voteReceived(now, 1, vote(term, START_MS, 0, t), Set.of(0)), "before its restart");
+        single.election.voteReceived(now, 1, vote(term, START_MS + 100, 0, t), Set.of(0));
+        assertFalse(single.election.holdsLease(now), "a doubled vote is one vote");
+        assertTrue(single.election.voteReceived(now, 2, vote(term, START_MS, 0, t), Set.of(0)));
+        assertTrue(single.election.holdsLease(now));
+        assertEquals(t + Lease.VALIDITY_US, single.election.lease(now).untilUs(), "it counts from when it asked");
     }
 
-    private static RegionMessage.Vote vote(long term, long startedMs, int branch, long echo) {
+    private static RegionMessage.Vote vote(long term, long startedMs, int zone, long requestSentAt) {
         return new RegionMessage.Vote(
-                new RegionMessage.Header(REGION, term, startedMs), true, branch, 1, echo, term, 0, 0, 0, List.of());
+                new RegionMessage.Header(REGION, term, startedMs),
+                true,
+                zone,
+                1,
+                requestSentAt,
+                term,
+                0,
+                0,
+                0,
+                List.of());
     }
 }
--- a/src/test/java/magpiewheel/region/RegionAssignmentTest.java
+++ b/src/test/java/magpiewheel/region/RegionAssignmentTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.api.Test;
 
 class RegionAssignmentTest {
-    static RegionTopology shape(long seed, int branches, int parents) {
+    static RegionTopology topology(long seed, int zones, int parents) {
         SplittableRandom random = new SplittableRandom(seed);
-        double[] loads = random.doubles(branches, 0.3, 1.7).toArray();
-        int[] hubs = random.ints(branches, 0, 2).toArray();
+        double[] loads = random.doubles(zones, 0.3, 1.7).toArray();
+        int[] hubs = random.ints(zones, 0, 2).toArray();
         List<Parent> list = new ArrayList<>();
         for (int i = 0; i < parents; i++) {
             list.add(new Parent(100 + i, i % 2, 4 + random.nextDouble(), 20, 0, false));
@@ -28,95 +28,99 @@
     }
 
     @Property(tries = 300, seed = "23")
-    void noRegionIsMoreThanAnyOfItsParentsCarriesAndAllOfAHub(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
-        RegionTopology shape = shape(seed, 1 + (int) (seed % 24), (int) (seed / 24 % 12));
-        RegionAssignment regions = RegionAssignment.of(shape);
+    void everyRegionFitsItsParentsAndBelongsToOneHub(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+        RegionTopology topology = topology(seed, 1 + (int) (seed % 24), (int) (seed / 24 % 12));
+        RegionAssignment regions = RegionAssignment.of(topology);
         for (int hub = 0; hub < 2; hub++) {
-            int of = hub;
-            List<Region> all =
-                    regions.regions().stream().filter(r -> r.hub() == of).toList();
-            double[] carries = shape.parents().stream()
-                    .filter(p -> p.hub() == of)
+            int currentHub = hub;
+            List<Region> all = regions.regions().stream()
+                    .filter(r -> r.hub() == currentHub)
+                    .toList();
+            double[] linkCapacities = topology.parents().stream()
+                    .filter(p -> p.hub() == currentHub)
                     .mapToDouble(Parent::linkCapacity)
                     .sorted()
                     .toArray();
-            assertTrue(all.size() <= carries.length);
+            assertTrue(all.size() <= linkCapacities.length);
             for (Region region : all) {
                 double measured = region.zones().stream()
-                        .mapToDouble(b -> shape.loads()[b])
+                        .mapToDouble(zoneId -> topology.loads()[zoneId])
                         .sum();
                 assertTrue(
-                        measured <= RegionAssignment.MAX_UTILIZATION * carries[carries.length - all.size()] + 1e-9,
+                        measured
+                                <= RegionAssignment.MAX_UTILIZATION * linkCapacities[linkCapacities.length - all.size()]
+                                        + 1e-9,
                         "seed " + seed);
-                assertTrue(region.zones().stream().allMatch(b -> shape.hubByZone()[b] == of));
+                assertTrue(region.zones().stream().allMatch(zoneId -> topology.hubByZone()[zoneId] == currentHub));
             }
         }
-        for (int branch = 0; branch < shape.hubByZone().length; branch++) {
-            int of = branch;
+        for (int zone = 0; zone < topology.hubByZone().length; zone++) {
+            int currentZone = zone;
             assertEquals(
-                    regions.regionOf(branch) == null ? 0 : 1,
+                    regions.regionOf(zone) == null ? 0 : 1,
                     regions.regions().stream()
-                            .filter(r -> r.zones().contains(of))
+                            .filter(r -> r.zones().contains(currentZone))
                             .count());
         }
     }
 
     @Property(tries = 100, seed = "29")
-    void equalInputGivesEqualRegionsInWhateverOrderItWasTold(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
-        RegionTopology shape = shape(seed, 16, 8);
-        List<Parent> shuffled = new ArrayList<>(shape.parents());
+    void assignmentDoesNotDependOnTheOrderOfParents(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+        RegionTopology topology = topology(seed, 16, 8);
+        List<Parent> shuffled = new ArrayList<>(topology.parents());
         Collections.shuffle(shuffled, new Random(seed));
-        RegionTopology other = new RegionTopology(shape.hubByZone(), shape.loads(), shuffled);
-        assertEquals(shape.digest(), other.digest());
+        RegionTopology other = new RegionTopology(topology.hubByZone(), topology.loads(), shuffled);
+        assertEquals(topology.digest(), other.digest());
         assertEquals(
-                RegionAssignment.of(shape).regions(), RegionAssignment.of(other).regions());
+                RegionAssignment.of(topology).regions(),
+                RegionAssignment.of(other).regions());
     }
 
     /** The shape with everybody's place told. */
-    static RegionTopology homed(RegionTopology shape) {
-        RegionAssignment regions = RegionAssignment.of(shape);
+    static RegionTopology withHomeSlots(RegionTopology topology) {
+        RegionAssignment regions = RegionAssignment.of(topology);
         int[] homes =
-                IntStream.range(0, shape.loads().length).map(regions::slot).toArray();
-        return new RegionTopology(shape.hubByZone(), shape.loads(), homes, shape.parents());
+                IntStream.range(0, topology.loads().length).map(regions::slot).toArray();
+        return new RegionTopology(topology.hubByZone(), topology.loads(), homes, topology.parents());
     }
 
     @Property(tries = 300, seed = "47")
-    void whoHasAHomeThatHasRoomStays(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
-        RegionTopology any = shape(seed, 16, 12);
+    void zonesStayInHomeSlotsWithCapacity(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+        RegionTopology unequalLinks = topology(seed, 16, 12);
         // Equal links: with unequal ones a further place makes all of them smaller.
-        RegionTopology shape = new RegionTopology(
-                any.hubByZone(),
-                any.loads(),
-                any.parents().stream()
+        RegionTopology topology = new RegionTopology(
+                unequalLinks.hubByZone(),
+                unequalLinks.loads(),
+                unequalLinks.parents().stream()
                         .map(p -> new Parent(p.id(), p.hub(), 4.5, 20, 0, false))
                         .toList());
-        RegionTopology homed = homed(shape);
+        RegionTopology withHomeSlots = withHomeSlots(topology);
         assertEquals(
-                RegionAssignment.of(shape).regions(),
-                RegionAssignment.of(homed).regions(),
+                RegionAssignment.of(topology).regions(),
+                RegionAssignment.of(withHomeSlots).regions(),
                 "told places change nothing, seed " + seed);
-        double[] grown = shape.loads().clone();
+        double[] grown = topology.loads().clone();
         grown[(int) (seed % 16)] *= 1.2;
-        RegionAssignment after =
-                RegionAssignment.of(new RegionTopology(shape.hubByZone(), grown, homed.homeSlots(), shape.parents()));
-        int moved = RegionAssignment.migratedZones(RegionAssignment.of(shape), after);
-        assertTrue(moved <= 1, "moved " + moved + ", seed " + seed);
+        RegionAssignment after = RegionAssignment.of(
+                new RegionTopology(topology.hubByZone(), grown, withHomeSlots.homeSlots(), topology.parents()));
+        int migrated = RegionAssignment.migratedZones(RegionAssignment.of(topology), after);
+        assertTrue(migrated <= 1, "moved " + migrated + ", seed " + seed);
     }
 
     /** Contiguous cuts of the list of branches: the other way that was weighed. */
-    static int[] cuts(double[] loads, double room) {
-        int[] found = new int[loads.length];
-        double taken = 0;
+    static int[] contiguousSlots(double[] loads, double capacity) {
+        int[] slots = new int[loads.length];
+        double slotLoad = 0;
         int slot = 0;
         for (int i = 0; i < loads.length; i++) {
-            if (taken + loads[i] > room) {
+            if (slotLoad + loads[i] > capacity) {
                 slot++;
-                taken = 0;
+                slotLoad = 0;
             }
-            found[i] = slot;
-            taken += loads[i];
+            slots[i] = slot;
+            slotLoad += loads[i];
         }
-        return found;
+        return slots;
     }
 
     /**
@@ -124,79 +128,81 @@
      * contiguous cuts as a branch comes, and as a load grows; and what a growing load needs (one, if its region grew
      * too large).
      */
-    static double[] moves(int shapes) {
+    static double[] meanMigrations(int topologies) {
         double[] sums = new double[6];
-        for (int seed = 0; seed < shapes; seed++) {
-            RegionTopology all = shape(seed, 24, 12);
+        for (int seed = 0; seed < topologies; seed++) {
+            RegionTopology all = topology(seed, 24, 12);
             int[] hubs = new int[24];
             List<Parent> parents = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
                 parents.add(new Parent(100 + i, 0, 5, 20, 0, false));
             }
-            RegionTopology one = homed(new RegionTopology(hubs, all.loads(), parents));
+            RegionTopology base = withHomeSlots(new RegionTopology(hubs, all.loads(), parents));
             double[] grown = all.loads().clone();
             grown[seed % 24] *= 1.5;
             sums[0] += RegionAssignment.migratedZones(
-                    RegionAssignment.of(one),
-                    RegionAssignment.of(new RegionTopology(hubs, grown, one.homeSlots(), parents)));
+                    RegionAssignment.of(base),
+                    RegionAssignment.of(new RegionTopology(hubs, grown, base.homeSlots(), parents)));
             sums[1] += RegionAssignment.migratedZones(
-                    RegionAssignment.of(one),
+                    RegionAssignment.of(base),
                     RegionAssignment.of(
-                            new RegionTopology(hubs, all.loads(), one.homeSlots(), parents.subList(1, 12))));
-            double[] come = all.loads().clone();
-            come[seed % 24] = 0;
-            RegionTopology less = homed(new RegionTopology(hubs, come, parents));
+                            new RegionTopology(hubs, all.loads(), base.homeSlots(), parents.subList(1, 12))));
+            double[] loadsWithoutZone = all.loads().clone();
+            loadsWithoutZone[seed % 24] = 0;
+            RegionTopology topologyWithoutZone = withHomeSlots(new RegionTopology(hubs, loadsWithoutZone, parents));
             sums[2] += RegionAssignment.migratedZones(
-                    RegionAssignment.of(less),
-                    RegionAssignment.of(new RegionTopology(hubs, all.loads(), less.homeSlots(), parents)));
-            int[] before = cuts(come, RegionAssignment.MAX_UTILIZATION * 5);
-            int[] after = cuts(all.loads(), RegionAssignment.MAX_UTILIZATION * 5);
-            sums[3] += moved(before, after);
-            sums[4] += moved(after, cuts(grown, RegionAssignment.MAX_UTILIZATION * 5));
-            Region its = RegionAssignment.of(one).regionOf(seed % 24);
-            sums[5] += its.load() - all.loads()[seed % 24] + grown[seed % 24] > RegionAssignment.MAX_UTILIZATION * 5
+                    RegionAssignment.of(topologyWithoutZone),
+                    RegionAssignment.of(
+                            new RegionTopology(hubs, all.loads(), topologyWithoutZone.homeSlots(), parents)));
+            int[] before = contiguousSlots(loadsWithoutZone, RegionAssignment.MAX_UTILIZATION * 5);
+            int[] after = contiguousSlots(all.loads(), RegionAssignment.MAX_UTILIZATION * 5);
+            sums[3] += migratedZones(before, after);
+            sums[4] += migratedZones(after, contiguousSlots(grown, RegionAssignment.MAX_UTILIZATION * 5));
+            Region grownRegion = RegionAssignment.of(base).regionOf(seed % 24);
+            sums[5] += grownRegion.load() - all.loads()[seed % 24] + grown[seed % 24]
+                            > RegionAssignment.MAX_UTILIZATION * 5
                     ? 1
                     : 0;
         }
-        return Arrays.stream(sums).map(sum -> sum / shapes).toArray();
+        return Arrays.stream(sums).map(sum -> sum / topologies).toArray();
     }
 
     /** The same count for plain slots. */
-    private static int moved(int[] before, int[] after) {
+    private static int migratedZones(int[] before, int[] after) {
         int[][] shared = new int[before.length][before.length];
         for (int i = 0; i < before.length; i++) {
             shared[before[i]][after[i]]++;
         }
-        int stayed = 0;
+        int unmigrated = 0;
         while (true) {
             int best = 0;
-            int one = 0;
-            int two = 0;
+            int bestBefore = 0;
+            int bestAfter = 0;
             for (int i = 0; i < shared.length; i++) {
                 for (int j = 0; j < shared.length; j++) {
                     if (shared[i][j] > best) {
                         best = shared[i][j];
-                        one = i;
-                        two = j;
+                        bestBefore = i;
+                        bestAfter = j;
                     }
                 }
             }
             if (best == 0) {
-                return before.length - stayed;
+                return before.length - unmigrated;
             }
-            stayed += best;
-            Arrays.fill(shared[one], 0);
+            unmigrated += best;
+            Arrays.fill(shared[bestBefore], 0);
             for (int[] row : shared) {
-                row[two] = 0;
+                row[bestAfter] = 0;
             }
         }
     }
 
     @Test
-    void fewMove() {
-        double[] moves = moves(100);
-        System.out.println("moves of 24 branches: " + Arrays.toString(moves));
-        assertEquals(0, moves[1], "a parent that nobody needs moves nobody");
-        assertTrue(moves[0] < moves[4] && moves[2] < moves[3], "fewer than contiguous cuts");
+    void loadAndParentChangesMigrateFewZones() {
+        double[] migrations = meanMigrations(100);
+        System.out.println("moves of 24 branches: " + Arrays.toString(migrations));
+        assertEquals(0, migrations[1], "a parent that nobody needs moves nobody");
+        assertTrue(migrations[0] < migrations[4] && migrations[2] < migrations[3], "fewer than contiguous cuts");
     }
 }
--- a/src/test/java/magpiewheel/region/RegionComponentsTest.java
+++ b/src/test/java/magpiewheel/region/RegionComponentsTest.java
@@ -18,16 +18,17 @@
 
 /** The small parts: messages, ranking, evidence, steps, spill and pace. */
 class RegionComponentsTest {
-    private static final long S = 1_000_000;
-    private static final RegionMessage.Header HEAD = new RegionMessage.Header(7, 9L << 16 | 3, 1_800_000_000_000L);
+    private static final long SECOND_US = 1_000_000;
+    private static final RegionMessage.Header HEADER = new RegionMessage.Header(7, 9L << 16 | 3, 1_800_000_000_000L);
 
-    private static RegionMessage.ParentReport opinion(long parent, long first, double failures, double room) {
-        return new RegionMessage.ParentReport(parent, first, failures, room, 1, 50, 0, 0);
+    private static RegionMessage.ParentReport report(
+            long parent, long firstByteUs, double failureRatio, double freeLinkShare) {
+        return new RegionMessage.ParentReport(parent, firstByteUs, failureRatio, freeLinkShare, 1, 50, 0, 0);
     }
 
     @Test
-    void messagesComeThroughWholeAtTheirLargest() {
-        List<RegionMessage.ParentReport> opinions = IntStream.range(0, RegionMessageCodec.MAX_REPORTS)
+    void largestMessagesSurviveEncodingAndDecoding() {
+        List<RegionMessage.ParentReport> reports = IntStream.range(0, RegionMessageCodec.MAX_REPORTS)
                 .mapToObj(i -> new RegionMessage.ParentReport(i, 5_000, 1, 0, 1, 255, 40, 60_000))
                 .toList();
         List<RegionMessage.ZoneLoad> loads = IntStream.range(0, RegionMessageCodec.MAX_LOADS)
@@ -38,153 +39,154 @@
                 .toList();
         for (RegionMessage message : List.of(
                 new RegionMessage.LeaseRequest(
-                        HEAD, 5, 6, 7, 600_000, 8, new RegionMessage.Placement(4, 200, List.of(1L, 2L, 3L, 4L))),
-                new RegionMessage.Vote(HEAD, true, 300, 1, 2, 3, 4, 5, 6, opinions),
-                new RegionMessage.Suspicion(HEAD, 5, 300_000, 2),
-                new RegionMessage.DirectoryUpdate(HEAD, loads, claims))) {
+                        HEADER, 5, 6, 7, 600_000, 8, new RegionMessage.Placement(4, 200, List.of(1L, 2L, 3L, 4L))),
+                new RegionMessage.Vote(HEADER, true, 300, 1, 2, 3, 4, 5, 6, reports),
+                new RegionMessage.Suspicion(HEADER, 5, 300_000, 2),
+                new RegionMessage.DirectoryUpdate(HEADER, loads, claims))) {
             byte[] bytes = RegionMessageCodec.encode(message);
             assertTrue(bytes.length <= RegionMessageCodec.MAX_MESSAGE_BYTES, "" + bytes.length);
             assertEquals(message, RegionMessageCodec.decode(bytes));
-            for (int cut = 0; cut < bytes.length; cut++) {
-                assertNull(RegionMessageCodec.decode(java.util.Arrays.copyOf(bytes, cut)));
+            for (int length = 0; length < bytes.length; length++) {
+                assertNull(RegionMessageCodec.decode(java.util.Arrays.copyOf(bytes, length)));
             }
             assertNull(RegionMessageCodec.decode(java.util.Arrays.copyOf(bytes, bytes.length + 1)));
         }
     }
 
     @Property(tries = 500, seed = "41")
-    void anythingMayCome(@ForAll @Size(max = 260) byte[] bytes) {
-        byte[] ours = bytes.clone();
-        if (ours.length > 1) {
-            ours[0] = RegionMessageCodec.MAGIC;
-            ours[1] = (byte) Math.floorMod(ours[1], 6);
+    void decoderAcceptsArbitraryBytes(@ForAll @Size(max = 260) byte[] bytes) {
+        byte[] regionMessage = bytes.clone();
+        if (regionMessage.length > 1) {
+            regionMessage[0] = RegionMessageCodec.MAGIC;
+            regionMessage[1] = (byte) Math.floorMod(regionMessage[1], 6);
         }
-        RegionMessage message = RegionMessageCodec.decode(ours);
+        RegionMessage message = RegionMessageCodec.decode(regionMessage);
         assertTrue(
                 message == null || RegionMessageCodec.encode(message).length <= RegionMessageCodec.MAX_MESSAGE_BYTES);
     }
 
     @Test
-    void theMiddleWordCountsAndUnheardOnesAreAverage() {
-        ParentRanking candidates = new ParentRanking(7);
-        for (int front = 0; front < 5; front++) {
-            candidates.addReport(0, front, opinion(1, 20_000, 0, 1));
-            candidates.addReport(0, front, opinion(2, front == 0 ? 1_000 : 40_000, 0, 1));
+    void costIsTheMedianAndUnmeasuredParentsAreAverage() {
+        ParentRanking ranking = new ParentRanking(7);
+        for (int router = 0; router < 5; router++) {
+            ranking.addReport(0, router, report(1, 20_000, 0, 1));
+            ranking.addReport(0, router, report(2, router == 0 ? 1_000 : 40_000, 0, 1));
         }
-        assertEquals(20_000, candidates.cost(1, 1));
-        assertEquals(40_000, candidates.cost(1, 2), "one front's word elects nobody");
-        assertEquals(List.of(1L, 3L, 2L), candidates.ranked(1, List.of(2L, 3L, 1L)));
-        assertTrue(Double.isNaN(candidates.cost(ParentRanking.REPORT_VALID_US, 1)), "an old word");
-        for (int front = 0; front < 5; front++) {
-            candidates.addReport(0, front, opinion(1, 20_000, 0, 0.03));
+        assertEquals(20_000, ranking.cost(1, 1));
+        assertEquals(40_000, ranking.cost(1, 2), "one front's word elects nobody");
+        assertEquals(List.of(1L, 3L, 2L), ranking.ranked(1, List.of(2L, 3L, 1L)));
+        assertTrue(Double.isNaN(ranking.cost(ParentRanking.REPORT_VALID_US, 1)), "an old word");
+        for (int router = 0; router < 5; router++) {
+            ranking.addReport(0, router, report(1, 20_000, 0, 0.03));
         }
         assertEquals(
                 List.of(3L, 2L),
-                candidates.ranked(1, List.of(2L, 3L, 1L)).stream()
+                ranking.ranked(1, List.of(2L, 3L, 1L)).stream()
                         .filter(p -> p != 1)
                         .sorted(java.util.Comparator.reverseOrder())
                         .toList());
-        assertEquals(1L, candidates.ranked(1, List.of(2L, 3L, 1L)).get(2), "no room on its link");
+        assertEquals(1L, ranking.ranked(1, List.of(2L, 3L, 1L)).get(2), "no room on its link");
     }
 
     @Property(tries = 100, seed = "43")
-    void noiseElectsNobody(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+    void noiseDoesNotChangeTheLeader(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        ParentRanking candidates = new ParentRanking(7);
-        for (long now = 0; now < 120 * S; now += 100_000) {
+        ParentRanking ranking = new ParentRanking(7);
+        for (long now = 0; now < 120 * SECOND_US; now += 100_000) {
             for (long parent = 1; parent <= 4; parent++) {
-                for (int front = 0; front < 3; front++) {
-                    candidates.addReport(now, front, opinion(parent, 10_000 + random.nextLong(60_000), 0, 1));
+                for (int router = 0; router < 3; router++) {
+                    ranking.addReport(now, router, report(parent, 10_000 + random.nextLong(60_000), 0, 1));
                 }
             }
-            assertEquals(2, candidates.choose(now, 2, List.of(1L, 2L, 3L, 4L)), "seed " + seed);
+            assertEquals(2, ranking.choose(now, 2, List.of(1L, 2L, 3L, 4L)), "seed " + seed);
         }
     }
 
     @Test
-    void aDoubtNeedsOneConfirmationAndAnAnswerRefutesIt() {
-        HangDetector evidence = new HangDetector();
-        assertFalse(evidence.addSuspicion(S, 1, 9, 300_000, 1));
-        assertFalse(evidence.addSuspicion(S + 50_000, 1, 9, 350_000, 1), "the same word again");
-        evidence.responded(S, 9);
-        assertFalse(evidence.addSuspicion(S + 100_000, 2, 9, 10_000, 1), "answered since the first was silent");
-        assertTrue(evidence.addSuspicion(S + 150_000, 3, 9, 50_000, 1));
-        assertTrue(evidence.isEjected(6 * S, 9));
-        assertFalse(evidence.isEjected(7 * S, 9));
-        assertTrue(evidence.addSuspicion(20 * S, 1, 9, 300_000, 2), "two overdue answers of one front");
+    void suspicionNeedsOneConfirmationAndAResponseRefutesIt() {
+        HangDetector hangDetector = new HangDetector();
+        assertFalse(hangDetector.addSuspicion(SECOND_US, 1, 9, 300_000, 1));
+        assertFalse(hangDetector.addSuspicion(SECOND_US + 50_000, 1, 9, 350_000, 1), "the same word again");
+        hangDetector.responded(SECOND_US, 9);
+        assertFalse(
+                hangDetector.addSuspicion(SECOND_US + 100_000, 2, 9, 10_000, 1), "answered since the first was silent");
+        assertTrue(hangDetector.addSuspicion(SECOND_US + 150_000, 3, 9, 50_000, 1));
+        assertTrue(hangDetector.isEjected(6 * SECOND_US, 9));
+        assertFalse(hangDetector.isEjected(7 * SECOND_US, 9));
+        assertTrue(hangDetector.addSuspicion(20 * SECOND_US, 1, 9, 300_000, 2), "two overdue answers of one front");
     }
 
     @Test
-    void loadMovesInStepsThatAllFrontsShare() {
+    void loadMigratesInStepsThatAllRoutersAgreeOn() {
         for (int step = 0; step < 5; step++) {
-            long led = step * Handover.STEP_US + 1;
-            long moved = IntStream.range(0, 10_000)
-                    .filter(i -> Handover.hasMigrated(led, 3, i))
+            long leadingForUs = step * Handover.STEP_US + 1;
+            long migrated = IntStream.range(0, 10_000)
+                    .filter(i -> Handover.hasMigrated(leadingForUs, 3, i))
                     .count();
-            assertEquals(Math.min(1, Math.pow(2, step) / 16), moved / 10_000.0, 0.02);
+            assertEquals(Math.min(1, Math.pow(2, step) / 16), migrated / 10_000.0, 0.02);
         }
         assertTrue(IntStream.range(0, 1_000)
                 .filter(i -> Handover.hasMigrated(0, 3, i))
-                .allMatch(i -> Handover.hasMigrated(2 * S, 3, i)));
+                .allMatch(i -> Handover.hasMigrated(2 * SECOND_US, 3, i)));
     }
 
     @Test
-    void whatSpillsHasOnePlaceAndTheLeaderIsBelowItsBound() {
-        Parent first = new Parent(1, 0, 100, 20, 0, false);
-        Parent second = new Parent(2, 0, 100, 20, 0, false);
+    void spillKeepsTheLeaderBelowItsUtilizationBound() {
+        Parent leader = new Parent(1, 0, 100, 20, 0, false);
+        Parent spillParent = new Parent(2, 0, 100, 20, 0, false);
         LoadSpill spill = new LoadSpill();
         Map<Long, Double> load = new HashMap<>();
         load.put(77L, 30.0);
         IntStream.range(0, 800).forEach(i -> load.put(1_000L + i, 0.1));
         RegionMessage.Placement placement = RegionMessage.Placement.NONE;
-        double atFirst = 0;
-        for (long now = 0; now < 30 * S; now += 200_000) {
-            RegionMessage.Placement known = placement;
-            atFirst = load.entrySet().stream()
-                    .filter(e -> !LoadSpill.isSpilled(known, e.getKey()))
+        double leaderLoad = 0;
+        for (long now = 0; now < 30 * SECOND_US; now += 200_000) {
+            RegionMessage.Placement currentPlacement = placement;
+            leaderLoad = load.entrySet().stream()
+                    .filter(e -> !LoadSpill.isSpilled(currentPlacement, e.getKey()))
                     .mapToDouble(Map.Entry::getValue)
                     .sum();
-            boolean hot = !LoadSpill.isSpilled(known, 77);
-            spill.addReport(now, 0, atFirst / 2, hot ? 77 : 1_000, hot ? 15 : 0.1);
-            spill.addReport(now, 1, atFirst / 2, hot ? 77 : 1_000, hot ? 15 : 0.1);
-            placement = spill.decide(now, first, second, 60);
+            boolean hot = !LoadSpill.isSpilled(currentPlacement, 77);
+            spill.addReport(now, 0, leaderLoad / 2, hot ? 77 : 1_000, hot ? 15 : 0.1);
+            spill.addReport(now, 1, leaderLoad / 2, hot ? 77 : 1_000, hot ? 15 : 0.1);
+            placement = spill.decide(now, leader, spillParent, 60);
         }
         assertTrue(LoadSpill.isSpilled(placement, 77), "the hot one goes first");
-        assertTrue(atFirst <= LoadSpill.HIGH_UTILIZATION * 100, "at the leader " + atFirst);
+        assertTrue(leaderLoad <= LoadSpill.HIGH_UTILIZATION * 100, "at the leader " + leaderLoad);
         assertTrue(placement.slice() <= 60, "slice " + placement.slice());
-        for (long now = 30 * S; now < 60 * S; now += 200_000) {
+        for (long now = 30 * SECOND_US; now < 60 * SECOND_US; now += 200_000) {
             spill.addReport(now, 0, 10, 0, 0);
             spill.addReport(now, 1, 10, 0, 0);
-            placement = spill.decide(now, first, second, 60);
+            placement = spill.decide(now, leader, spillParent, 60);
         }
         assertEquals(RegionMessage.Placement.NONE, placement, "taken back");
     }
 
     /** A cold branch asks for far more than may go up: the pace is kept, and what is wanted most goes up first. */
     @Test
-    void missesGoUpAtThePaceMostWantedFirst() {
+    void fillsAreAdmittedAtTheRateMostRequestedFirst() {
         SplittableRandom random = new SplittableRandom(3);
-        FillAdmission pace = new FillAdmission();
-        Map<Long, Long> wentUp = new HashMap<>();
-        Map<Long, Integer> asked = new HashMap<>();
-        for (long now = 0; now < 4 * S; now += 500) {
+        FillAdmission admission = new FillAdmission();
+        Map<Long, Long> admittedAt = new HashMap<>();
+        Map<Long, Integer> requestCounts = new HashMap<>();
+        for (long now = 0; now < 4 * SECOND_US; now += 500) {
             // Zipf-like: object n is asked for as 1/n.
             long object = (long) Math.pow(2_000, random.nextDouble());
-            asked.merge(object, 1, Integer::sum);
-            if (!wentUp.containsKey(object) && pace.admits(now, object, 1, 50)) {
-                wentUp.put(object, now);
-                pace.fillEnded(object, true);
+            requestCounts.merge(object, 1, Integer::sum);
+            if (!admittedAt.containsKey(object) && admission.admits(now, object, 1, 50)) {
+                admittedAt.put(object, now);
+                admission.fillEnded(object, true);
             }
         }
-        assertTrue(wentUp.size() <= 4 * 50 + 10, "went up " + wentUp.size());
-        assertTrue(wentUp.size() >= 150, "the pace is used: " + wentUp.size());
-        long ofTheMost = IntStream.rangeClosed(1, 50)
-                .filter(i -> wentUp.containsKey((long) i))
+        assertTrue(admittedAt.size() <= 4 * 50 + 10, "went up " + admittedAt.size());
+        assertTrue(admittedAt.size() >= 150, "the pace is used: " + admittedAt.size());
+        long admittedOfTop50 = IntStream.rangeClosed(1, 50)
+                .filter(i -> admittedAt.containsKey((long) i))
                 .count();
-        assertTrue(ofTheMost >= 48, "of the 50 most wanted " + ofTheMost);
-        FillAdmission idle = new FillAdmission();
+        assertTrue(admittedOfTop50 >= 48, "of the 50 most wanted " + admittedOfTop50);
+        FillAdmission unsaturated = new FillAdmission();
         assertTrue(
-                IntStream.range(0, 100).allMatch(i -> idle.admits(i * 100_000L, i, 1, 50)),
+                IntStream.range(0, 100).allMatch(i -> unsaturated.admits(i * 100_000L, i, 1, 50)),
                 "nothing is held while it fits");
     }
 }
--- a/src/test/java/magpiewheel/region/RegionCoordinatorTest.java
+++ b/src/test/java/magpiewheel/region/RegionCoordinatorTest.java
@@ -15,24 +15,24 @@
 
 /** Whole regions in virtual time; verdicts are of what stand-in parents and the origin saw. */
 class RegionCoordinatorTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
 
     /** Origin fetches for each part with each object wanted in four branches at once, in steady state. */
-    static double fetches(long seed, RegionWorld.Way way) {
-        RegionWorld world = new RegionWorld(seed, way, 0.05, 4, 1_000);
-        world.wanted(2 * S, 22 * S, 20_000, 40_000, 1);
-        world.net.runUntil(23 * S, () -> {});
-        return world.fetchesAPart(12 * S, 22 * S, 20_000);
+    static double originFetches(long seed, SimulatedRegions.SourcePolicy policy) {
+        SimulatedRegions world = new SimulatedRegions(seed, policy, 0.05, 4, 1_000);
+        world.requestInAllZones(2 * SECOND_US, 22 * SECOND_US, 20_000, 40_000, 1);
+        world.net.runUntil(23 * SECOND_US, () -> {});
+        return world.originFetchesPerObject(12 * SECOND_US, 22 * SECOND_US, 20_000);
     }
 
     @Test
-    void anObjectWantedInFourBranchesLeavesTheOriginOnce() {
-        double led = fetches(1, RegionWorld.Way.LED);
-        double pair = fetches(1, RegionWorld.Way.PAIR_BY_OBJECT);
-        double random = fetches(1, RegionWorld.Way.RANDOM_PAIR);
+    void objectRequestedInFourZonesIsFetchedFromTheOriginOnce() {
+        double ledFetches = originFetches(1, SimulatedRegions.SourcePolicy.LED);
+        double pair = originFetches(1, SimulatedRegions.SourcePolicy.PAIR_BY_OBJECT);
+        double random = originFetches(1, SimulatedRegions.SourcePolicy.RANDOM_PAIR);
         System.out.printf(
-                "origin fetches a part: led %.3f, pair by object %.3f, random pair %.3f%n", led, pair, random);
-        assertTrue(led <= 1.05, "led " + led);
+                "origin fetches a part: led %.3f, pair by object %.3f, random pair %.3f%n", ledFetches, pair, random);
+        assertTrue(ledFetches <= 1.05, "led " + ledFetches);
         assertTrue(random > 1.5, "random " + random);
     }
 
@@ -40,73 +40,80 @@
      * From the first overdue answer of a hung leader until no front holds to it and all hold to another; and who it
      * hit.
      */
-    static long hung(long seed, boolean lonely) {
-        RegionWorld world = new RegionWorld(seed, RegionWorld.Way.LED, 0.05, 4, 1_000);
-        world.wanted(2 * S, 20 * S, 25_000, 40_000, 1);
-        long[] hung = {0};
+    static long replacementUs(long seed, boolean killRouter) {
+        SimulatedRegions world = new SimulatedRegions(seed, SimulatedRegions.SourcePolicy.LED, 0.05, 4, 1_000);
+        world.requestInAllZones(2 * SECOND_US, 20 * SECOND_US, 25_000, 40_000, 1);
+        long[] hungLeader = {0};
         // At any moment one front may be between two leases: the first moment at which all hold to one will do.
-        world.net.every(8 * S + seed * 7_919 % S, 10_000, () -> {
-            if (hung[0] == 0 && world.leader() != 0) {
-                hung[0] = world.leader();
-                world.parents.get(hung[0]).hangs = true;
-                if (lonely) {
-                    world.kill((int) (seed % RegionWorld.FRONTS));
+        world.net.every(8 * SECOND_US + seed * 7_919 % SECOND_US, 10_000, () -> {
+            if (hungLeader[0] == 0 && world.leader() != 0) {
+                hungLeader[0] = world.leader();
+                world.parents.get(hungLeader[0]).hangs = true;
+                if (killRouter) {
+                    world.kill((int) (seed % SimulatedRegions.ROUTERS));
                 }
             }
         });
         long[] replaced = {0};
-        world.net.runUntil(14 * S, () -> {
-            long leads = hung[0] == 0 ? 0 : world.leader();
-            if (replaced[0] == 0 && leads != 0 && leads != hung[0]) {
+        world.net.runUntil(14 * SECOND_US, () -> {
+            long currentLeader = hungLeader[0] == 0 ? 0 : world.leader();
+            if (replaced[0] == 0 && currentLeader != 0 && currentLeader != hungLeader[0]) {
                 replaced[0] = world.net.now;
             }
         });
-        assertTrue(hung[0] != 0, "no leader to hang, seed " + seed);
+        assertTrue(hungLeader[0] != 0, "no leader to hang, seed " + seed);
         assertTrue(world.firstOverdueAt > 0 && replaced[0] > 0, "not replaced, seed " + seed);
         return replaced[0] - world.firstOverdueAt;
     }
 
     @Property(tries = 30, seed = "31")
-    void aHungLeaderIsReplacedWithinASecondOfItsFirstOverdueAnswer(@ForAll @LongRange(min = 1, max = 1_000) long seed) {
-        assertTrue(hung(seed, false) <= S, "seed " + seed);
+    void hungLeaderIsReplacedWithinASecondOfItsFirstOverdueResponse(
+            @ForAll @LongRange(min = 1, max = 1_000) long seed) {
+        assertTrue(replacementUs(seed, false) <= SECOND_US, "seed " + seed);
     }
 
     /** Use of what a cold parent bears, at most, through a hand-over to cold parents; above 1 it falls. */
-    static double[] handOver(long seed) {
-        RegionWorld world = new RegionWorld(seed, RegionWorld.Way.LED, 0.05, 3, 300);
-        world.wanted(2 * S, 28 * S, 10_000, 30_000, 1);
-        world.net.at(8 * S, () -> {
+    static double[] handover(long seed) {
+        SimulatedRegions world = new SimulatedRegions(seed, SimulatedRegions.SourcePolicy.LED, 0.05, 3, 300);
+        world.requestInAllZones(2 * SECOND_US, 28 * SECOND_US, 10_000, 30_000, 1);
+        world.net.at(8 * SECOND_US, () -> {
             long leader = world.leader();
             // The others have just started; the leader drains a moment later.
-            for (RegionWorld.StandIn parent : world.parents.values()) {
+            for (SimulatedRegions.SimulatedParent parent : world.parents.values()) {
                 if (parent.id != leader) {
-                    parent.held.clear();
-                    parent.work.clear();
-                    parent.listed = new Parent(parent.id, 0, 100, 300, world.net.now, false);
+                    parent.cachedObjects.clear();
+                    parent.recentWork.clear();
+                    parent.entry = new Parent(parent.id, 0, 100, 300, world.net.now, false);
                 }
             }
-            world.list();
+            world.publishParents();
             world.net.at(8_500_000, () -> {
                 if (leader != 0) {
-                    Parent old = world.parents.get(leader).listed;
-                    world.parents.get(leader).listed = new Parent(leader, 0, old.linkCapacity(), 300, 0, true);
+                    Parent old = world.parents.get(leader).entry;
+                    world.parents.get(leader).entry = new Parent(leader, 0, old.linkCapacity(), 300, 0, true);
                 }
-                world.list();
+                world.publishParents();
             });
         });
-        world.net.runUntil(30 * S, () -> {});
-        double most = 0;
-        double falls = 0;
-        for (RegionWorld.StandIn parent : world.parents.values()) {
-            most = Math.max(most, parent.most);
-            falls += parent.fallen ? 1 : 0;
+        world.net.runUntil(30 * SECOND_US, () -> {});
+        double maxUtilization = 0;
+        double overloadedParents = 0;
+        for (SimulatedRegions.SimulatedParent parent : world.parents.values()) {
+            maxUtilization = Math.max(maxUtilization, parent.maxUtilization);
+            overloadedParents += parent.overloaded ? 1 : 0;
         }
-        return new double[] {most, falls, world.namedGone, world.byLeader / (double) world.fills, world.leader()};
+        return new double[] {
+            maxUtilization,
+            overloadedParents,
+            world.drainingSelected,
+            world.fillsByLeader / (double) world.fills,
+            world.leader()
+        };
     }
 
     @Property(tries = 12, seed = "37")
-    void noColdParentGetsMoreThanItBears(@ForAll @LongRange(min = 1, max = 1_000) long seed) {
-        double[] figures = handOver(seed);
+    void warmingParentsAreNotOverloaded(@ForAll @LongRange(min = 1, max = 1_000) long seed) {
+        double[] figures = handover(seed);
         assertTrue(figures[0] <= 1 && figures[1] == 0, "use " + figures[0] + ", seed " + seed);
         assertEquals(0, figures[2], "a draining parent was named, seed " + seed);
         assertTrue(figures[4] != 0, "nobody leads in the end, seed " + seed);
@@ -115,24 +122,24 @@
 
     /** First bytes that jitter elect nobody new; a parent that stays four times as slow is left. */
     @Test
-    void noiseElectsNobodyAndALastingSlownessDoes() {
-        RegionWorld world = new RegionWorld(5, RegionWorld.Way.LED, 0.05, 4, 1_000);
-        world.wanted(2 * S, 60 * S, 20_000, 40_000, 1);
+    void noiseKeepsTheLeaderAndLastingSlownessReplacesIt() {
+        SimulatedRegions world = new SimulatedRegions(5, SimulatedRegions.SourcePolicy.LED, 0.05, 4, 1_000);
+        world.requestInAllZones(2 * SECOND_US, 60 * SECOND_US, 20_000, 40_000, 1);
         Map<Long, Integer> terms = new HashMap<>();
-        long[] was = {0};
+        long[] lastLeader = {0};
         int[] changes = {0};
-        Runnable look = () -> {
+        Runnable observeLeader = () -> {
             long now = world.leader();
-            changes[0] += now != 0 && was[0] != 0 && now != was[0] ? 1 : 0;
-            was[0] = now != 0 ? now : was[0];
+            changes[0] += now != 0 && lastLeader[0] != 0 && now != lastLeader[0] ? 1 : 0;
+            lastLeader[0] = now != 0 ? now : lastLeader[0];
             terms.merge(now, 1, Integer::sum);
         };
-        world.net.runUntil(30 * S, look);
+        world.net.runUntil(30 * SECOND_US, observeLeader);
         assertEquals(0, changes[0]);
-        world.parents.get(was[0]).slowUs = 200_000;
-        long slow = was[0];
-        world.net.runUntil(60 * S, look);
-        assertTrue(was[0] != slow);
+        world.parents.get(lastLeader[0]).extraLatencyUs = 200_000;
+        long slow = lastLeader[0];
+        world.net.runUntil(60 * SECOND_US, observeLeader);
+        assertTrue(lastLeader[0] != slow);
         assertEquals(1, changes[0]);
     }
 
@@ -140,45 +147,48 @@
      * The most of a parent's link in use in any second from 4 s on while a branch's load doubles; and the leaders
      * after.
      */
-    static double[] split(long seed) {
-        RegionWorld world = new RegionWorld(seed, RegionWorld.Way.LED, 0.05, 3, 1_000, 18);
-        world.wanted(S, 40 * S, 1_000_000 / 18, 40_000, 1);
-        world.grows(0, 12 * S, 40 * S, 1_000_000 / 18, 36);
-        world.net.runUntil(11 * S, () -> {});
-        double regions = world.view(0).assignment().regions().size();
-        world.net.runUntil(41 * S, () -> {});
-        double most = world.parents.values().stream()
-                .flatMap(p -> p.carried.values().stream())
+    static double[] splitRegion(long seed) {
+        SimulatedRegions world = new SimulatedRegions(seed, SimulatedRegions.SourcePolicy.LED, 0.05, 3, 1_000, 18);
+        world.requestInAllZones(SECOND_US, 40 * SECOND_US, 1_000_000 / 18, 40_000, 1);
+        world.requestInOneZone(0, 12 * SECOND_US, 40 * SECOND_US, 1_000_000 / 18, 36);
+        world.net.runUntil(11 * SECOND_US, () -> {});
+        double regionsBefore = world.coordinator(0).assignment().regions().size();
+        world.net.runUntil(41 * SECOND_US, () -> {});
+        double maxUtilization = world.parents.values().stream()
+                .flatMap(p -> p.linkLoadBySecond.values().stream())
                 .mapToDouble(c -> c / 100)
                 .max()
                 .getAsDouble();
-        for (int i = 0; i < RegionWorld.FRONTS; i++) {
+        for (int i = 0; i < SimulatedRegions.ROUTERS; i++) {
             assertEquals(
-                    world.view(0).assignment().regions(),
-                    world.view(i).assignment().regions(),
+                    world.coordinator(0).assignment().regions(),
+                    world.coordinator(i).assignment().regions(),
                     "seed " + seed);
         }
         // A front may be without a leader at a moment: what they hold to over the last second counts.
-        Set<Long> leading = new HashSet<>();
-        Set<Integer> led = new HashSet<>();
+        Set<Long> leadingParents = new HashSet<>();
+        Set<Integer> ledRouters = new HashSet<>();
         world.net.runUntil(
-                42 * S,
-                () -> IntStream.range(0, RegionWorld.FRONTS).forEach(i -> {
-                    Leader leader = world.view(i).leader(world.local(i));
+                42 * SECOND_US,
+                () -> IntStream.range(0, SimulatedRegions.ROUTERS).forEach(i -> {
+                    Leader leader = world.coordinator(i).leader(world.localTime(i));
                     if (leader != null) {
-                        leading.add(leader.parent());
-                        led.add(i);
+                        leadingParents.add(leader.parent());
+                        ledRouters.add(i);
                     }
                 }));
-        assertEquals(RegionWorld.FRONTS, led.size(), "a front without a leader for a second, seed " + seed);
-        long leaders = leading.size();
-        return new double[] {regions, world.view(0).assignment().regions().size(), leaders, most};
+        assertEquals(
+                SimulatedRegions.ROUTERS, ledRouters.size(), "a front without a leader for a second, seed " + seed);
+        long leaders = leadingParents.size();
+        return new double[] {
+            regionsBefore, world.coordinator(0).assignment().regions().size(), leaders, maxUtilization
+        };
     }
 
     @Test
-    void aRegionThatOutgrowsAParentIsSplitAndEachHalfHasItsOwn() {
+    void regionThatOutgrowsAParentIsSplitAndEachPartHasItsOwnLeader() {
         for (long seed = 1; seed <= 5; seed++) {
-            double[] figures = split(seed);
+            double[] figures = splitRegion(seed);
             assertEquals(1, figures[0]);
             assertEquals(2, figures[1]);
             assertEquals(2, figures[2], "one parent leads both, seed " + seed);
@@ -187,13 +197,13 @@
     }
 
     @Test
-    void theEndOfTheProposerLeavesTheRegionLed() {
-        RegionWorld world = new RegionWorld(6, RegionWorld.Way.LED, 0.05, 4, 1_000);
-        world.net.runUntil(5 * S, () -> {});
+    void leaderSurvivesTheFailureOfTheProposer() {
+        SimulatedRegions world = new SimulatedRegions(6, SimulatedRegions.SourcePolicy.LED, 0.05, 4, 1_000);
+        world.net.runUntil(5 * SECOND_US, () -> {});
         long before = world.leader();
-        assertTrue(world.view(0).holdsLease(world.local(0)));
+        assertTrue(world.coordinator(0).holdsLease(world.localTime(0)));
         world.kill(0);
-        world.net.runUntil(7 * S, () -> {});
+        world.net.runUntil(7 * SECOND_US, () -> {});
         assertTrue(before != 0);
         assertEquals(before, world.leader());
     }
--- a/src/test/java/magpiewheel/region/RegionFingerprintTest.java
+++ b/src/test/java/magpiewheel/region/RegionFingerprintTest.java
@@ -9,7 +9,7 @@
  * Fingerprints of all messages and decisions of seeded regions; a change of names and shape leaves them as they are.
  */
 class RegionFingerprintTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
 
     @ParameterizedTest
     @CsvSource({
@@ -18,24 +18,25 @@
         "3, LED, 11372:c3fa538e70784c53, 27170:a6ef07bede9d4535",
         "4, PAIR_BY_OBJECT, 11480:0e0aa5eecf71af69, 30205:ed819bce0f8dfd83"
     })
-    void fourBranches(long seed, RegionWorld.Way way, String messages, String decisions) {
-        RegionWorld world = new RegionWorld(seed, way, 0.05, 4, 300);
-        world.wanted(2 * S, 20 * S, 15_000, 40_000, 1);
-        world.grows(1, 5 * S, 18 * S, 8_000, 70);
-        world.net.at(6 * S, () -> world.parents.get(1L + seed % 4).hangs = true);
-        world.net.at(8 * S, () -> world.kill((int) (seed % RegionWorld.FRONTS)));
-        world.net.at(9 * S, () -> drain(world, 1 + (seed + 1) % 4));
-        world.net.at(11 * S, () -> world.net.cut(2, 5, true));
-        world.net.at(15 * S, world.net::heal);
-        world.net.runUntil(22 * S, () -> {});
+    void messagesAndDecisionsOfFourZones(
+            long seed, SimulatedRegions.SourcePolicy policy, String messages, String decisions) {
+        SimulatedRegions world = new SimulatedRegions(seed, policy, 0.05, 4, 300);
+        world.requestInAllZones(2 * SECOND_US, 20 * SECOND_US, 15_000, 40_000, 1);
+        world.requestInOneZone(1, 5 * SECOND_US, 18 * SECOND_US, 8_000, 70);
+        world.net.at(6 * SECOND_US, () -> world.parents.get(1L + seed % 4).hangs = true);
+        world.net.at(8 * SECOND_US, () -> world.kill((int) (seed % SimulatedRegions.ROUTERS)));
+        world.net.at(9 * SECOND_US, () -> drain(world, 1 + (seed + 1) % 4));
+        world.net.at(11 * SECOND_US, () -> world.net.setBlocked(2, 5, true));
+        world.net.at(15 * SECOND_US, world.net::heal);
+        world.net.runUntil(22 * SECOND_US, () -> {});
         assertEquals(messages, world.net.messages.toString());
         assertEquals(decisions, world.decisions.toString());
     }
 
-    private static void drain(RegionWorld world, long id) {
-        RegionWorld.StandIn parent = world.parents.get(id);
-        Parent old = parent.listed;
-        parent.listed = new Parent(id, old.hub(), old.linkCapacity(), old.transferCapacity(), old.startedUs(), true);
-        world.list();
+    private static void drain(SimulatedRegions world, long id) {
+        SimulatedRegions.SimulatedParent parent = world.parents.get(id);
+        Parent old = parent.entry;
+        parent.entry = new Parent(id, old.hub(), old.linkCapacity(), old.transferCapacity(), old.startedUs(), true);
+        world.publishParents();
     }
 }
--- a/src/test/java/magpiewheel/region/SimulatedNetwork.java
+++ b/src/test/java/magpiewheel/region/SimulatedNetwork.java
@@ -13,71 +13,71 @@
         void messageReceived(int to, int from, byte[] message);
     }
 
-    private record Event(long at, long number, Runnable does) {}
+    private record Event(long at, long sequence, Runnable action) {}
 
     public final SplittableRandom random;
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
-    private final boolean[][] cut;
-    private long numbers;
+            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::sequence));
+    private final boolean[][] blocked;
+    private long nextSequence;
     public long now;
-    double loss;
+    double lossShare;
     /** Share of messages that are late by up to seconds. */
-    double late;
+    double delayedShare;
 
-    long sent;
+    long sentMessages;
     /** Of all messages, with their times, senders and receivers. */
     public final Fingerprint messages = new Fingerprint();
 
     /** A network of so many fronts; loss and late are shares of its messages, and all chance comes from the seed. */
-    public SimulatedNetwork(long seed, int fronts, double loss, double late) {
+    public SimulatedNetwork(long seed, int routers, double lossShare, double delayedShare) {
         this.random = new SplittableRandom(seed);
-        this.cut = new boolean[fronts][fronts];
-        this.loss = loss;
-        this.late = late;
+        this.blocked = new boolean[routers][routers];
+        this.lossShare = lossShare;
+        this.delayedShare = delayedShare;
     }
 
     /** Has something done at a virtual time, or now if that has passed. */
-    public void at(long when, Runnable does) {
-        events.add(new Event(Math.max(now, when), numbers++, does));
+    public void at(long when, Runnable action) {
+        events.add(new Event(Math.max(now, when), nextSequence++, action));
     }
 
     /** Has something done again and again, a step apart. */
-    public void every(long first, long step, Runnable does) {
+    public void every(long first, long step, Runnable action) {
         at(first, () -> {
-            does.run();
-            every(now + step, step, does);
+            action.run();
+            every(now + step, step, action);
         });
     }
 
     /** Sends a message, which may be lost, doubled or late, and is dropped where the way is cut. */
     public void send(int from, int to, byte[] message, Receiver receiver) {
-        sent++;
+        sentMessages++;
         messages.add(now).add((long) from).add((long) to).add(message);
         if (message.length > RegionMessageCodec.MAX_MESSAGE_BYTES) {
             throw new AssertionError("message of " + message.length);
         }
         for (int copies = random.nextInt(50) == 0 ? 2 : 1; copies > 0; copies--) {
-            boolean slow = random.nextDouble() < late;
-            long delay = 1_400 + random.nextLong(slow ? 3_000_000 : 21_600);
-            if (random.nextDouble() >= loss && !cut[from][to]) {
+            boolean delayed = random.nextDouble() < delayedShare;
+            long delay = 1_400 + random.nextLong(delayed ? 3_000_000 : 21_600);
+            if (random.nextDouble() >= lossShare && !blocked[from][to]) {
                 at(now + delay, () -> receiver.messageReceived(to, from, message.clone()));
             }
         }
     }
 
     /** Cuts the way from one front to another, or opens it. */
-    public void cut(int from, int to, boolean on) {
-        cut[from][to] = on;
+    public void setBlocked(int from, int to, boolean block) {
+        blocked[from][to] = block;
     }
 
     boolean reaches(int from, int to) {
-        return !cut[from][to];
+        return !blocked[from][to];
     }
 
     /** Opens all ways. */
     public void heal() {
-        for (boolean[] row : cut) {
+        for (boolean[] row : blocked) {
             java.util.Arrays.fill(row, false);
         }
     }
@@ -87,7 +87,7 @@
         while (!events.isEmpty() && events.peek().at() <= end) {
             Event event = events.poll();
             now = event.at();
-            event.does().run();
+            event.action().run();
             check.run();
         }
         now = end;
--- a/src/test/java/magpiewheel/routing/RegionalFleetWorld.java
+++ b/src/test/java/magpiewheel/routing/RegionalFleetWorld.java
@@ -346,7 +346,7 @@
     void partition(boolean partitioned) {
         for (int sender = 0; sender < ROUTERS; sender++) {
             for (int recipient = 0; recipient < ROUTERS; recipient++) {
-                net.cut(sender, recipient, partitioned && sender / 4 != recipient / 4);
+                net.setBlocked(sender, recipient, partitioned && sender / 4 != recipient / 4);
             }
         }
     }
