--- a/src/test/java/magpiewheel/region/ElectionTest.java
+++ b/src/test/java/magpiewheel/region/ElectionTest.java
@@ -19,15 +19,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Elections alone, with fronts whose wishes change as badly as they can, under every fault of the network and the
- * process.
+ * Tests elections in isolation, under frequently changing leader preferences and faults of the network and the
+ * processes.
  */
 class ElectionTest {
     private static final int REGION = 77;
     private static final long NO_LEADER = -1;
     private static final long START_MS = 1_800_000_000_000L;
 
-    /** A schedule of faults over some fronts; it fails at the first moment with two leaders. */
+    /**
+     * Simulates the elections of several routers under a schedule of faults; fails as soon as two leaders are valid at
+     * once.
+     */
     static final class ElectionSimulation {
         final SimulatedNetwork net;
         final Election[] routers;
@@ -184,7 +187,9 @@
                 }
                 long before = leaderByTerm.computeIfAbsent(lease.term(), term -> lease.leader());
                 assertEquals(before, lease.leader(), "two leaders in term " + lease.term() + ", seed " + seed);
-                assertTrue(leading == 0 || leading == lease.leader(), "two leases at " + net.now + ", seed " + seed);
+                assertTrue(
+                        leading == 0 || leading == lease.leader(),
+                        "two leaders with a valid lease at " + net.now + ", seed " + seed);
                 leading = lease.leader();
                 checksWithLease[i]++;
             }
@@ -195,7 +200,7 @@
         }
     }
 
-    /** What a schedule came to: leaders after one another, and the share of moments with one. */
+    /** Runs one schedule; returns the number of leader changes and the share of checks at which there was a leader. */
     static double[] runSchedule(long seed, int routers, long us) {
         ElectionSimulation simulation = new ElectionSimulation(seed, routers, 0.02 + seed % 4 * 0.06, 0.05);
         simulation.scheduleFaults(us);
@@ -209,24 +214,27 @@
         runSchedule(seed, routers, 12_000_000);
     }
 
-    /** Else who drives it would call it for ever, and hear no message that ends this. */
+    /**
+     * A caller that ticks a router whenever it is due would otherwise tick it forever and never handle the message that
+     * ends this state.
+     */
     @Test
     void routerThatCannotProposeIsNotDueImmediately() {
         ElectionSimulation simulation = new ElectionSimulation(5, 3, 0, 0);
         Election router = simulation.routers[0];
         long now = simulation.localTime(0) + 10_000_000;
         router.tick(now, List.of(), true);
-        assertTrue(router.due(now) > now, "alone");
+        assertTrue(router.due(now) > now, "isolated");
         simulation.preferredLeaders[0] = NO_LEADER;
         now += 1_000_000;
         router.tick(now, List.of(1, 2), false);
-        assertTrue(router.due(now) > now, "without a fit parent");
+        assertTrue(router.due(now) > now, "without an eligible parent");
         simulation.preferredLeaders[0] = 1;
         router.tick(now, List.of(1, 2), false);
-        assertEquals(0, router.proposer(), "yet it proposes as soon as it can");
+        assertEquals(0, router.proposer(), "it proposes as soon as a parent is eligible");
     }
 
-    /** The schedules are no empty proof: leaders are elected, replaced and followed in them. */
+    /** Guards against vacuous schedules: leaders must actually be elected and replaced in them. */
     @Test
     void schedulesElectAndReplaceLeaders() {
         double leaderChanges = 0;
@@ -237,8 +245,8 @@
             leaderShare += figures[1] / 20;
         }
         System.out.printf("20 schedules of 12 s: %.0f leaders, led %.3f of the moments%n", leaderChanges, leaderShare);
-        assertTrue(leaderChanges > 60, "leaders " + leaderChanges);
-        assertTrue(leaderShare > 0.3, "led " + leaderShare);
+        assertTrue(leaderChanges > 60, "leader changes " + leaderChanges);
+        assertTrue(leaderShare > 0.3, "share of checks with a leader " + leaderShare);
     }
 
     @Test
@@ -251,7 +259,8 @@
         assertEquals(1, simulation.leaderByTerm.values().stream().distinct().count());
         for (long checksWithLease : simulation.checksWithLease) {
             assertTrue(
-                    checksWithLease > 0.98 * simulation.checks, "led " + checksWithLease + " of " + simulation.checks);
+                    checksWithLease > 0.98 * simulation.checks,
+                    "checks with a lease: " + checksWithLease + " of " + simulation.checks);
         }
     }
 
@@ -297,7 +306,7 @@
         assertTrue(IntStream.range(2, 5).allMatch(i -> simulation.routers[i].lease(simulation.localTime(i)) != null));
     }
 
-    /** A front alone with its messages: what it sends is kept. */
+    /** One router in isolation; records the messages that it sends. */
     private static final class SingleRouter {
         final List<RegionMessage> sent = new ArrayList<>();
         final Election election;
@@ -368,11 +377,11 @@
         assertTrue(single.requestVote(t + 1, 0, START_MS + 5, 9, START_MS).granted(), "a renewal");
         assertFalse(
                 single.requestVote(t + 2, 0, START_MS + 5, 8, START_MS).granted(), "another leader in the same term");
-        assertFalse(single.requestVote(t + 3, 1, START_MS + 4, 9, START_MS).granted(), "an old term");
-        assertFalse(single.requestVote(t + 4, 1, START_MS + 6, 8, START_MS).granted(), "it promised");
+        assertFalse(single.requestVote(t + 3, 1, START_MS + 4, 9, START_MS).granted(), "an earlier term");
+        assertFalse(single.requestVote(t + 4, 1, START_MS + 6, 8, START_MS).granted(), "it promised another leader");
         assertTrue(single.requestVote(t + Lease.PROMISE_US + 2, 1, START_MS + 7, 8, START_MS)
                 .granted());
-        assertNull(single.requestVote(t + 9, 3, START_MS + 9 << 16, 8, START_MS), "a term of days ahead");
+        assertNull(single.requestVote(t + 9, 3, START_MS + 9 << 16, 8, START_MS), "a term days ahead of the clock");
     }
 
     @Test
@@ -384,17 +393,22 @@
         long now = t + 1;
         assertFalse(
                 single.election.voteReceived(now, 1, vote(term - 65_536, START_MS, 0, t), Set.of(0)), "an old term");
-        assertFalse(single.election.voteReceived(now, 1, vote(term, START_MS, 7, t), Set.of(0)), "a branch elsewhere");
         assertFalse(
-                single.election.voteReceived(now, 1, vote(term, START_MS, 0, t - 1), Set.of(0)), "before it was asked");
+                single.election.voteReceived(now, 1, vote(term, START_MS, 7, t), Set.of(0)),
+                "a zone of another region");
+        assertFalse(
+                single.election.voteReceived(now, 1, vote(term, START_MS, 0, t - 1), Set.of(0)),
+                "the echoed request precedes the term");
         assertTrue(single.election.voteReceived(now, 1, vote(term, START_MS + 100, 0, t), Set.of(0)));
         assertFalse(single.election.holdsLease(now), "two of five are a minority");
-        assertFalse(single.election.voteReceived(now, 1, vote(term, START_MS, 0, t), Set.of(0)), "before its restart");
+        assertFalse(
+                single.election.voteReceived(now, 1, vote(term, START_MS, 0, t), Set.of(0)),
+                "sent before the voter restarted");
         single.election.voteReceived(now, 1, vote(term, START_MS + 100, 0, t), Set.of(0));
-        assertFalse(single.election.holdsLease(now), "a doubled vote is one vote");
+        assertFalse(single.election.holdsLease(now), "a duplicated vote counts once");
         assertTrue(single.election.voteReceived(now, 2, vote(term, START_MS, 0, t), Set.of(0)));
         assertTrue(single.election.holdsLease(now));
-        assertEquals(t + Lease.VALIDITY_US, single.election.lease(now).untilUs(), "it counts from when it asked");
+        assertEquals(t + Lease.VALIDITY_US, single.election.lease(now).untilUs(), "the lease counts from the request");
     }
 
     private static RegionMessage.Vote vote(long term, long startedMs, int zone, long requestSentAt) {
--- a/src/test/java/magpiewheel/region/RegionAssignmentTest.java
+++ b/src/test/java/magpiewheel/region/RegionAssignmentTest.java
@@ -76,7 +76,7 @@
                 RegionAssignment.of(other).regions());
     }
 
-    /** The shape with everybody's place told. */
+    /** Returns the topology with the assigned slot of each zone as its home slot. */
     static RegionTopology withHomeSlots(RegionTopology topology) {
         RegionAssignment regions = RegionAssignment.of(topology);
         int[] homes =
@@ -87,7 +87,7 @@
     @Property(tries = 300, seed = "47")
     void zonesStayInHomeSlotsWithCapacity(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         RegionTopology unequalLinks = topology(seed, 16, 12);
-        // Equal links: with unequal ones a further place makes all of them smaller.
+        // Equal links: with unequal ones an additional slot lowers the capacity of all slots.
         RegionTopology topology = new RegionTopology(
                 unequalLinks.hubByZone(),
                 unequalLinks.loads(),
@@ -98,16 +98,18 @@
         assertEquals(
                 RegionAssignment.of(topology).regions(),
                 RegionAssignment.of(withHomeSlots).regions(),
-                "told places change nothing, seed " + seed);
+                "announced home slots change nothing, seed " + seed);
         double[] grown = topology.loads().clone();
         grown[(int) (seed % 16)] *= 1.2;
         RegionAssignment after = RegionAssignment.of(
                 new RegionTopology(topology.hubByZone(), grown, withHomeSlots.homeSlots(), topology.parents()));
         int migrated = RegionAssignment.migratedZones(RegionAssignment.of(topology), after);
-        assertTrue(migrated <= 1, "moved " + migrated + ", seed " + seed);
+        assertTrue(migrated <= 1, "migrated zones " + migrated + ", seed " + seed);
     }
 
-    /** Contiguous cuts of the list of branches: the other way that was weighed. */
+    /**
+     * Assigns contiguous ranges of the list of zones to slots: the alternative that the assignment is compared with.
+     */
     static int[] contiguousSlots(double[] loads, double capacity) {
         int[] slots = new int[loads.length];
         double slotLoad = 0;
@@ -124,9 +126,9 @@
     }
 
     /**
-     * Moves by mean: a branch's load grows by half, a parent that leads nobody goes, a branch comes; those of the
-     * contiguous cuts as a branch comes, and as a load grows; and what a growing load needs (one, if its region grew
-     * too large).
+     * Returns mean numbers of migrated zones: when a zone's load grows by half, when a parent that leads no region is
+     * removed, when a zone is added; with contiguous ranges when a zone is added and when a load grows; and the share
+     * of load increases that need a migration because the region outgrows its capacity.
      */
     static double[] meanMigrations(int topologies) {
         double[] sums = new double[6];
@@ -167,7 +169,7 @@
         return Arrays.stream(sums).map(sum -> sum / topologies).toArray();
     }
 
-    /** The same count for plain slots. */
+    /** Counts migrated zones like {@link RegionAssignment#migratedZones}, for plain slot numbers. */
     private static int migratedZones(int[] before, int[] after) {
         int[][] shared = new int[before.length][before.length];
         for (int i = 0; i < before.length; i++) {
@@ -202,7 +204,7 @@
     void loadAndParentChangesMigrateFewZones() {
         double[] migrations = meanMigrations(100);
         System.out.println("moves of 24 branches: " + Arrays.toString(migrations));
-        assertEquals(0, migrations[1], "a parent that nobody needs moves nobody");
-        assertTrue(migrations[0] < migrations[4] && migrations[2] < migrations[3], "fewer than contiguous cuts");
+        assertEquals(0, migrations[1], "removing an unneeded parent migrates no zone");
+        assertTrue(migrations[0] < migrations[4] && migrations[2] < migrations[3], "fewer than with contiguous ranges");
     }
 }
--- a/src/test/java/magpiewheel/region/RegionComponentsTest.java
+++ b/src/test/java/magpiewheel/region/RegionComponentsTest.java
@@ -16,7 +16,10 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The small parts: messages, ranking, evidence, steps, spill and pace. */
+/**
+ * Tests the components of region coordination: message codec, ranking, hang detection, handover, load spill and fill
+ * admission.
+ */
 class RegionComponentsTest {
     private static final long SECOND_US = 1_000_000;
     private static final RegionMessage.Header HEADER = new RegionMessage.Header(7, 9L << 16 | 3, 1_800_000_000_000L);
@@ -73,9 +76,9 @@
             ranking.addReport(0, router, report(2, router == 0 ? 1_000 : 40_000, 0, 1));
         }
         assertEquals(20_000, ranking.cost(1, 1));
-        assertEquals(40_000, ranking.cost(1, 2), "one front's word elects nobody");
+        assertEquals(40_000, ranking.cost(1, 2), "one router's report does not decide");
         assertEquals(List.of(1L, 3L, 2L), ranking.ranked(1, List.of(2L, 3L, 1L)));
-        assertTrue(Double.isNaN(ranking.cost(ParentRanking.REPORT_VALID_US, 1)), "an old word");
+        assertTrue(Double.isNaN(ranking.cost(ParentRanking.REPORT_VALID_US, 1)), "an expired report");
         for (int router = 0; router < 5; router++) {
             ranking.addReport(0, router, report(1, 20_000, 0, 0.03));
         }
@@ -85,7 +88,7 @@
                         .filter(p -> p != 1)
                         .sorted(java.util.Comparator.reverseOrder())
                         .toList());
-        assertEquals(1L, ranking.ranked(1, List.of(2L, 3L, 1L)).get(2), "no room on its link");
+        assertEquals(1L, ranking.ranked(1, List.of(2L, 3L, 1L)).get(2), "its link is nearly full");
     }
 
     @Property(tries = 100, seed = "43")
@@ -106,14 +109,15 @@
     void suspicionNeedsOneConfirmationAndAResponseRefutesIt() {
         HangDetector hangDetector = new HangDetector();
         assertFalse(hangDetector.addSuspicion(SECOND_US, 1, 9, 300_000, 1));
-        assertFalse(hangDetector.addSuspicion(SECOND_US + 50_000, 1, 9, 350_000, 1), "the same word again");
+        assertFalse(hangDetector.addSuspicion(SECOND_US + 50_000, 1, 9, 350_000, 1), "the same report again");
         hangDetector.responded(SECOND_US, 9);
         assertFalse(
-                hangDetector.addSuspicion(SECOND_US + 100_000, 2, 9, 10_000, 1), "answered since the first was silent");
+                hangDetector.addSuspicion(SECOND_US + 100_000, 2, 9, 10_000, 1),
+                "it responded since the first suspicion began");
         assertTrue(hangDetector.addSuspicion(SECOND_US + 150_000, 3, 9, 50_000, 1));
         assertTrue(hangDetector.isEjected(6 * SECOND_US, 9));
         assertFalse(hangDetector.isEjected(7 * SECOND_US, 9));
-        assertTrue(hangDetector.addSuspicion(20 * SECOND_US, 1, 9, 300_000, 2), "two overdue answers of one front");
+        assertTrue(hangDetector.addSuspicion(20 * SECOND_US, 1, 9, 300_000, 2), "two overdue responses to one router");
     }
 
     @Test
@@ -151,18 +155,21 @@
             spill.addReport(now, 1, leaderLoad / 2, hot ? 77 : 1_000, hot ? 15 : 0.1);
             placement = spill.decide(now, leader, spillParent, 60);
         }
-        assertTrue(LoadSpill.isSpilled(placement, 77), "the hot one goes first");
-        assertTrue(leaderLoad <= LoadSpill.HIGH_UTILIZATION * 100, "at the leader " + leaderLoad);
+        assertTrue(LoadSpill.isSpilled(placement, 77), "the hot object spills first");
+        assertTrue(leaderLoad <= LoadSpill.HIGH_UTILIZATION * 100, "load at the leader " + leaderLoad);
         assertTrue(placement.slice() <= 60, "slice " + placement.slice());
         for (long now = 30 * SECOND_US; now < 60 * SECOND_US; now += 200_000) {
             spill.addReport(now, 0, 10, 0, 0);
             spill.addReport(now, 1, 10, 0, 0);
             placement = spill.decide(now, leader, spillParent, 60);
         }
-        assertEquals(RegionMessage.Placement.NONE, placement, "taken back");
+        assertEquals(RegionMessage.Placement.NONE, placement, "load is taken back");
     }
 
-    /** A cold branch asks for far more than may go up: the pace is kept, and what is wanted most goes up first. */
+    /**
+     * When cold zones request far more objects than the admitted rate allows, the rate is kept and the most requested
+     * objects are filled first.
+     */
     @Test
     void fillsAreAdmittedAtTheRateMostRequestedFirst() {
         SplittableRandom random = new SplittableRandom(3);
@@ -170,7 +177,7 @@
         Map<Long, Long> admittedAt = new HashMap<>();
         Map<Long, Integer> requestCounts = new HashMap<>();
         for (long now = 0; now < 4 * SECOND_US; now += 500) {
-            // Zipf-like: object n is asked for as 1/n.
+            // Zipf-like: object n is requested with a frequency proportional to 1/n.
             long object = (long) Math.pow(2_000, random.nextDouble());
             requestCounts.merge(object, 1, Integer::sum);
             if (!admittedAt.containsKey(object) && admission.admits(now, object, 1, 50)) {
@@ -178,15 +185,15 @@
                 admission.fillEnded(object, true);
             }
         }
-        assertTrue(admittedAt.size() <= 4 * 50 + 10, "went up " + admittedAt.size());
-        assertTrue(admittedAt.size() >= 150, "the pace is used: " + admittedAt.size());
+        assertTrue(admittedAt.size() <= 4 * 50 + 10, "fills admitted: " + admittedAt.size());
+        assertTrue(admittedAt.size() >= 150, "the rate is used; fills admitted: " + admittedAt.size());
         long admittedOfTop50 = IntStream.rangeClosed(1, 50)
                 .filter(i -> admittedAt.containsKey((long) i))
                 .count();
-        assertTrue(admittedOfTop50 >= 48, "of the 50 most wanted " + admittedOfTop50);
+        assertTrue(admittedOfTop50 >= 48, "fills of the 50 most requested objects: " + admittedOfTop50);
         FillAdmission unsaturated = new FillAdmission();
         assertTrue(
                 IntStream.range(0, 100).allMatch(i -> unsaturated.admits(i * 100_000L, i, 1, 50)),
-                "nothing is held while it fits");
+                "nothing is rejected while the rate suffices");
     }
 }
--- a/src/test/java/magpiewheel/region/RegionCoordinatorTest.java
+++ b/src/test/java/magpiewheel/region/RegionCoordinatorTest.java
@@ -13,11 +13,14 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** Whole regions in virtual time; verdicts are of what stand-in parents and the origin saw. */
+/** Tests whole regions in virtual time; results are judged by what the simulated parents and the origin observed. */
 class RegionCoordinatorTest {
     private static final long SECOND_US = 1_000_000;
 
-    /** Origin fetches for each part with each object wanted in four branches at once, in steady state. */
+    /**
+     * Returns the mean number of origin fetches of each object in steady state, when each object is requested in four
+     * zones at once.
+     */
     static double originFetches(long seed, SimulatedRegions.SourcePolicy policy) {
         SimulatedRegions world = new SimulatedRegions(seed, policy, 0.05, 4, 1_000);
         world.requestInAllZones(2 * SECOND_US, 22 * SECOND_US, 20_000, 40_000, 1);
@@ -37,14 +40,14 @@
     }
 
     /**
-     * From the first overdue answer of a hung leader until no front holds to it and all hold to another; and who it
-     * hit.
+     * Returns the time from the first overdue response of a hung leader until no router follows it and all follow
+     * another one. {@code killRouter} also stops one router.
      */
     static long replacementUs(long seed, boolean killRouter) {
         SimulatedRegions world = new SimulatedRegions(seed, SimulatedRegions.SourcePolicy.LED, 0.05, 4, 1_000);
         world.requestInAllZones(2 * SECOND_US, 20 * SECOND_US, 25_000, 40_000, 1);
         long[] hungLeader = {0};
-        // At any moment one front may be between two leases: the first moment at which all hold to one will do.
+        // A router may be between two leases at any time, so this waits until all follow the same leader.
         world.net.every(8 * SECOND_US + seed * 7_919 % SECOND_US, 10_000, () -> {
             if (hungLeader[0] == 0 && world.leader() != 0) {
                 hungLeader[0] = world.leader();
@@ -61,8 +64,8 @@
                 replaced[0] = world.net.now;
             }
         });
-        assertTrue(hungLeader[0] != 0, "no leader to hang, seed " + seed);
-        assertTrue(world.firstOverdueAt > 0 && replaced[0] > 0, "not replaced, seed " + seed);
+        assertTrue(hungLeader[0] != 0, "no leader was elected that could hang, seed " + seed);
+        assertTrue(world.firstOverdueAt > 0 && replaced[0] > 0, "hung leader not replaced, seed " + seed);
         return replaced[0] - world.firstOverdueAt;
     }
 
@@ -72,13 +75,17 @@
         assertTrue(replacementUs(seed, false) <= SECOND_US, "seed " + seed);
     }
 
-    /** Use of what a cold parent bears, at most, through a hand-over to cold parents; above 1 it falls. */
+    /**
+     * Hands over to parents that have just started. Returns the largest utilization of what a warming parent tolerates
+     * (it fails above 1), the number of overloaded parents, how often a draining parent was selected, the share of
+     * fills sent to the leader, and the final leader.
+     */
     static double[] handover(long seed) {
         SimulatedRegions world = new SimulatedRegions(seed, SimulatedRegions.SourcePolicy.LED, 0.05, 3, 300);
         world.requestInAllZones(2 * SECOND_US, 28 * SECOND_US, 10_000, 30_000, 1);
         world.net.at(8 * SECOND_US, () -> {
             long leader = world.leader();
-            // The others have just started; the leader drains a moment later.
+            // The other parents restart cold; the leader drains half a second later.
             for (SimulatedRegions.SimulatedParent parent : world.parents.values()) {
                 if (parent.id != leader) {
                     parent.cachedObjects.clear();
@@ -114,13 +121,13 @@
     @Property(tries = 12, seed = "37")
     void warmingParentsAreNotOverloaded(@ForAll @LongRange(min = 1, max = 1_000) long seed) {
         double[] figures = handover(seed);
-        assertTrue(figures[0] <= 1 && figures[1] == 0, "use " + figures[0] + ", seed " + seed);
-        assertEquals(0, figures[2], "a draining parent was named, seed " + seed);
-        assertTrue(figures[4] != 0, "nobody leads in the end, seed " + seed);
-        assertTrue(figures[3] > 0.4, "led only " + figures[3] + ", seed " + seed);
+        assertTrue(figures[0] <= 1 && figures[1] == 0, "utilization " + figures[0] + ", seed " + seed);
+        assertEquals(0, figures[2], "a draining parent was selected, seed " + seed);
+        assertTrue(figures[4] != 0, "no leader at the end, seed " + seed);
+        assertTrue(figures[3] > 0.4, "share of fills sent to the leader " + figures[3] + ", seed " + seed);
     }
 
-    /** First bytes that jitter elect nobody new; a parent that stays four times as slow is left. */
+    /** Jitter of first-byte times does not change the leader; a parent that stays four times as slow is replaced. */
     @Test
     void noiseKeepsTheLeaderAndLastingSlownessReplacesIt() {
         SimulatedRegions world = new SimulatedRegions(5, SimulatedRegions.SourcePolicy.LED, 0.05, 4, 1_000);
@@ -144,8 +151,8 @@
     }
 
     /**
-     * The most of a parent's link in use in any second from 4 s on while a branch's load doubles; and the leaders
-     * after.
+     * Doubles the load of one zone. Returns the numbers of regions before and after, the number of leading parents
+     * after, and the largest utilization of a parent's link in any second.
      */
     static double[] splitRegion(long seed) {
         SimulatedRegions world = new SimulatedRegions(seed, SimulatedRegions.SourcePolicy.LED, 0.05, 3, 1_000, 18);
@@ -165,7 +172,7 @@
                     world.coordinator(i).assignment().regions(),
                     "seed " + seed);
         }
-        // A front may be without a leader at a moment: what they hold to over the last second counts.
+        // A router may briefly have no leader, so the leaders followed in the last second count.
         Set<Long> leadingParents = new HashSet<>();
         Set<Integer> ledRouters = new HashSet<>();
         world.net.runUntil(
@@ -178,7 +185,7 @@
                     }
                 }));
         assertEquals(
-                SimulatedRegions.ROUTERS, ledRouters.size(), "a front without a leader for a second, seed " + seed);
+                SimulatedRegions.ROUTERS, ledRouters.size(), "a router without a leader for a second, seed " + seed);
         long leaders = leadingParents.size();
         return new double[] {
             regionsBefore, world.coordinator(0).assignment().regions().size(), leaders, maxUtilization
@@ -191,8 +198,8 @@
             double[] figures = splitRegion(seed);
             assertEquals(1, figures[0]);
             assertEquals(2, figures[1]);
-            assertEquals(2, figures[2], "one parent leads both, seed " + seed);
-            assertTrue(figures[3] <= 1.1, "link " + figures[3] + ", seed " + seed);
+            assertEquals(2, figures[2], "one parent leads both regions, seed " + seed);
+            assertTrue(figures[3] <= 1.1, "link utilization " + figures[3] + ", seed " + seed);
         }
     }
 
--- a/src/test/java/magpiewheel/region/RegionFigures.java
+++ b/src/test/java/magpiewheel/region/RegionFigures.java
@@ -5,7 +5,8 @@
 import java.util.stream.LongStream;
 
 /**
- * The figures of docs/measurements/regions.md: {@code java -ea -cp ... magpiewheel.region.RegionFigures}. Not a test.
+ * Computes the figures of docs/measurements/regions.md: {@code java -ea -cp ... magpiewheel.region.RegionFigures}. Not
+ * a test.
  */
 public final class RegionFigures {
     private static final long SECOND_US = 1_000_000;
@@ -13,7 +14,7 @@
 
     private RegionFigures() {}
 
-    /** Runs all and prints them; ends with an error at the first that breaks a rule. */
+    /** Runs all measurements and prints them; fails with an error at the first violated invariant. */
     public static void main(String[] args) {
         int schedules = args.length > 0 ? Integer.parseInt(args[0]) : 1_000;
         double[][] schedulesRun = LongStream.rangeClosed(1, schedules)
@@ -86,7 +87,8 @@
     }
 
     /**
-     * Service while one of four parents hangs, unknown to the list, for 6 s from 10 s on; the same seeds for each way.
+     * Returns the service of fills requested from 10 s to 16 s, while one of four parents hangs without discovery
+     * noticing; the same seeds are used for each policy.
      */
     private static double[] serviceDuringHang(long seed, SimulatedRegions.SourcePolicy policy) {
         SimulatedRegions probe = new SimulatedRegions(seed, SimulatedRegions.SourcePolicy.LED, 0.05, 4, 1_000);
--- a/src/test/java/magpiewheel/region/RegionFingerprintTest.java
+++ b/src/test/java/magpiewheel/region/RegionFingerprintTest.java
@@ -6,7 +6,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Fingerprints of all messages and decisions of seeded regions; a change of names and shape leaves them as they are.
+ * Compares fingerprints of all messages and decisions of seeded regions. Renaming and restructuring must not change
+ * them.
  */
 class RegionFingerprintTest {
     private static final long SECOND_US = 1_000_000;
--- a/src/test/java/magpiewheel/region/RegionMessageCodecGoldenTest.java
+++ b/src/test/java/magpiewheel/region/RegionMessageCodecGoldenTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The octets of the regions' datagrams: other versions of the program read them. */
+/** Golden bytes of the region messages, which other versions of the program must be able to read. */
 class RegionMessageCodecGoldenTest {
     private static final RegionMessage.Header HEADER = new RegionMessage.Header(0x01020304, 9, 1_764_576_000_123L);
 
--- a/src/test/java/magpiewheel/region/SimulatedNetwork.java
+++ b/src/test/java/magpiewheel/region/SimulatedNetwork.java
@@ -5,11 +5,14 @@
 import java.util.SplittableRandom;
 import magpiewheel.support.Fingerprint;
 
-/** A world's events in virtual time, and a network that loses, doubles, delays, splits and cuts one way. */
+/**
+ * A discrete-event simulation in virtual time with a network that loses, duplicates and delays messages and can be
+ * partitioned, also in one direction only.
+ */
 public final class SimulatedNetwork {
-    /** Whoever takes in the messages of a simulated network. */
+    /** Receives the messages of a simulated network. */
     public interface Receiver {
-        /** A message has come. */
+        /** Handles a message that arrived. */
         void messageReceived(int to, int from, byte[] message);
     }
 
@@ -22,14 +25,17 @@
     private long nextSequence;
     public long now;
     double lossShare;
-    /** Share of messages that are late by up to seconds. */
+    /** Share of messages that are delayed by up to 3 s. */
     double delayedShare;
 
     long sentMessages;
-    /** Of all messages, with their times, senders and receivers. */
+    /** Fingerprint of all messages with their times, senders and receivers. */
     public final Fingerprint messages = new Fingerprint();
 
-    /** A network of so many fronts; loss and late are shares of its messages, and all chance comes from the seed. */
+    /**
+     * Creates a network of {@code routers} routers; {@code lossShare} and {@code delayedShare} are shares of its
+     * messages. All randomness comes from the seed.
+     */
     public SimulatedNetwork(long seed, int routers, double lossShare, double delayedShare) {
         this.random = new SplittableRandom(seed);
         this.blocked = new boolean[routers][routers];
@@ -37,12 +43,12 @@
         this.delayedShare = delayedShare;
     }
 
-    /** Has something done at a virtual time, or now if that has passed. */
+    /** Schedules an action at a virtual time, or now if that time has passed. */
     public void at(long when, Runnable action) {
         events.add(new Event(Math.max(now, when), nextSequence++, action));
     }
 
-    /** Has something done again and again, a step apart. */
+    /** Schedules a periodic action, {@code step} apart. */
     public void every(long first, long step, Runnable action) {
         at(first, () -> {
             action.run();
@@ -50,12 +56,13 @@
         });
     }
 
-    /** Sends a message, which may be lost, doubled or late, and is dropped where the way is cut. */
+    /** Sends a message, which may be lost, duplicated or delayed, and is dropped if the link is blocked. */
     public void send(int from, int to, byte[] message, Receiver receiver) {
         sentMessages++;
         messages.add(now).add((long) from).add((long) to).add(message);
         if (message.length > RegionMessageCodec.MAX_MESSAGE_BYTES) {
-            throw new AssertionError("message of " + message.length);
+            throw new AssertionError("message of " + message.length + " bytes, at most "
+                    + RegionMessageCodec.MAX_MESSAGE_BYTES + " allowed");
         }
         for (int copies = random.nextInt(50) == 0 ? 2 : 1; copies > 0; copies--) {
             boolean delayed = random.nextDouble() < delayedShare;
@@ -66,7 +73,7 @@
         }
     }
 
-    /** Cuts the way from one front to another, or opens it. */
+    /** Blocks or unblocks the link from one router to another, in this direction only. */
     public void setBlocked(int from, int to, boolean block) {
         blocked[from][to] = block;
     }
@@ -75,14 +82,14 @@
         return !blocked[from][to];
     }
 
-    /** Opens all ways. */
+    /** Unblocks all links. */
     public void heal() {
         for (boolean[] row : blocked) {
             java.util.Arrays.fill(row, false);
         }
     }
 
-    /** Runs events until a virtual time, with a check after each. */
+    /** Runs all events until a virtual time and calls {@code check} after each. */
     public void runUntil(long end, Runnable check) {
         while (!events.isEmpty() && events.peek().at() <= end) {
             Event event = events.poll();
--- a/src/test/java/magpiewheel/region/SimulatedRegions.java
+++ b/src/test/java/magpiewheel/region/SimulatedRegions.java
@@ -14,8 +14,9 @@
 import magpiewheel.support.Fingerprint;
 
 /**
- * Four branches of two fronts, stand-in parents and an origin, in virtual time. Parents join fetches, start cold, fall
- * over at their multiple and hang; the origin counts fetches of each part. What is judged is what these saw.
+ * Simulates four zones of two routers each, parent caches and an origin in virtual time. Parents join requests for an
+ * object that they are already fetching, start cold, fail when overloaded and can hang; the origin counts the fetches
+ * of each object. Tests judge by what the parents and the origin observed.
  */
 final class SimulatedRegions {
     enum SourcePolicy {
@@ -30,7 +31,7 @@
     private static final long OVERDUE_US = 300_000;
     private static final long START_MS = 1_800_000_000_000L;
 
-    /** A stand-in parent. */
+    /** A simulated parent cache. */
     final class SimulatedParent {
         final long id;
         Parent entry;
@@ -41,7 +42,7 @@
         boolean overloaded;
         long extraLatencyUs;
         double maxUtilization;
-        /** What its link carried, by second. */
+        /** Load on its link, by second. */
         final Map<Long, Double> linkLoadBySecond = new HashMap<>();
 
         SimulatedParent(long id, double linkCapacity, double transferCapacity, long startedUs) {
@@ -174,11 +175,11 @@
     final List<SimulatedRouter> routers = new ArrayList<>();
     final Map<Long, SimulatedParent> parents = new LinkedHashMap<>();
     final Map<Long, Integer> originFetches = new HashMap<>();
-    /** When each fill began, and what it took. */
+    /** Start time and duration of each completed fill. */
     final List<long[]> fillDurations = new ArrayList<>();
 
     final double[] clockRates = new double[ROUTERS];
-    /** Of the parents that fills went to. */
+    /** Fingerprint of the parents selected for fills. */
     final Fingerprint decisions = new Fingerprint();
 
     long firstOverdueAt;
@@ -220,7 +221,7 @@
         return (long) (net.now * clockRates[router]);
     }
 
-    /** Every front is told the list, at once. */
+    /** Publishes the parent list to all routers at once. */
     void publishParents() {
         List<Parent> entries = parents.values().stream().map(p -> p.entry).toList();
         for (SimulatedRouter router : routers) {
@@ -228,7 +229,7 @@
         }
     }
 
-    /** Objects wanted in all four branches at once, one after another. */
+    /** Requests a sequence of objects, each in all four zones at about the same time. */
     void requestInAllZones(long from, long to, long intervalUs, long jitterUs, double work) {
         for (long at = from; at < to; at += intervalUs) {
             long object = DeterministicHash.of(at);
@@ -241,7 +242,9 @@
         }
     }
 
-    /** Objects wanted in one branch only, of which the measured load is told. */
+    /**
+     * Requests a sequence of objects in one zone only and reports {@code zoneLoad} as the measured load of that zone.
+     */
     void requestInOneZone(int zone, long from, long to, long intervalUs, double zoneLoad) {
         for (long at = from; at < to; at += intervalUs) {
             long object = DeterministicHash.of(at, zone);
@@ -255,7 +258,7 @@
         }
     }
 
-    /** One fill of a front, sent on when an answer is overdue. */
+    /** Starts a fill at a router and retries it at another parent if the response is overdue. */
     private void fill(int routerId, long object, double work, long excludedParent, long startedAt) {
         SimulatedRouter router = routers.get(routerId);
         if (router.killedAt != 0) {
@@ -305,7 +308,10 @@
         });
     }
 
-    /** The design's own way: the faster of two parents, drawn anew or the same for an object at every front. */
+    /**
+     * Selects a parent without a region: the faster of two parents, drawn at random for each fill or by hashing the
+     * object so that all routers consider the same two.
+     */
     private SimulatedParent selectFromPair(
             SimulatedRouter router, long now, long object, double work, long excludedParent) {
         List<SimulatedParent> usable = new ArrayList<>(parents.values().stream()
@@ -329,7 +335,7 @@
                         .get();
     }
 
-    /** The parent that all fronts that live hold to lead; 0 if they differ. */
+    /** Returns the parent that all running routers follow as the leader; 0 if they differ. */
     long leader() {
         long agreedLeader = -1;
         for (SimulatedRouter router : routers) {
@@ -342,7 +348,7 @@
         return Math.max(0, agreedLeader);
     }
 
-    /** Origin fetches for each part of those wanted since a time. */
+    /** Returns the mean number of origin fetches of each object requested in the interval. */
     double originFetchesPerObject(long from, long to, long intervalUs) {
         double sum = 0;
         int objects = 0;
@@ -357,7 +363,7 @@
         return routers.get(router).coordinator;
     }
 
-    /** A front's process ends for good. */
+    /** Stops a router permanently. */
     void kill(int router) {
         routers.get(router).killedAt = net.now + 1;
     }
