--- a/src/main/java/magpiewheel/region/HangDetector.java
+++ b/src/main/java/magpiewheel/region/HangDetector.java
@@ -10,7 +10,7 @@
  */
 final class HangDetector {
     /** Suspicions of a parent are discarded this long after the last report. */
-    private static final long SUSPICION_US = 2_000_000;
+    private static final long SUSPICION_VALID_US = 2_000_000;
     /**
      * How long a hanging parent is excluded from elections; twice as long each time, up to {@link #MAX_EJECTION_US}.
      */
@@ -34,7 +34,7 @@
      */
     boolean addSuspicion(long now, int router, long parent, long silentUs, int overdue) {
         Suspect suspect = suspects.computeIfAbsent(parent, id -> new Suspect());
-        if (now - suspect.reportedAt > SUSPICION_US) {
+        if (now - suspect.reportedAt > SUSPICION_VALID_US) {
             suspect.silentSince.clear();
             suspect.maxOverdue = 0;
         }
