--- a/src/main/java/magpiewheel/region/Election.java
+++ b/src/main/java/magpiewheel/region/Election.java
@@ -16,7 +16,12 @@
  * use the old one any more.
  */
 final class Election {
+    /**
+     * Low bits of a term, which hold the id of its proposer; the higher bits count up from the Unix milliseconds of
+     * process starts.
+     */
     private static final int ROUTER_BITS = 16;
+
     private static final long ROUTER_MASK = (1L << ROUTER_BITS) - 1;
     /** A voter that heard a lease holder within this time votes for no other proposer. */
     private static final long PROPOSER_STICKINESS_US = 2 * Lease.RENEWAL_US;
--- a/src/main/java/magpiewheel/region/ParentObservations.java
+++ b/src/main/java/magpiewheel/region/ParentObservations.java
@@ -13,9 +13,13 @@
     /** How long an overdue response counts as a suspicion: without requests no response can refute it. */
     private static final long OVERDUE_VALID_US = 2_000_000;
 
+    /** Window in which the load sent to the parent is measured. */
     private static final long WINDOW_US = 500_000;
+
     private static final int MAX_SAMPLES = 255;
+    /** Maximum number of objects whose load is counted in a window. */
     private static final int MAX_OBJECTS = 512;
+
     private double firstByteUs;
     private double failureRatio;
     private double hitRatio;
@@ -70,6 +74,7 @@
         freeLinkShare = share;
     }
 
+    /** Records a fill sent to the parent: the transfers that its link carries for the object. */
     void fillSent(long now, long object, double transfers) {
         rotateWindow(now);
         sentInWindow += transfers;
@@ -99,10 +104,12 @@
         return now - overdueAt < OVERDUE_VALID_US ? overdue : 0;
     }
 
+    /** Returns how long the parent has been silent while responses are overdue; 0 if none is overdue. */
     long silentUs(long now) {
         return overdueResponses(now) == 0 ? 0 : Math.max(1, now - silentSince);
     }
 
+    /** Returns the transfers per second sent to the parent in the last complete window. */
     double sentPerS(long now) {
         rotateWindow(now);
         return sentPerS;
@@ -113,14 +120,17 @@
         return samples == 0 || now - respondedAt > RESPONSE_VALID_US ? 1 : 1 - hitRatio;
     }
 
+    /** Returns the object with the most transfers in that window; 0 if there is none. */
     long hotObject() {
         return hotObject;
     }
 
+    /** Returns the transfers per second of that object. */
     double hotSentPerS() {
         return hotSentPerS;
     }
 
+    /** Returns these measurements as a report for a vote. */
     RegionMessage.ParentReport report(long now, long parent) {
         int recentSamples = now - respondedAt > RESPONSE_VALID_US ? 0 : samples;
         return new RegionMessage.ParentReport(
--- a/src/main/java/magpiewheel/region/RegionDirectory.java
+++ b/src/main/java/magpiewheel/region/RegionDirectory.java
@@ -13,6 +13,7 @@
     /** Relative change of a zone's load that is announced once it has lasted for {@link #CHANGE_DURATION_US}. */
     static final double SIGNIFICANT_CHANGE = 0.25;
 
+    /** How long a significant change must last before it is announced. */
     static final long CHANGE_DURATION_US = 3_000_000;
     /** How long a claim is valid after it was made. */
     static final long CLAIM_VALID_US = 6_000_000;
