--- a/src/test/java/magpiewheel/membership/FailureDetectionScenarios.java
+++ b/src/test/java/magpiewheel/membership/FailureDetectionScenarios.java
@@ -4,91 +4,92 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.function.Consumer;
-import magpiewheel.membership.SimFleet.Plan;
-import magpiewheel.membership.SimFleet.Process;
+import magpiewheel.membership.SimulatedFleet.Plan;
+import magpiewheel.membership.SimulatedFleet.Process;
 
 /** Failures, pauses and restarts in simulated time: each method plays one seed and returns a measurement. */
 final class FailureDetectionScenarios {
-    private static final long MS = SimFleet.MS;
-    private static final long SECOND = SimFleet.SECOND;
+    private static final long MS = SimulatedFleet.MS;
+    private static final long SECOND = SimulatedFleet.SECOND;
 
     private FailureDetectionScenarios() {}
 
     /** How long it takes until all views are equal and complete after a start within half a second, us. */
-    static long convergenceTime(long seed, int fronts) {
-        long took = new SimFleet(Plan.of(seed, fronts)).converge(30 * SECOND);
-        return took < 0 ? SimulationHelpers.NEVER : took;
+    static long convergenceTime(long seed, int memberCount) {
+        long elapsedUs = new SimulatedFleet(Plan.of(seed, memberCount)).converge(30 * SECOND);
+        return elapsedUs < 0 ? SimulationHelpers.NEVER : elapsedUs;
     }
 
     /** Kills fronts, one each so often; for each how long until it is out of every other view, us. */
-    static List<Long> detectionTimes(long seed, int fronts, int kills, long everyUs, double loss, boolean refusals) {
-        Plan plan = Plan.of(seed, fronts);
-        SimFleet fleet = SimulationHelpers.convergedFleet(refusals ? plan : plan.withoutRefusals());
-        fleet.loss = loss;
-        fleet.run(SECOND + fleet.random().nextLong(SimFleet.BEAT));
-        List<Integer> order = SimulationHelpers.shuffled(fronts, fleet.random());
-        List<Long> took = new ArrayList<>();
-        List<int[]> open = new ArrayList<>();
-        long[] at = new long[kills];
+    static List<Long> detectionTimes(
+            long seed, int memberCount, int kills, long intervalUs, double loss, boolean refusals) {
+        Plan plan = Plan.of(seed, memberCount);
+        SimulatedFleet fleet = SimulationHelpers.convergedFleet(refusals ? plan : plan.withoutRefusals());
+        fleet.lossRate = loss;
+        fleet.run(SECOND + fleet.random().nextLong(SimulatedFleet.HEARTBEAT_US));
+        List<Integer> order = SimulationHelpers.shuffled(memberCount, fleet.random());
+        List<Long> detectionTimesUs = new ArrayList<>();
+        List<int[]> pending = new ArrayList<>();
+        long[] killedAt = new long[kills];
         long nextKill = fleet.now;
         int killed = 0;
-        while (killed < kills || !open.isEmpty()) {
+        while (killed < kills || !pending.isEmpty()) {
             if (killed < kills && fleet.now >= nextKill) {
                 fleet.kill(order.get(killed));
-                at[killed] = fleet.now;
-                open.add(new int[] {order.get(killed), killed, 0});
+                killedAt[killed] = fleet.now;
+                pending.add(new int[] {order.get(killed), killed, 0});
                 killed++;
-                nextKill = fleet.now + everyUs;
+                nextKill = fleet.now + intervalUs;
             }
             fleet.run(5 * MS);
-            for (int i = open.size() - 1; i >= 0; i--) {
-                int[] one = open.get(i);
-                if (outOfAll(fleet, one)) {
-                    took.add(fleet.now - at[one[1]]);
-                    open.remove(i);
-                } else if (fleet.now - at[one[1]] > 20 * SECOND) {
-                    took.add(SimulationHelpers.NEVER);
-                    open.remove(i);
+            for (int i = pending.size() - 1; i >= 0; i--) {
+                int[] entry = pending.get(i);
+                if (isRemovedFromAllViews(fleet, entry)) {
+                    detectionTimesUs.add(fleet.now - killedAt[entry[1]]);
+                    pending.remove(i);
+                } else if (fleet.now - killedAt[entry[1]] > 20 * SECOND) {
+                    detectionTimesUs.add(SimulationHelpers.NEVER);
+                    pending.remove(i);
                 }
             }
         }
-        Collections.sort(took);
-        return took;
+        Collections.sort(detectionTimesUs);
+        return detectionTimesUs;
     }
 
     /** Kills so many fronts at once; for each how long until it is out of every other view, us. */
     static List<Long> simultaneousDetectionTimes(Plan plan, int kills, double loss) {
-        SimFleet fleet = SimulationHelpers.convergedFleet(plan);
-        fleet.run(SECOND + fleet.random().nextLong(plan.beatUs()));
-        fleet.loss = loss;
+        SimulatedFleet fleet = SimulationHelpers.convergedFleet(plan);
+        fleet.run(SECOND + fleet.random().nextLong(plan.heartbeatUs()));
+        fleet.lossRate = loss;
         long at = fleet.now;
-        List<int[]> open = new ArrayList<>();
-        for (int front :
-                SimulationHelpers.shuffled(plan.fronts(), fleet.random()).subList(0, kills)) {
-            fleet.kill(front);
-            open.add(new int[] {front, 0, 0});
+        List<int[]> pending = new ArrayList<>();
+        for (int member :
+                SimulationHelpers.shuffled(plan.memberCount(), fleet.random()).subList(0, kills)) {
+            fleet.kill(member);
+            pending.add(new int[] {member, 0, 0});
         }
-        List<Long> took = new ArrayList<>();
-        while (!open.isEmpty() && fleet.now - at < 20 * SECOND) {
+        List<Long> detectionTimesUs = new ArrayList<>();
+        while (!pending.isEmpty() && fleet.now - at < 20 * SECOND) {
             fleet.run(5 * MS);
-            for (int i = open.size() - 1; i >= 0; i--) {
-                if (outOfAll(fleet, open.get(i))) {
-                    took.add(fleet.now - at);
-                    open.remove(i);
+            for (int i = pending.size() - 1; i >= 0; i--) {
+                if (isRemovedFromAllViews(fleet, pending.get(i))) {
+                    detectionTimesUs.add(fleet.now - at);
+                    pending.remove(i);
                 }
             }
         }
-        open.forEach(one -> took.add(SimulationHelpers.NEVER));
-        Collections.sort(took);
-        return took;
+        pending.forEach(entry -> detectionTimesUs.add(SimulationHelpers.NEVER));
+        Collections.sort(detectionTimesUs);
+        return detectionTimesUs;
     }
 
     /** Continues with the front that still listed it last time. */
-    private static boolean outOfAll(SimFleet fleet, int[] one) {
-        for (int looked = 0; looked < fleet.plan.fronts(); looked++) {
-            Process viewer = fleet.of((one[2] + looked) % fleet.plan.fronts());
-            if (viewer != null && SimulationHelpers.listed(viewer, one[0])) {
-                one[2] = viewer.front;
+    private static boolean isRemovedFromAllViews(SimulatedFleet fleet, int[] entry) {
+        for (int offset = 0; offset < fleet.plan.memberCount(); offset++) {
+            Process viewer = fleet.processOf((entry[2] + offset) % fleet.plan.memberCount());
+            if (viewer != null && SimulationHelpers.isListed(viewer, entry[0])) {
+                entry[2] = viewer.memberId;
                 return false;
             }
         }
@@ -96,33 +97,34 @@
     }
 
     /** Deaths reported of fronts that all run and are all connected. */
-    static int falseDeaths(long seed, int fronts, double loss, long us) {
-        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, fronts));
-        fleet.loss = loss;
-        fleet.duplicated = 0.01;
-        fleet.reordered = 0.02;
+    static int falseDeaths(long seed, int memberCount, double loss, long us) {
+        SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
+        fleet.lossRate = loss;
+        fleet.duplicateRate = 0.01;
+        fleet.reorderRate = 0.02;
         int[] deaths = {0};
-        boolean[][] reportedDead = new boolean[fronts][fronts];
-        fleet.onEvent = process -> deaths[0] += SimulationHelpers.newlyDead(process, reportedDead[process.front]);
+        boolean[][] reportedDead = new boolean[memberCount][memberCount];
+        fleet.onEvent =
+                process -> deaths[0] += SimulationHelpers.countNewlyDead(process, reportedDead[process.memberId]);
         fleet.run(us);
         return deaths[0];
     }
 
     /** How often a front came to be suspected, of fronts that all run and are all connected. */
-    static int suspicions(long seed, int fronts, double loss, long us) {
-        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, fronts));
+    static int suspicions(long seed, int memberCount, double loss, long us) {
+        SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(SECOND);
-        fleet.loss = loss;
+        fleet.lossRate = loss;
         int[] suspicions = {0};
-        int[] suspecters = new int[fronts];
-        boolean[][] reportedDead = new boolean[fronts][fronts];
+        int[] suspectingViews = new int[memberCount];
+        boolean[][] suspectedBy = new boolean[memberCount][memberCount];
         fleet.onEvent = process -> {
-            for (int front = 0; front < fronts; front++) {
-                boolean suspect = front != process.front && process.of(front) == MemberStatus.SUSPECT;
-                if (suspect != reportedDead[process.front][front]) {
-                    reportedDead[process.front][front] = suspect;
-                    suspicions[0] += suspect && suspecters[front] == 0 ? 1 : 0;
-                    suspecters[front] += suspect ? 1 : -1;
+            for (int member = 0; member < memberCount; member++) {
+                boolean suspect = member != process.memberId && process.statusOf(member) == MemberStatus.SUSPECT;
+                if (suspect != suspectedBy[process.memberId][member]) {
+                    suspectedBy[process.memberId][member] = suspect;
+                    suspicions[0] += suspect && suspectingViews[member] == 0 ? 1 : 0;
+                    suspectingViews[member] += suspect ? 1 : -1;
                 }
             }
         };
@@ -133,92 +135,106 @@
     /** A pause: deaths reported of the paused front, or by it of others, and the time until all are alive again, us. */
     record Pause(int falseDeaths, long aliveUs) {}
 
-    static Pause pause(long seed, int fronts, long us, double loss) {
-        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, fronts));
-        fleet.loss = loss;
+    static Pause pause(long seed, int memberCount, long us, double loss) {
+        SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
+        fleet.lossRate = loss;
         fleet.run(SECOND + fleet.random().nextLong(SECOND));
         int[] deaths = {0};
-        boolean[][] reportedDead = new boolean[fronts][fronts];
-        fleet.onEvent = process -> deaths[0] += SimulationHelpers.newlyDead(process, reportedDead[process.front]);
-        int paused = fleet.random().nextInt(fronts);
+        boolean[][] reportedDead = new boolean[memberCount][memberCount];
+        fleet.onEvent =
+                process -> deaths[0] += SimulationHelpers.countNewlyDead(process, reportedDead[process.memberId]);
+        int paused = fleet.random().nextInt(memberCount);
         fleet.pause(paused, us);
         fleet.run(us);
-        long took = fleet.until(5 * SECOND, () -> SimulationHelpers.allAlive(fleet));
+        long elapsedUs = fleet.runUntil(5 * SECOND, () -> SimulationHelpers.allAlive(fleet));
         fleet.run(SECOND);
-        return new Pause(deaths[0], took < 0 ? SimulationHelpers.NEVER : took);
+        return new Pause(deaths[0], elapsedUs < 0 ? SimulationHelpers.NEVER : elapsedUs);
     }
 
     /**
      * A filter that forges refusals of a front: deaths reported of it, the highest sum of quotas, and the time until
      * all are alive again, us.
      */
-    record ForgedRefusals(int deaths, double highestQuotaSum, String where, long recoveryUs, int probes) {}
+    record ForgedRefusals(
+            int deaths, double highestQuotaSum, String highestQuotaSumDescription, long recoveryUs, int probes) {}
 
     /** For 3 s filters stand between a front and so many of its neighbours, and refuse their probes in its name. */
-    static ForgedRefusals forgedRefusals(long seed, int fronts, int filters) {
-        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, fronts));
+    static ForgedRefusals forgedRefusals(long seed, int memberCount, int filters) {
+        SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(8 * SECOND);
-        int front = fleet.random().nextInt(fronts);
+        int member = fleet.random().nextInt(memberCount);
         List<Integer> neighbours =
-                List.copyOf(new ObserverRings(fronts).observersOf(front, other -> true, other -> false));
-        QuotaWatch quotas = new QuotaWatch(fleet);
+                List.copyOf(new ObserverRings(memberCount).observersOf(member, other -> true, other -> false));
+        QuotaSumMonitor quotas = new QuotaSumMonitor(fleet);
         int[] deaths = {0};
-        boolean[][] reportedDead = new boolean[fronts][fronts];
+        boolean[][] reportedDead = new boolean[memberCount][memberCount];
         Consumer<Process> previous = fleet.onEvent;
         fleet.onEvent = process -> {
             previous.accept(process);
-            deaths[0] += SimulationHelpers.newlyDead(process, reportedDead[process.front]);
+            deaths[0] += SimulationHelpers.countNewlyDead(process, reportedDead[process.memberId]);
         };
         long probes =
                 fleet.running().stream().mapToLong(process -> process.probes).sum();
         neighbours.stream()
-                .filter(other -> other != front)
+                .filter(other -> other != member)
                 .limit(filters)
-                .forEach(other -> fleet.links().filter(other, front));
+                .forEach(other -> fleet.links().addFilter(other, member));
         fleet.run(3 * SECOND);
         probes = fleet.running().stream().mapToLong(process -> process.probes).sum() - probes;
         fleet.links().heal();
-        long took = fleet.until(20 * SECOND, () -> SimulationHelpers.allAlive(fleet));
+        long elapsedUs = fleet.runUntil(20 * SECOND, () -> SimulationHelpers.allAlive(fleet));
         return new ForgedRefusals(
-                deaths[0], quotas.highest, quotas.highestAt, took < 0 ? SimulationHelpers.NEVER : took, (int) probes);
+                deaths[0],
+                quotas.highestSum,
+                quotas.highestSumDescription,
+                elapsedUs < 0 ? SimulationHelpers.NEVER : elapsedUs,
+                (int) probes);
     }
 
     /** A front is killed and started again at once: the highest sum of quotas, and the time until all are alive, us. */
-    static ForgedRefusals quickRestart(long seed, int fronts, double loss) {
-        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, fronts));
+    static ForgedRefusals quickRestart(long seed, int memberCount, double loss) {
+        SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(8 * SECOND);
-        fleet.loss = loss;
-        QuotaWatch quotas = new QuotaWatch(fleet);
-        int front = fleet.random().nextInt(fronts);
-        fleet.kill(front);
+        fleet.lossRate = loss;
+        QuotaSumMonitor quotas = new QuotaSumMonitor(fleet);
+        int member = fleet.random().nextInt(memberCount);
+        fleet.kill(member);
         fleet.run(fleet.random().nextLong(300 * MS));
-        Process again = fleet.start(front, 20 * MS);
+        Process restarted = fleet.start(member, 20 * MS);
         int[] deaths = {0};
-        boolean[] knew = new boolean[fronts];
+        boolean[] knewRestart = new boolean[memberCount];
         Consumer<Process> previous = fleet.onEvent;
         fleet.onEvent = process -> {
             previous.accept(process);
-            boolean alive = process != again
-                    && process.of(front) == MemberStatus.ALIVE
-                    && process.membership.incarnation(front) >= again.startedMs;
-            deaths[0] += knew[process.front] && process != again && process.of(front) == MemberStatus.DEAD ? 1 : 0;
-            knew[process.front] |= alive;
+            boolean alive = process != restarted
+                    && process.statusOf(member) == MemberStatus.ALIVE
+                    && process.membership.incarnation(member) >= restarted.startedMs;
+            deaths[0] += knewRestart[process.memberId]
+                            && process != restarted
+                            && process.statusOf(member) == MemberStatus.DEAD
+                    ? 1
+                    : 0;
+            knewRestart[process.memberId] |= alive;
         };
-        long took = fleet.until(20 * SECOND, () -> SimulationHelpers.allAlive(fleet));
+        long elapsedUs = fleet.runUntil(20 * SECOND, () -> SimulationHelpers.allAlive(fleet));
         fleet.run(8 * SECOND);
         return new ForgedRefusals(
-                deaths[0], quotas.highest, quotas.highestAt, took < 0 ? SimulationHelpers.NEVER : took, 0);
+                deaths[0],
+                quotas.highestSum,
+                quotas.highestSumDescription,
+                elapsedUs < 0 ? SimulationHelpers.NEVER : elapsedUs,
+                0);
     }
 
     /** An upgrade whose new process ends: the time until all that run list each other as alive, us. */
-    static long failedUpgrade(long seed, int fronts, long successorRunsUs) {
-        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, fronts));
+    static long failedUpgrade(long seed, int memberCount, long successorRunsUs) {
+        SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(6 * SECOND + fleet.random().nextLong(SECOND));
-        int front = fleet.random().nextInt(fronts);
-        Process successor = fleet.start(front, 20 * MS);
+        int member = fleet.random().nextInt(memberCount);
+        Process successor = fleet.start(member, 20 * MS);
         fleet.run(successorRunsUs);
-        fleet.end(successor);
-        long took = fleet.until(20 * SECOND, () -> SimulationHelpers.allAlive(fleet) && fleet.digestsEqual());
-        return took < 0 ? SimulationHelpers.NEVER : took;
+        fleet.endProcess(successor);
+        long elapsedUs = fleet.runUntil(20 * SECOND, () -> SimulationHelpers.allAlive(fleet) && fleet.digestsEqual());
+        return elapsedUs < 0 ? SimulationHelpers.NEVER : elapsedUs;
     }
 }
--- a/src/test/java/magpiewheel/membership/FaultSchedule.java
+++ b/src/test/java/magpiewheel/membership/FaultSchedule.java
@@ -2,74 +2,74 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import magpiewheel.membership.SimFleet.Plan;
-import magpiewheel.membership.SimFleet.Process;
+import magpiewheel.membership.SimulatedFleet.Plan;
+import magpiewheel.membership.SimulatedFleet.Process;
 
 /** Plays a list of faults over a fleet in simulated time. */
 final class FaultSchedule {
-    private static final long MS = SimFleet.MS;
-    private static final long SECOND = SimFleet.SECOND;
+    private static final long MS = SimulatedFleet.MS;
+    private static final long SECOND = SimulatedFleet.SECOND;
 
     private FaultSchedule() {}
 
     /** Injects each fault at its time; returns the watch over the quotas. */
-    static QuotaWatch injectFaults(Plan plan, List<InjectedFault> faults, long restMs) {
-        SimFleet fleet = new SimFleet(plan);
-        QuotaWatch quotas = new QuotaWatch(fleet);
+    static QuotaSumMonitor injectFaults(Plan plan, List<InjectedFault> faults, long settleMs) {
+        SimulatedFleet fleet = new SimulatedFleet(plan);
+        QuotaSumMonitor quotas = new QuotaSumMonitor(fleet);
         fleet.startAll();
         fleet.run(6 * SECOND);
         long last = 0;
         for (InjectedFault fault : faults) {
-            fleet.in(fault.atMs() * MS, () -> inject(fleet, fault));
-            last = Math.max(last, fault.atMs() + fault.forMs());
+            fleet.schedule(fault.atMs() * MS, () -> inject(fleet, fault));
+            last = Math.max(last, fault.atMs() + fault.durationMs());
         }
-        fleet.run((last + restMs) * MS);
+        fleet.run((last + settleMs) * MS);
         return quotas;
     }
 
-    private static void inject(SimFleet fleet, InjectedFault fault) {
-        int front = Math.floorMod(fault.front(), fleet.plan.fronts());
-        int other = Math.floorMod(fault.other(), fleet.plan.fronts());
-        Process process = fleet.of(front);
+    private static void inject(SimulatedFleet fleet, InjectedFault fault) {
+        int member = Math.floorMod(fault.memberId(), fleet.plan.memberCount());
+        int otherMember = Math.floorMod(fault.otherMemberId(), fleet.plan.memberCount());
+        Process process = fleet.processOf(member);
         switch (fault.kind()) {
-            case KILL -> fleet.kill(front);
-            case VANISH -> fleet.vanish(front);
-            case RESTART -> restart(fleet, front, fault.forMs() * MS);
-            case SECOND -> {
+            case KILL -> fleet.kill(member);
+            case MACHINE_FAILURE -> fleet.failMachine(member);
+            case RESTART -> restart(fleet, member, fault.durationMs() * MS);
+            case SECOND_PROCESS -> {
                 if (process != null) {
-                    fleet.start(front, 50 * MS);
-                    fleet.in(fault.forMs() * MS, () -> fleet.end(process));
+                    fleet.start(member, 50 * MS);
+                    fleet.schedule(fault.durationMs() * MS, () -> fleet.endProcess(process));
                 }
             }
-            case PAUSE -> fleet.pause(front, fault.forMs() * MS);
+            case PAUSE -> fleet.pause(member, fault.durationMs() * MS);
             case SPLIT -> splitTemporarily(fleet, fault);
             case HEAL -> fleet.links().heal();
-            case MUTE -> {
-                fleet.links().mute(front, true);
-                fleet.in(fault.forMs() * MS, () -> fleet.links().mute(front, false));
+            case OUTBOUND_CUT -> {
+                fleet.links().setOutboundCut(member, true);
+                fleet.schedule(fault.durationMs() * MS, () -> fleet.links().setOutboundCut(member, false));
             }
-            case DEAF -> {
-                fleet.links().deaf(front, true);
-                fleet.in(fault.forMs() * MS, () -> fleet.links().deaf(front, false));
+            case INBOUND_CUT -> {
+                fleet.links().setInboundCut(member, true);
+                fleet.schedule(fault.durationMs() * MS, () -> fleet.links().setInboundCut(member, false));
             }
-            case ONE_WAY -> {
-                fleet.links().oneWay(front, other, true);
-                fleet.in(fault.forMs() * MS, () -> fleet.links().oneWay(front, other, false));
+            case ONE_WAY_CUT -> {
+                fleet.links().setOneWayCut(member, otherMember, true);
+                fleet.schedule(fault.durationMs() * MS, () -> fleet.links().setOneWayCut(member, otherMember, false));
             }
             case LOSS -> {
-                fleet.loss = 0.3;
-                fleet.duplicated = 0.05;
-                fleet.reordered = 0.1;
-                fleet.in(fault.forMs() * MS, () -> fleet.loss = 0);
+                fleet.lossRate = 0.3;
+                fleet.duplicateRate = 0.05;
+                fleet.reorderRate = 0.1;
+                fleet.schedule(fault.durationMs() * MS, () -> fleet.lossRate = 0);
             }
-            case HOLD -> {
-                fleet.delayed = 0.05;
-                fleet.longestDelayUs = Math.max(300, fault.forMs()) * MS;
-                fleet.in(fault.forMs() * MS, () -> fleet.delayed = 0);
+            case DELAY -> {
+                fleet.delayRate = 0.05;
+                fleet.maxDelayUs = Math.max(300, fault.durationMs()) * MS;
+                fleet.schedule(fault.durationMs() * MS, () -> fleet.delayRate = 0);
             }
-            case LEAVE -> {
+            case DRAIN -> {
                 if (process != null && !process.paused) {
-                    process.membership.setDraining(process.clock(), fault.forMs() % 2 == 0);
+                    process.membership.setDraining(process.clock(), fault.durationMs() % 2 == 0);
                 }
             }
             default -> throw new IllegalStateException();
@@ -77,23 +77,23 @@
     }
 
     /** Kills a front and starts it again later, unless it runs by then. */
-    private static void restart(SimFleet fleet, int front, long forUs) {
-        fleet.kill(front);
-        fleet.in(forUs, () -> {
-            if (fleet.of(front) == null) {
-                fleet.start(front, 50 * MS);
+    private static void restart(SimulatedFleet fleet, int member, long delayUs) {
+        fleet.kill(member);
+        fleet.schedule(delayUs, () -> {
+            if (fleet.processOf(member) == null) {
+                fleet.start(member, 50 * MS);
             }
         });
     }
 
     /** Splits the fleet into two to four sides for a while. */
-    private static void splitTemporarily(SimFleet fleet, InjectedFault fault) {
-        int[] side = new int[fleet.plan.fronts()];
-        SplittableRandom random = new SplittableRandom(31L * fault.front() + fault.other());
+    private static void splitTemporarily(SimulatedFleet fleet, InjectedFault fault) {
+        int[] side = new int[fleet.plan.memberCount()];
+        SplittableRandom random = new SplittableRandom(31L * fault.memberId() + fault.otherMemberId());
         for (int i = 0; i < side.length; i++) {
-            side[i] = random.nextInt(2 + Math.floorMod(fault.other(), 3));
+            side[i] = random.nextInt(2 + Math.floorMod(fault.otherMemberId(), 3));
         }
         fleet.links().split(side);
-        fleet.in(fault.forMs() * MS, () -> fleet.links().split(new int[side.length]));
+        fleet.schedule(fault.durationMs() * MS, () -> fleet.links().split(new int[side.length]));
     }
 }
--- a/src/test/java/magpiewheel/membership/FleetFigures.java
+++ b/src/test/java/magpiewheel/membership/FleetFigures.java
@@ -9,15 +9,15 @@
 import java.util.function.LongFunction;
 import java.util.stream.Collectors;
 import java.util.stream.LongStream;
-import magpiewheel.membership.SimFleet.Plan;
+import magpiewheel.membership.SimulatedFleet.Plan;
 
 /**
  * Measures what {@link FleetProperties} checks, with as many seeds as asked for: {@code FleetFigures SEEDS [NAME..]}.
  * Seeds are 1, 2, .. and are played side by side.
  */
 public final class FleetFigures {
-    private static final long MS = SimFleet.MS;
-    private static final long SECOND = SimFleet.SECOND;
+    private static final long MS = SimulatedFleet.MS;
+    private static final long SECOND = SimulatedFleet.SECOND;
     private static final List<String> NAMES = List.of(
             "rate",
             "settle",
@@ -55,41 +55,41 @@
         Locale.setDefault(Locale.ROOT);
         FleetFigures figures = new FleetFigures(args.length > 0 ? Integer.parseInt(args[0]) : 20);
         for (String name : args.length > 1 ? Arrays.asList(args).subList(1, args.length) : NAMES) {
-            long from = System.nanoTime();
+            long startedAtNs = System.nanoTime();
             figures.measure(name);
-            System.out.printf("  (%s took %.1f s)%n", name, (System.nanoTime() - from) / 1e9);
+            System.out.printf("  (%s took %.1f s)%n", name, (System.nanoTime() - startedAtNs) / 1e9);
         }
     }
 
     private void measure(String name) {
         switch (name) {
             case "rate" -> rates();
-            case "roll" -> rolls();
+            case "roll" -> rollingRestarts();
             case "settle" -> convergenceTime();
-            case "kill8" -> kills(8, seeds, 1);
-            case "half8" -> halves(8, seeds, SimFleet.BEAT);
-            case "half100" -> halves(100, Math.max(1, seeds / 10), SimFleet.BEAT);
-            case "slow100" -> halves(100, Math.max(1, seeds / 10), MembershipConfig.SLOW_HEARTBEAT_US);
-            case "kill100" -> kills(100, Math.max(1, seeds / 10), 10);
-            case "kill1000" -> kills(1_000, Math.max(1, seeds / 50), 50);
+            case "kill8" -> killsInTurn(8, seeds, 1);
+            case "half8" -> simultaneousKills(8, seeds, SimulatedFleet.HEARTBEAT_US);
+            case "half100" -> simultaneousKills(100, Math.max(1, seeds / 10), SimulatedFleet.HEARTBEAT_US);
+            case "slow100" -> simultaneousKills(100, Math.max(1, seeds / 10), MembershipConfig.SLOW_HEARTBEAT_US);
+            case "kill100" -> killsInTurn(100, Math.max(1, seeds / 10), 10);
+            case "kill1000" -> killsInTurn(1_000, Math.max(1, seeds / 50), 50);
             case "loss", "loss1" -> losses(name.equals("loss") ? List.of(0.05, 0.1) : List.of(0.05));
-            case "oneway" -> oneWays();
+            case "oneway" -> oneWayCuts();
             case "pause" -> pauses();
             case "split" -> splits();
             case "limits" -> {
                 for (boolean refusals : List.of(true, false)) {
-                    limits(refusals);
+                    quotaSums(refusals);
                 }
             }
-            case "mass" -> massDeaths();
+            case "mass" -> massFailures();
             case "flap" ->
-                times(
+                printTimes(
                         "verdict's changes within 2 s (x 1 ms)",
                         play(seeds, seed -> List.of(MS * PartitionScenarios.flapping(seed, 10))));
             case "refusal" -> lateRefusals();
-            case "filter" -> filtersInBetween();
+            case "filter" -> forgedRefusals();
             case "again" ->
-                filters(
+                printFilters(
                         "front of 8 started again within 0.3 s, 5% loss",
                         LongStream.rangeClosed(1, seeds)
                                 .parallel()
@@ -98,41 +98,41 @@
             case "knocks" -> probes();
             case "suspects" -> suspicions();
             case "missed" ->
-                times(
+                printTimes(
                         "goodbye that a side of 20 missed, known to all",
                         play(seeds, seed -> List.of(PartitionScenarios.missedLeave(seed, 20))));
             case "upgrade" ->
-                times(
+                printTimes(
                         "upgrade whose new process ends after 0.1 to 3 s, all alive again",
                         play(
                                 seeds,
                                 seed -> List.of(FailureDetectionScenarios.failedUpgrade(
                                         seed, 8, seed * 377 % 2_900 * MS + 100 * MS))));
-            case "return" -> returns();
+            case "return" -> rejoins();
             default -> throw new IllegalArgumentException(name + " is none of " + NAMES);
         }
     }
 
     /** Messages and bytes of a front a second, by the size of the fleet. */
     private void rates() {
-        for (int fronts : List.of(10, 100, 1_000)) {
-            TrafficScenarios.Rate rate = TrafficScenarios.rate(1, fronts, 5 * SECOND);
+        for (int memberCount : List.of(10, 100, 1_000)) {
+            TrafficScenarios.Rate rate = TrafficScenarios.rate(1, memberCount, 5 * SECOND);
             System.out.printf(
-                    "rate, %d fronts: %.1f messages/s, %.0f bytes/s%n", fronts, rate.messages(), rate.bytes());
+                    "rate, %d fronts: %.1f messages/s, %.0f bytes/s%n", memberCount, rate.messages(), rate.bytes());
         }
     }
 
     /** The traffic of 100 fronts at rest and while they are restarted in turn, with slow and quick beats. */
-    private void rolls() {
-        for (long beat : List.of(800 * MS, SimFleet.BEAT)) {
+    private void rollingRestarts() {
+        for (long heartbeatUs : List.of(800 * MS, SimulatedFleet.HEARTBEAT_US)) {
             List<TrafficScenarios.RollingRestart> all = LongStream.rangeClosed(1, seeds)
                     .parallel()
-                    .mapToObj(seed -> TrafficScenarios.rollingRestart(seed, 100, beat, 2_500 * MS))
+                    .mapToObj(seed -> TrafficScenarios.rollingRestart(seed, 100, heartbeatUs, 2_500 * MS))
                     .collect(Collectors.toList());
             System.out.printf(
                     "100 fronts, beats of %d ms: at rest %.1f messages/s and %.0f bytes/s, "
                             + "restarted a tenth each 2.5 s %.1f and %.0f; all known %.0f ms later at most%n",
-                    beat / MS,
+                    heartbeatUs / MS,
                     all.stream()
                             .mapToDouble(each -> each.rest().messages())
                             .average()
@@ -159,11 +159,11 @@
 
     /** How long fronts that start together take until all know all. */
     private void convergenceTime() {
-        for (int fronts : List.of(8, 100, 1_000)) {
-            int most = fronts == 1_000 ? Math.min(4, seeds) : seeds;
-            times(
-                    "settle after start, " + fronts + " fronts",
-                    play(most, seed -> List.of(FailureDetectionScenarios.convergenceTime(seed, fronts))));
+        for (int memberCount : List.of(8, 100, 1_000)) {
+            int runs = memberCount == 1_000 ? Math.min(4, seeds) : seeds;
+            printTimes(
+                    "settle after start, " + memberCount + " fronts",
+                    play(runs, seed -> List.of(FailureDetectionScenarios.convergenceTime(seed, memberCount))));
         }
     }
 
@@ -179,21 +179,21 @@
     }
 
     /** Fronts whose way is cut in one direction: their own verdict, and those of the others. */
-    private void oneWays() {
-        for (int fronts : List.of(8, 20)) {
-            for (boolean deaf : List.of(true, false)) {
+    private void oneWayCuts() {
+        for (int memberCount : List.of(8, 20)) {
+            for (boolean inbound : List.of(true, false)) {
                 List<Long> wrong = play(seeds, seed -> {
-                    PartitionScenarios.OneWayCut shown = PartitionScenarios.oneWayCut(seed, fronts, deaf);
-                    return List.of((shown.falseDeaths() > 0 ? 1L : 0)
-                            + (shown.othersIsolated() ? 100_000L : 0)
-                            + (shown.othersComplete() ? 0 : 10_000_000_000L));
+                    PartitionScenarios.OneWayCut result = PartitionScenarios.oneWayCut(seed, memberCount, inbound);
+                    return List.of((result.falseDeaths() > 0 ? 1L : 0)
+                            + (result.othersIsolated() ? 100_000L : 0)
+                            + (result.othersComplete() ? 0 : 10_000_000_000L));
                 });
-                String what = (deaf ? "deaf" : "mute") + " front of " + fronts;
-                times(
+                String what = (inbound ? "deaf" : "mute") + " front of " + memberCount;
+                printTimes(
                         what + " ALONE",
                         play(
                                 seeds,
-                                seed -> List.of(PartitionScenarios.oneWayCut(seed, fronts, deaf)
+                                seed -> List.of(PartitionScenarios.oneWayCut(seed, memberCount, inbound)
                                         .isolatedUs())));
                 long all = sum(wrong);
                 System.out.printf(
@@ -206,62 +206,63 @@
 
     /** Fronts that pause for 300 ms: deaths said of them, and how long until they are alive to all. */
     private void pauses() {
-        for (int fronts : List.of(8, 20, 100)) {
+        for (int memberCount : List.of(8, 20, 100)) {
             List<Long> alive = new ArrayList<>();
             List<Long> deaths = play(seeds, seed -> {
-                FailureDetectionScenarios.Pause shown = FailureDetectionScenarios.pause(seed, fronts, 300 * MS, 0);
+                FailureDetectionScenarios.Pause result =
+                        FailureDetectionScenarios.pause(seed, memberCount, 300 * MS, 0);
                 synchronized (alive) {
-                    alive.add(shown.aliveUs());
+                    alive.add(result.aliveUs());
                 }
-                return List.of((long) shown.falseDeaths());
+                return List.of((long) result.falseDeaths());
             });
-            times(
-                    "pause of 300 ms, " + fronts + " fronts, alive again",
+            printTimes(
+                    "pause of 300 ms, " + memberCount + " fronts, alive again",
                     alive.stream().sorted().toList());
             System.out.printf(
                     "pause, %d fronts: %d of %d runs with a false death%n",
-                    fronts, deaths.stream().filter(each -> each > 0).count(), seeds);
+                    memberCount, deaths.stream().filter(each -> each > 0).count(), seeds);
         }
     }
 
     /** Splits of 6 s: how long until views are equal, and deaths reported within a side. */
     private void splits() {
-        for (int fronts : List.of(8, 100, 1_000)) {
-            int most = fronts == 1_000 ? Math.min(4, seeds) : seeds;
+        for (int memberCount : List.of(8, 100, 1_000)) {
+            int runs = memberCount == 1_000 ? Math.min(4, seeds) : seeds;
             List<Long> alive = new ArrayList<>();
             List<Long> within = new ArrayList<>();
-            List<Long> equal = play(most, seed -> {
-                PartitionScenarios.Split shown =
-                        PartitionScenarios.split(seed, fronts, 2 + (int) (seed % 3), 6 * SECOND);
+            List<Long> equal = play(runs, seed -> {
+                PartitionScenarios.Split result =
+                        PartitionScenarios.split(seed, memberCount, 2 + (int) (seed % 3), 6 * SECOND);
                 synchronized (alive) {
-                    alive.add(shown.aliveUs());
-                    within.add((long) shown.deathsWithin());
+                    alive.add(result.aliveUs());
+                    within.add((long) result.deathsWithin());
                 }
-                return List.of(shown.equalUs());
+                return List.of(result.equalUs());
             });
-            times("split of 6 s, " + fronts + " fronts, views equal", equal);
-            times(
-                    "split of 6 s, " + fronts + " fronts, and all alive",
+            printTimes("split of 6 s, " + memberCount + " fronts, views equal", equal);
+            printTimes(
+                    "split of 6 s, " + memberCount + " fronts, and all alive",
                     alive.stream().sorted().toList());
             System.out.printf(
                     "split, %d fronts: %d runs with deaths said within a side%n",
-                    fronts, within.stream().filter(each -> each > 0).count());
+                    memberCount, within.stream().filter(each -> each > 0).count());
         }
     }
 
     /** Shares of a limit after seven in ten fronts died at once. */
-    private void massDeaths() {
-        for (int fronts : List.of(10, 20, 100)) {
-            int most = fronts == 100 ? Math.min(10, seeds) : seeds;
-            List<QuotaScenarios.MassFailure> all = LongStream.rangeClosed(1, most)
+    private void massFailures() {
+        for (int memberCount : List.of(10, 20, 100)) {
+            int runs = memberCount == 100 ? Math.min(10, seeds) : seeds;
+            List<QuotaScenarios.MassFailure> all = LongStream.rangeClosed(1, runs)
                     .parallel()
-                    .mapToObj(seed -> QuotaScenarios.massFailure(seed, fronts))
+                    .mapToObj(seed -> QuotaScenarios.massFailure(seed, memberCount))
                     .collect(Collectors.toList());
             System.out.printf(
                     "seven in ten of %d killed, %d runs: share grew %.2f times at least, sum at most %.6f, "
                             + "afterwards %.6f at least%n",
-                    fronts,
-                    most,
+                    memberCount,
+                    runs,
                     all.stream()
                             .mapToDouble(QuotaScenarios.MassFailure::growth)
                             .min()
@@ -279,26 +280,26 @@
 
     /** Shares of a limit where refusals are read only after a pause. */
     private void lateRefusals() {
-        List<QuotaWatch> all = LongStream.rangeClosed(1, seeds)
+        List<QuotaSumMonitor> all = LongStream.rangeClosed(1, seeds)
                 .parallel()
                 .mapToObj(seed -> QuotaScenarios.lateRefusal(seed, 6, seed % 2 == 0))
                 .collect(Collectors.toList());
         System.out.printf(
                 "old refusals read after a pause, %d runs: sum at most %.9f, %d over 1%n",
                 seeds,
-                all.stream().mapToDouble(each -> each.highest).max().orElseThrow(),
-                all.stream().filter(each -> !(each.highest <= 1 + 1e-9)).count());
+                all.stream().mapToDouble(each -> each.highestSum).max().orElseThrow(),
+                all.stream().filter(each -> !(each.highestSum <= 1 + 1e-9)).count());
     }
 
     /** Filters that answer in the place of a front. */
-    private void filtersInBetween() {
+    private void forgedRefusals() {
         for (int filters : List.of(1, 2)) {
-            for (int fronts : List.of(8, 20)) {
+            for (int memberCount : List.of(8, 20)) {
                 List<FailureDetectionScenarios.ForgedRefusals> all = LongStream.rangeClosed(1, seeds)
                         .parallel()
-                        .mapToObj(seed -> FailureDetectionScenarios.forgedRefusals(seed, fronts, filters))
+                        .mapToObj(seed -> FailureDetectionScenarios.forgedRefusals(seed, memberCount, filters))
                         .collect(Collectors.toList());
-                filters(filters + " filters that answer for a front of " + fronts, all);
+                printFilters(filters + " filters that answer for a front of " + memberCount, all);
             }
         }
     }
@@ -327,34 +328,36 @@
     }
 
     /** Messages that a returning front needs until it knows all. */
-    private void returns() {
-        for (int fronts : List.of(10, 100)) {
-            List<Long> got = play(seeds, seed -> List.of(TrafficScenarios.messagesUntilRejoined(seed, fronts)));
+    private void rejoins() {
+        for (int memberCount : List.of(10, 100)) {
+            List<Long> got = play(seeds, seed -> List.of(TrafficScenarios.messagesUntilRejoined(seed, memberCount)));
             System.out.printf(
                     "returning front of %d knows all after %d to %d messages, p50 %d, %d allowed, "
                             + "%d of %d runs need more%n",
-                    fronts,
+                    memberCount,
                     got.get(0),
                     got.get(got.size() - 1),
                     SimulationHelpers.percentile(got, 0.5),
-                    (fronts + 13) / 14 + 8,
-                    got.stream().filter(each -> each > (fronts + 13) / 14 + 8).count(),
+                    (memberCount + 13) / 14 + 8,
+                    got.stream()
+                            .filter(each -> each > (memberCount + 13) / 14 + 8)
+                            .count(),
                     seeds);
         }
     }
 
     /** Many random schedules; the worst is told with its seed. */
-    private void limits(boolean refusals) {
-        List<QuotaWatch> all = LongStream.rangeClosed(1, seeds)
+    private void quotaSums(boolean refusals) {
+        List<QuotaSumMonitor> all = LongStream.rangeClosed(1, seeds)
                 .parallel()
                 .mapToObj(seed -> {
                     Plan plan = Plan.of(seed, 5 + (int) (seed % 10));
-                    List<InjectedFault> faults = schedule(seed);
-                    QuotaWatch quotas =
+                    List<InjectedFault> faults = randomFaults(seed);
+                    QuotaSumMonitor quotas =
                             FaultSchedule.injectFaults(refusals ? plan : plan.withoutRefusals(), faults, 3_000);
-                    if (!(quotas.highest <= 1 + 1e-9)) {
-                        System.out.println("EXCEEDED: seed " + seed + " " + quotas.highest + " " + quotas.highestAt
-                                + "\n   " + faults);
+                    if (!(quotas.highestSum <= 1 + 1e-9)) {
+                        System.out.println("EXCEEDED: seed " + seed + " " + quotas.highestSum + " "
+                                + quotas.highestSumDescription + "\n   " + faults);
                     }
                     return quotas;
                 })
@@ -363,16 +366,16 @@
                 "limits, refusals %s, %d schedules: sum at most %.9f, %d over 1%n",
                 refusals ? "on" : "off",
                 seeds,
-                all.stream().mapToDouble(each -> each.highest).max().orElseThrow(),
-                all.stream().filter(each -> !(each.highest <= 1 + 1e-9)).count());
+                all.stream().mapToDouble(each -> each.highestSum).max().orElseThrow(),
+                all.stream().filter(each -> !(each.highestSum <= 1 + 1e-9)).count());
     }
 
-    static List<InjectedFault> schedule(long seed) {
+    static List<InjectedFault> randomFaults(long seed) {
         SplittableRandom random = new SplittableRandom(seed * 7_919);
         InjectedFault.Kind[] kinds = InjectedFault.Kind.values();
         List<InjectedFault> faults = new ArrayList<>();
-        int many = 2 + random.nextInt(24);
-        for (int i = 0; i < many; i++) {
+        int faultCount = 2 + random.nextInt(24);
+        for (int i = 0; i < faultCount; i++) {
             InjectedFault.Kind kind =
                     random.nextInt(3) == 0 ? InjectedFault.Kind.RESTART : kinds[random.nextInt(kinds.length)];
             faults.add(new InjectedFault(
@@ -381,22 +384,22 @@
         return faults;
     }
 
-    private void kills(int fronts, int runs, int kills) {
+    private void killsInTurn(int memberCount, int runs, int kills) {
         for (double loss : List.of(0.0, 0.05)) {
             for (boolean refusals : List.of(true, false)) {
-                times(
-                        fronts + " fronts, killed front out of all views, loss " + Math.round(100 * loss)
+                printTimes(
+                        memberCount + " fronts, killed front out of all views, loss " + Math.round(100 * loss)
                                 + "%, refusals " + (refusals ? "on" : "off"),
                         play(
                                 runs,
                                 seed -> FailureDetectionScenarios.detectionTimes(
-                                        seed, fronts, kills, 150 * MS, loss, refusals)));
+                                        seed, memberCount, kills, 150 * MS, loss, refusals)));
             }
         }
     }
 
-    private static void filters(String what, List<FailureDetectionScenarios.ForgedRefusals> all) {
-        times(
+    private static void printFilters(String what, List<FailureDetectionScenarios.ForgedRefusals> all) {
+        printTimes(
                 what + ", all well",
                 all.stream()
                         .map(FailureDetectionScenarios.ForgedRefusals::recoveryUs)
@@ -417,17 +420,17 @@
                         .orElseThrow());
     }
 
-    private void halves(int fronts, int runs, long beatUs) {
+    private void simultaneousKills(int memberCount, int runs, long heartbeatUs) {
         for (double loss : List.of(0.0, 0.05)) {
             for (boolean refusals : List.of(true, false)) {
-                times(
-                        "half of " + fronts + " killed at once, beats of " + beatUs / MS
+                printTimes(
+                        "half of " + memberCount + " killed at once, beats of " + heartbeatUs / MS
                                 + " ms, out of all views, loss " + Math.round(100 * loss) + "%, refusals "
                                 + (refusals ? "on" : "off"),
                         play(
                                 runs,
                                 seed -> FailureDetectionScenarios.simultaneousDetectionTimes(
-                                        new Plan(seed, fronts, 3, beatUs, refusals), fronts / 2, loss)));
+                                        new Plan(seed, memberCount, 3, heartbeatUs, refusals), memberCount / 2, loss)));
             }
         }
     }
@@ -445,7 +448,7 @@
                 .collect(Collectors.toList());
     }
 
-    private static void times(String what, List<Long> sorted) {
+    private static void printTimes(String what, List<Long> sorted) {
         System.out.printf(
                 "%s: %d, p50 %.0f ms, p99 %.0f ms, most %.0f ms%s%n",
                 what,
--- a/src/test/java/magpiewheel/membership/InjectedFault.java
+++ b/src/test/java/magpiewheel/membership/InjectedFault.java
@@ -1,20 +1,20 @@
 package magpiewheel.membership;
 
 /** A fault that a schedule injects into a fleet. */
-record InjectedFault(Kind kind, long atMs, long forMs, int front, int other) {
+record InjectedFault(Kind kind, long atMs, long durationMs, int memberId, int otherMemberId) {
     enum Kind {
         KILL,
-        VANISH,
+        MACHINE_FAILURE,
         RESTART,
-        SECOND,
+        SECOND_PROCESS,
         PAUSE,
         SPLIT,
         HEAL,
-        MUTE,
-        DEAF,
-        ONE_WAY,
+        OUTBOUND_CUT,
+        INBOUND_CUT,
+        ONE_WAY_CUT,
         LOSS,
-        HOLD,
-        LEAVE
+        DELAY,
+        DRAIN
     }
 }
--- a/src/test/java/magpiewheel/membership/MembershipFingerprintTest.java
+++ b/src/test/java/magpiewheel/membership/MembershipFingerprintTest.java
@@ -2,14 +2,14 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import magpiewheel.membership.SimFleet.Plan;
+import magpiewheel.membership.SimulatedFleet.Plan;
 import magpiewheel.support.Fingerprint;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Fingerprints of all messages, probes and views of seeded fleets; a change of names and shape leaves them alone. */
 class MembershipFingerprintTest {
-    private static final long SECOND = SimFleet.SECOND;
+    private static final long SECOND = SimulatedFleet.SECOND;
 
     @ParameterizedTest
     @CsvSource({
@@ -19,19 +19,19 @@
         "4, 60, true, 371661:dc45f2729db57dd0",
         "5, 60, false, 365545:e66437bf14a1a822"
     })
-    void fleetUnderFaults(long seed, int fronts, boolean refusals, String fingerprint) {
-        Plan plan = Plan.of(seed, fronts);
-        SimFleet fleet = SimulationHelpers.convergedFleet(refusals ? plan : plan.withoutRefusals());
-        fleet.loss = 0.05;
-        fleet.duplicated = 0.02;
-        fleet.reordered = 0.05;
-        fleet.delayed = 0.01;
+    void fleetUnderFaults(long seed, int memberCount, boolean refusals, String fingerprint) {
+        Plan plan = Plan.of(seed, memberCount);
+        SimulatedFleet fleet = SimulationHelpers.convergedFleet(refusals ? plan : plan.withoutRefusals());
+        fleet.lossRate = 0.05;
+        fleet.duplicateRate = 0.02;
+        fleet.reorderRate = 0.05;
+        fleet.delayRate = 0.01;
         fleet.run(SECOND);
         fleet.kill(1);
         fleet.run(SECOND);
-        fleet.of(2).membership.setDraining(fleet.of(2).clock(), true);
+        fleet.processOf(2).membership.setDraining(fleet.processOf(2).clock(), true);
         fleet.run(SECOND);
-        fleet.start(1, 300 * SimFleet.MS);
+        fleet.start(1, 300 * SimulatedFleet.MS);
         fleet.kill(4);
         fleet.kill(5);
         for (int i = 0; i < 20; i++) {
@@ -41,17 +41,17 @@
         assertEquals(fingerprint, fleet.actions.toString());
     }
 
-    private static void views(SimFleet fleet) {
+    private static void views(SimulatedFleet fleet) {
         Fingerprint all = fleet.actions;
         fleet.running().forEach(process -> {
             MembershipProtocol view = process.membership;
             all.add((long) view.verdict().ordinal()).add((long) view.digest());
             all.add(view.quotaDivisor(process.clock()));
-            all.add(view.quotaDivisorIn(process.clock(), fleet.zone(process.front)));
+            all.add(view.quotaDivisorIn(process.clock(), fleet.zone(process.memberId)));
             view.runningMembers()
-                    .forEach(front ->
-                            all.add((long) front).add((long) view.status(front).ordinal()));
-            view.servingAddresses(fleet.zone(process.front)).forEach(address -> all.add((long) address));
+                    .forEach(member -> all.add((long) member)
+                            .add((long) view.status(member).ordinal()));
+            view.servingAddresses(fleet.zone(process.memberId)).forEach(address -> all.add((long) address));
         });
     }
 }
--- a/src/test/java/magpiewheel/membership/MessageSamples.java
+++ b/src/test/java/magpiewheel/membership/MessageSamples.java
@@ -4,16 +4,16 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import magpiewheel.membership.SimFleet.Process;
+import magpiewheel.membership.SimulatedFleet.Process;
 
 /** Messages that a fleet sends, malformed copies of them, and the state that they may not change. */
 final class MessageSamples {
-    private static final long MS = SimFleet.MS;
+    private static final long MS = SimulatedFleet.MS;
 
     private MessageSamples() {}
 
     /** What the fleet's members send, each message once. */
-    static List<byte[]> messages(SimFleet fleet, long us) {
+    static List<byte[]> messages(SimulatedFleet fleet, long us) {
         List<byte[]> messages = new ArrayList<>();
         fleet.onMessage = message -> messages.add(message.clone());
         fleet.kill(9);
@@ -47,8 +47,8 @@
     static String describe(Process process) {
         StringBuilder all = new StringBuilder();
         MembershipProtocol view = process.membership;
-        for (int front = 0; front < 10; front++) {
-            all.append(view.status(front)).append(view.zone(front)).append(' ');
+        for (int member = 0; member < 10; member++) {
+            all.append(view.status(member)).append(view.zone(member)).append(' ');
         }
         return all.append(view.verdict())
                 .append(view.runningMembers())
--- a/src/test/java/magpiewheel/membership/MutationsTest.java
+++ b/src/test/java/magpiewheel/membership/MutationsTest.java
@@ -38,177 +38,177 @@
                         "GossipRound",
                         "new LinkedHashSet<>(neighbours.list());",
                         "new LinkedHashSet<>(members.all()); receivers.remove(members.self());",
-                        "aMessageCostsTheSameAtAnySize"),
+                        "messageRateIsIndependentOfFleetSize"),
                 new SourceMutation(
                         "an observer waits eight heartbeats",
                         "HeartbeatMonitor",
                         "SUSPECT_AFTER_HEARTBEATS = 4;",
                         "SUSPECT_AFTER_HEARTBEATS = 8;",
-                        "aKilledFrontOfEightIsOutWithinHalfASecond"),
+                        "killedMemberOf8IsDetectedWithin500Ms"),
                 new SourceMutation(
                         "a suspect's time grows six times as fast with the fleet",
                         "FailureDetector",
                         "REFUTATION_HEARTBEATS_PER_DOUBLING = 2.0 / 3;",
                         "REFUTATION_HEARTBEATS_PER_DOUBLING = 4;",
-                        "aKilledFrontOfAThousandIsOutWithinOneAndAHalfSeconds"),
+                        "killedMemberOf1000IsDetectedWithin1500Ms"),
                 new SourceMutation(
                         "an observer waits one heartbeat",
                         "HeartbeatMonitor",
                         "SUSPECT_AFTER_HEARTBEATS = 4;",
                         "SUSPECT_AFTER_HEARTBEATS = 1;",
-                        "lossMakesFewSuspects"),
+                        "datagramLossCausesFewSuspicions"),
                 new SourceMutation(
                         "a suspect is dead at once",
                         "FailureDetector",
                         "now - suspect.suspectedAt >= refutationUs",
                         "true || now - suspect.suspectedAt >= refutationUs",
-                        "lossKillsNobody"),
+                        "datagramLossCausesNoFalseDeath"),
                 new SourceMutation(
                         "who is heard hears this member",
                         "PartitionDetector",
                         "if (!hears) {",
                         "if (false) {",
-                        "aFrontCutInOneDirectionIsAlone"),
+                        "memberCutInOneDirectionIsIsolated"),
                 new SourceMutation(
                         "a suspect has hardly time to refute",
                         "FailureDetector",
                         "REFUTATION_HEARTBEATS = 2;",
                         "REFUTATION_HEARTBEATS = -2;",
-                        "aPauseIsNoDeath"),
+                        "pausedMemberIsNotDeclaredDead"),
                 new SourceMutation(
                         "who is thought dead is never tried",
                         "GossipRound",
                         "CONTACT_INTERVAL_HEARTBEATS = 5;",
                         "CONTACT_INTERVAL_HEARTBEATS = 1_000_000;",
-                        "allAgreeSoonAfterASplitHeals"),
+                        "viewsConvergeAfterSplitHeals"),
                 new SourceMutation(
                         "tables are never compared",
                         "AntiEntropy",
                         "if (sender.digestMismatches >= MIN_MISMATCHES",
                         "if (false",
-                        "whatOneSideMissedIsMadeGood"),
+                        "updateMissedByOneSideIsRepaired"),
                 new SourceMutation(
                         "a proof outlasts the reduced share",
                         "QuotaDivision",
                         "LEASE_US = 4_000_000;",
                         "LEASE_US = 9_000_000;",
-                        "anOldRefusalProvesNothing"),
+                        "lateRefusalFreesNoQuota"),
                 new SourceMutation(
                         "silence counts as proof",
                         "QuotaDivision",
                         "member.unreachableProvenMs > 0\n                && now - "
                                 + "member.unreachableProvenMs * 1_000 < PROOF_LEASE_US",
                         "true",
-                        "hardLimitsHoldWhateverHappens"),
+                        "quotaSumsHoldUnderRandomFaults"),
                 new SourceMutation(
                         "without probes the dead count as gone",
                         "QuotaDivision",
                         "return Math.max(1, configured);",
                         "int dead = 0; for (Member member : members.all()) { dead += member.status == "
                                 + "MemberStatus.DEAD ? 1 : 0; } return Math.max(1, configured - dead);",
-                        "hardLimitsHoldWithoutRefusals"),
+                        "quotaSumsHoldWithoutRefusals"),
                 new SourceMutation(
                         "who returns has its whole share at once",
                         "QuotaDivision",
                         "REDUCED_AFTER_START_US = 5_000_000;",
                         "REDUCED_AFTER_START_US = 0;",
-                        "whoIsLeftUsesWhatTheDeadCannot"),
+                        "survivorsUseQuotaOfDeadMembers"),
                 new SourceMutation(
                         "a proof frees nothing",
                         "QuotaDivision",
                         "unreachable += ",
                         "unreachable += 0 * members.size() > 0 ? 1 : 0; int none = ",
-                        "whoIsLeftUsesWhatTheDeadCannot"),
+                        "survivorsUseQuotaOfDeadMembers"),
                 new SourceMutation(
                         "a verdict follows at once",
                         "PartitionDetector",
                         "new VerdictHysteresis(HeartbeatMonitor.SUSPECT_AFTER_HEARTBEATS * "
                                 + "config.heartbeatUs(), RECOVERY_US)",
                         "new VerdictHysteresis(0, 0)",
-                        "aVerdictDoesNotFlap"),
+                        "verdictDoesNotFlap"),
                 new SourceMutation(
                         "a young member does not ask",
                         "AntiEntropy",
                         "if (!monitor.heardAnyone() || neighbour.digestMismatches > 0 && "
                                 + "monitor.isHeard(now, neighbour)) {",
                         "if (false) {",
-                        "aReturningFrontSoonKnowsAll"),
+                        "returningMemberLearnsAllWithFewMessages"),
                 new SourceMutation(
                         "a refusal counts from when it is read",
                         "MembershipProtocol",
                         "public void probeRefused(long now, int memberId, long probedAt) {",
                         "public void probeRefused(long now, int memberId, long probedAt) { probedAt = now;",
-                        "anOldRefusalProvesNothing"),
+                        "lateRefusalFreesNoQuota"),
                 new SourceMutation(
                         "a superseded process hears nothing more",
                         "MembershipProtocol",
                         "if (!members.contains(sender) || sender == config.memberId()) {",
                         "if (local.isSuperseded() || !members.contains(sender) || sender == config.memberId()) {",
-                        "anUpgradeThatFailsLeavesTheOldProcess"),
+                        "oldProcessTakesOverAfterFailedUpgrade"),
                 new SourceMutation(
                         "any version is read",
                         "MembershipMessage",
                         "                || bytes[1] != VERSION\n",
                         "",
-                        "whatIsNotOursChangesNothing"),
+                        "invalidMessagesChangeNothing"),
                 new SourceMutation(
                         "a silent neighbour is probed late",
                         "ReachabilityProber",
                         "PROBE_AFTER_HEARTBEATS = 2;",
                         "PROBE_AFTER_HEARTBEATS = 5;",
-                        "halfOfEightKilledAtOnceIsOutAsSoonAsOne"),
+                        "oneOrFourOf8KilledAtOnceAreDetectedWithin240Ms"),
                 new SourceMutation(
                         "who comes to be observed when others die is probed like all",
                         "Neighbours",
                         "member.possiblyUnobserved = true;",
                         "",
-                        "halfOfAHundredKilledAtOnceIsSoonOut"),
+                        "halfOf100KilledAtOnceAreDetectedWithin260Ms"),
                 new SourceMutation(
                         "those behind a member that was refused are not looked for",
                         "Neighbours",
                         "member.probesRefused > 0 || ",
                         "",
-                        "halfOfAHundredKilledAtOnceIsSoonOut"),
+                        "halfOf100KilledAtOnceAreDetectedWithin260Ms"),
                 new SourceMutation(
                         "one member's refusals are proof",
                         "FailureDetector",
                         "boolean refusedToAnother = ",
                         "boolean refusedToAnother = true || ",
-                        "aFilterThatAnswersForAFrontKillsNobody"),
+                        "forgedRefusalsToOneObserverCauseNoDeath"),
                 new SourceMutation(
                         "a proof frees its share at once",
                         "QuotaDivision",
                         "now - member.leftRingAt >= refutationUs",
                         "true",
-                        "whatTwoFiltersSayFreesNothing"),
+                        "forgedRefusalsToTwoObserversFreeNoQuota"),
                 new SourceMutation(
                         "a refusal of what was counts",
                         "ReachabilityProber",
                         "Math.max(member.lastAliveAt, member.incarnationKnownAt)",
                         "Long.MIN_VALUE",
-                        "anAnswerThatLifeOvertookIsNoRefusal"),
+                        "outdatedRefusalIsIgnored"),
                 new SourceMutation(
                         "a member started again is what it was",
                         "UpdateMerger",
                         "update.incarnation() < member.incarnation",
                         "update.incarnation() < member.incarnation - 100_000",
-                        "whoIsStartedAgainWithinTheMomentIsNotDead"),
+                        "quicklyRestartedMemberIsNotDeclaredDead"),
                 new SourceMutation(
                         "a member's number is not checked",
                         "UpdateMerger",
                         "if (!members.contains(update.memberId())) {",
                         "if (false) {",
-                        "turnedBitsEndNothing"),
+                        "flippedBitsCauseNoException"),
                 new SourceMutation(
                         "chance has no seed",
                         "MembershipContext",
                         "new SplittableRandom(ObserverRings.mix(config.startedMs(), config.memberId()))",
                         "new SplittableRandom()",
-                        "theSameSeedPlaysTheSame"));
+                        "equalSeedsGiveEqualRuns"));
     }
 
     @TestFactory
-    Stream<DynamicTest> aMistakeIsNoticed() {
+    Stream<DynamicTest> plantedMistakeIsDetected() {
         Pattern which = Pattern.compile(System.getProperty("membership.mistakes", ""));
         return mistakes().stream()
                 .filter(mistake -> which.matcher(mistake.toString()).find())
--- a/src/test/java/magpiewheel/membership/PartitionScenarios.java
+++ b/src/test/java/magpiewheel/membership/PartitionScenarios.java
@@ -3,70 +3,75 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import magpiewheel.membership.SimFleet.Plan;
-import magpiewheel.membership.SimFleet.Process;
+import magpiewheel.membership.SimulatedFleet.Plan;
+import magpiewheel.membership.SimulatedFleet.Process;
 
 /** Partitions in simulated time: each method plays one seed and returns a measurement. */
 final class PartitionScenarios {
-    private static final long MS = SimFleet.MS;
-    private static final long SECOND = SimFleet.SECOND;
+    private static final long MS = SimulatedFleet.MS;
+    private static final long SECOND = SimulatedFleet.SECOND;
 
     private PartitionScenarios() {}
 
     /** A cut of one direction: how long until the front knows that it is isolated, and the effect on others. */
     record OneWayCut(long isolatedUs, int falseDeaths, boolean othersIsolated, boolean othersComplete) {}
 
-    static OneWayCut oneWayCut(long seed, int fronts, boolean deaf) {
-        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, fronts));
+    static OneWayCut oneWayCut(long seed, int memberCount, boolean inbound) {
+        SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(2 * SECOND + fleet.random().nextLong(SECOND));
-        int cut = fleet.random().nextInt(fronts);
+        int cut = fleet.random().nextInt(memberCount);
         int[] deaths = {0};
         boolean[] othersIsolated = {false};
-        boolean[][] reportedDead = new boolean[fronts][fronts];
+        boolean[][] reportedDead = new boolean[memberCount][memberCount];
         fleet.onEvent = process -> {
-            if (process.front != cut) {
-                reportedDead[process.front][cut] = true;
-                boolean[] before = reportedDead[process.front].clone();
-                SimulationHelpers.newlyDead(process, reportedDead[process.front]);
-                for (int front = 0; front < fronts; front++) {
-                    deaths[0] += front != cut && reportedDead[process.front][front] && !before[front] ? 1 : 0;
+            if (process.memberId != cut) {
+                reportedDead[process.memberId][cut] = true;
+                boolean[] before = reportedDead[process.memberId].clone();
+                SimulationHelpers.countNewlyDead(process, reportedDead[process.memberId]);
+                for (int member = 0; member < memberCount; member++) {
+                    deaths[0] += member != cut && reportedDead[process.memberId][member] && !before[member] ? 1 : 0;
                 }
                 othersIsolated[0] |= process.membership.verdict() == PartitionVerdict.ISOLATED;
             }
         };
-        if (deaf) {
-            fleet.links().deaf(cut, true);
+        if (inbound) {
+            fleet.links().setInboundCut(cut, true);
         } else {
-            fleet.links().mute(cut, true);
+            fleet.links().setOutboundCut(cut, true);
         }
-        long took = fleet.until(5 * SECOND, () -> fleet.of(cut).membership.verdict() == PartitionVerdict.ISOLATED);
+        long elapsedUs = fleet.runUntil(
+                5 * SECOND, () -> fleet.processOf(cut).membership.verdict() == PartitionVerdict.ISOLATED);
         fleet.run(5 * SECOND);
         boolean othersComplete = fleet.running().stream()
-                .allMatch(process -> process.front == cut || process.membership.verdict() == PartitionVerdict.COMPLETE);
-        boolean stays = fleet.of(cut).membership.verdict() == PartitionVerdict.ISOLATED;
+                .allMatch(process ->
+                        process.memberId == cut || process.membership.verdict() == PartitionVerdict.COMPLETE);
+        boolean stays = fleet.processOf(cut).membership.verdict() == PartitionVerdict.ISOLATED;
         return new OneWayCut(
-                took < 0 || !stays ? SimulationHelpers.NEVER : took, deaths[0], othersIsolated[0], othersComplete);
+                elapsedUs < 0 || !stays ? SimulationHelpers.NEVER : elapsedUs,
+                deaths[0],
+                othersIsolated[0],
+                othersComplete);
     }
 
     /** A split: how long after healing all views are equal and all alive, us; deaths reported within a side. */
     record Split(long equalUs, long aliveUs, int deathsWithin) {}
 
-    static Split split(long seed, int fronts, int sides, long us) {
-        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, fronts));
+    static Split split(long seed, int memberCount, int sides, long us) {
+        SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(SECOND + fleet.random().nextLong(SECOND));
-        int[] side = new int[fronts];
-        for (int front = 0; front < fronts; front++) {
-            side[front] = front < sides ? front : fleet.random().nextInt(sides);
+        int[] side = new int[memberCount];
+        for (int member = 0; member < memberCount; member++) {
+            side[member] = member < sides ? member : fleet.random().nextInt(sides);
         }
         int[] deaths = {0};
-        boolean[][] reportedDead = new boolean[fronts][fronts];
-        if (fronts <= 100) {
+        boolean[][] reportedDead = new boolean[memberCount][memberCount];
+        if (memberCount <= 100) {
             fleet.onEvent = process -> {
-                boolean[] before = reportedDead[process.front].clone();
-                SimulationHelpers.newlyDead(process, reportedDead[process.front]);
-                for (int front = 0; front < fronts; front++) {
-                    boolean fresh = reportedDead[process.front][front] && !before[front];
-                    deaths[0] += fresh && side[front] == side[process.front] ? 1 : 0;
+                boolean[] before = reportedDead[process.memberId].clone();
+                SimulationHelpers.countNewlyDead(process, reportedDead[process.memberId]);
+                for (int member = 0; member < memberCount; member++) {
+                    boolean fresh = reportedDead[process.memberId][member] && !before[member];
+                    deaths[0] += fresh && side[member] == side[process.memberId] ? 1 : 0;
                 }
             };
         }
@@ -75,7 +80,7 @@
         fleet.links().heal();
         long healed = fleet.now;
         long[] equal = {-1};
-        long alive = fleet.until(20 * SECOND, () -> {
+        long alive = fleet.runUntil(20 * SECOND, () -> {
             equal[0] = !fleet.digestsEqual() ? -1 : equal[0] < 0 ? fleet.now - healed : equal[0];
             return equal[0] >= 0 && fleet.converged();
         });
@@ -89,47 +94,49 @@
      * A front announces that it leaves, and ends. As soon as one other knows, the fleet is split for a moment too short
      * for a death, so that only one side receives the repeated announcement; the time until all know, us.
      */
-    static long missedLeave(long seed, int fronts) {
-        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, fronts).withoutRefusals());
+    static long missedLeave(long seed, int memberCount) {
+        SimulatedFleet fleet =
+                SimulationHelpers.convergedFleet(Plan.of(seed, memberCount).withoutRefusals());
         fleet.run(6 * SECOND + fleet.random().nextLong(SECOND));
-        int departed = fleet.random().nextInt(fronts);
-        Process process = fleet.of(departed);
+        int departed = fleet.random().nextInt(memberCount);
+        Process process = fleet.processOf(departed);
         process.membership.setDraining(process.clock(), true);
-        fleet.until(
+        fleet.runUntil(
                 SECOND,
                 () -> fleet.running().stream()
-                        .anyMatch(viewer -> viewer != process && viewer.of(departed) == MemberStatus.LEFT));
-        int[] side = new int[fronts];
-        for (int front : SimulationHelpers.shuffled(fronts, fleet.random()).subList(0, fronts / 2)) {
-            side[front] = fleet.of(front).of(departed) == MemberStatus.LEFT ? 0 : 1;
+                        .anyMatch(viewer -> viewer != process && viewer.statusOf(departed) == MemberStatus.LEFT));
+        int[] side = new int[memberCount];
+        for (int member :
+                SimulationHelpers.shuffled(memberCount, fleet.random()).subList(0, memberCount / 2)) {
+            side[member] = fleet.processOf(member).statusOf(departed) == MemberStatus.LEFT ? 0 : 1;
         }
         fleet.links().split(side);
         fleet.kill(departed);
         fleet.run(200 * MS);
         fleet.links().heal();
-        long took = fleet.until(
+        long elapsedUs = fleet.runUntil(
                 20 * SECOND,
                 () -> fleet.digestsEqual()
-                        && fleet.running().stream().allMatch(viewer -> viewer.of(departed) == MemberStatus.LEFT));
-        return took < 0 ? SimulationHelpers.NEVER : took;
+                        && fleet.running().stream().allMatch(viewer -> viewer.statusOf(departed) == MemberStatus.LEFT));
+        return elapsedUs < 0 ? SimulationHelpers.NEVER : elapsedUs;
     }
 
     /** Most changes of any verdict within 2 s, while a front's links are cut and opened faster than once a second. */
-    static int flapping(long seed, int fronts) {
-        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, fronts));
+    static int flapping(long seed, int memberCount) {
+        SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(3 * SECOND);
-        PartitionVerdict[] last = new PartitionVerdict[fronts];
+        PartitionVerdict[] last = new PartitionVerdict[memberCount];
         List<ArrayDeque<Long>> changes = new ArrayList<>();
         for (Process process : fleet.running()) {
-            last[process.front] = process.membership.verdict();
+            last[process.memberId] = process.membership.verdict();
             changes.add(new ArrayDeque<>());
         }
         int[] most = {0};
         fleet.onEvent = process -> {
             PartitionVerdict verdict = process.membership.verdict();
-            if (verdict != last[process.front]) {
-                last[process.front] = verdict;
-                ArrayDeque<Long> times = changes.get(process.front);
+            if (verdict != last[process.memberId]) {
+                last[process.memberId] = verdict;
+                ArrayDeque<Long> times = changes.get(process.memberId);
                 times.add(fleet.now);
                 while (times.peek() <= fleet.now - 2 * SECOND) {
                     times.poll();
@@ -137,12 +144,12 @@
                 most[0] = Math.max(most[0], times.size());
             }
         };
-        int cut = fleet.random().nextInt(fronts);
+        int cut = fleet.random().nextInt(memberCount);
         int way = fleet.random().nextInt(3);
         for (int i = 0; i < 12; i++) {
             boolean on = i % 2 == 0;
-            fleet.links().deaf(cut, on && way != 1);
-            fleet.links().mute(cut, on && way != 0);
+            fleet.links().setInboundCut(cut, on && way != 1);
+            fleet.links().setOutboundCut(cut, on && way != 0);
             fleet.run(fleet.random().nextLong(250 * MS, 950 * MS));
         }
         fleet.links().heal();
--- a/src/test/java/magpiewheel/membership/QuotaScenarios.java
+++ b/src/test/java/magpiewheel/membership/QuotaScenarios.java
@@ -1,61 +1,61 @@
 package magpiewheel.membership;
 
 import java.util.List;
-import magpiewheel.membership.SimFleet.Plan;
+import magpiewheel.membership.SimulatedFleet.Plan;
 
 /** Effects on the quotas of the running fronts: each method plays one seed. */
 final class QuotaScenarios {
-    private static final long MS = SimFleet.MS;
-    private static final long SECOND = SimFleet.SECOND;
+    private static final long MS = SimulatedFleet.MS;
+    private static final long SECOND = SimulatedFleet.SECOND;
 
     private QuotaScenarios() {}
 
     /** The highest sum of quotas, how much the quota of the survivors grew in 4 s, and the sum after the recovery. */
     record MassFailure(double highestQuotaSum, double growth, double after) {}
 
-    static MassFailure massFailure(long seed, int fronts) {
-        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, fronts));
+    static MassFailure massFailure(long seed, int memberCount) {
+        SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(8 * SECOND);
-        QuotaWatch quotas = new QuotaWatch(fleet);
-        List<Integer> order = SimulationHelpers.shuffled(fronts, fleet.random());
-        int dead = fronts * 7 / 10;
-        double before = fleet.of(order.get(dead)).quota();
-        for (int front : order.subList(0, dead)) {
-            fleet.kill(front);
+        QuotaSumMonitor quotas = new QuotaSumMonitor(fleet);
+        List<Integer> order = SimulationHelpers.shuffled(memberCount, fleet.random());
+        int dead = memberCount * 7 / 10;
+        double before = fleet.processOf(order.get(dead)).quota();
+        for (int member : order.subList(0, dead)) {
+            fleet.kill(member);
         }
         fleet.run(4 * SECOND);
-        double least = order.subList(dead, fronts).stream()
-                .mapToDouble(front -> fleet.of(front).quota())
+        double least = order.subList(dead, memberCount).stream()
+                .mapToDouble(member -> fleet.processOf(member).quota())
                 .min()
                 .orElse(0);
         fleet.run(fleet.random().nextLong(4 * SECOND));
         boolean atOnce = fleet.random().nextBoolean();
-        for (int front : order.subList(0, dead)) {
-            fleet.in(
+        for (int member : order.subList(0, dead)) {
+            fleet.schedule(
                     atOnce ? fleet.random().nextLong(50 * MS) : fleet.random().nextLong(6 * SECOND),
-                    () -> fleet.start(front, 100 * MS));
+                    () -> fleet.start(member, 100 * MS));
         }
         fleet.run(18 * SECOND);
-        return new MassFailure(quotas.highest, least / before, fleet.quotaSum());
+        return new MassFailure(quotas.highestSum, least / before, fleet.quotaSum());
     }
 
     /**
      * An observer is paused between its probe (the first after the death, or a later one) and the answer, the dead
      * front returns, and the observer hears nothing for a while after it went on: what it reads then is an old refusal.
      */
-    static QuotaWatch lateRefusal(long seed, int fronts, boolean early) {
-        SimFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, fronts));
+    static QuotaSumMonitor lateRefusal(long seed, int memberCount, boolean early) {
+        SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(6 * SECOND);
-        int departed = fleet.random().nextInt(fronts);
+        int departed = fleet.random().nextInt(memberCount);
         long pause = fleet.random().nextLong(500 * MS, 5 * SECOND);
         fleet.kill(departed);
         fleet.run(early ? 0 : 2 * SECOND + fleet.random().nextLong(SECOND));
-        QuotaWatch quotas = new QuotaWatch(fleet);
+        QuotaSumMonitor quotas = new QuotaSumMonitor(fleet);
         fleet.onProbe = (observer, at) -> {
             fleet.onProbe = (other, another) -> {};
-            fleet.in(0, () -> fleet.pause(observer.front, pause));
-            fleet.in(40 * MS, () -> {
-                fleet.links().deaf(observer.front, true);
+            fleet.schedule(0, () -> fleet.pause(observer.memberId, pause));
+            fleet.schedule(40 * MS, () -> {
+                fleet.links().setInboundCut(observer.memberId, true);
                 fleet.start(departed, 50 * MS);
             });
         };
--- a/src/test/java/magpiewheel/membership/SimFleet.java
+++ b/src/test/java/magpiewheel/membership/SimulatedFleet.java
@@ -15,25 +15,25 @@
  * that delays, loses, duplicates, reorders and partitions as its seed says. Equal seeds and equal calls give equal
  * runs.
  */
-final class SimFleet {
+final class SimulatedFleet {
     static final long MS = 1_000;
     static final long SECOND = 1_000_000;
-    static final long BEAT = 50 * MS;
+    static final long HEARTBEAT_US = 50 * MS;
     /** us; Unix time at the run's start. */
-    private static final long EPOCH = 1_800_000_000_000_000L;
+    private static final long EPOCH_US = 1_800_000_000_000_000L;
     /** Datagrams that wait in the socket of a process that reads none. */
-    private static final int SOCKET = 256;
+    private static final int SOCKET_CAPACITY = 256;
 
-    private static final int LARGEST = 256;
+    private static final int MAX_DATAGRAM_BYTES = 256;
 
     /** The parameters of a run; fronts are assigned to zones in turn. */
-    record Plan(long seed, int fronts, int zones, long beatUs, boolean refusals) {
-        static Plan of(long seed, int fronts) {
-            return new Plan(seed, fronts, 3, BEAT, true);
+    record Plan(long seed, int memberCount, int zoneCount, long heartbeatUs, boolean refusals) {
+        static Plan of(long seed, int memberCount) {
+            return new Plan(seed, memberCount, 3, HEARTBEAT_US, true);
         }
 
         Plan withoutRefusals() {
-            return new Plan(seed, fronts, zones, beatUs, false);
+            return new Plan(seed, memberCount, zoneCount, heartbeatUs, false);
         }
     }
 
@@ -41,7 +41,7 @@
         ARRIVE,
         PROBE,
         REFUSED,
-        WAKE,
+        TICK,
         RESUME,
         ACTION
     }
@@ -88,7 +88,7 @@
 
     /** A process of a front. Its machine's clock is off by a constant. */
     final class Process implements DatagramSender {
-        final int front;
+        final int memberId;
         final long startedAt = now;
         final long startedMs;
         final MembershipProtocol membership;
@@ -101,20 +101,20 @@
         long probes;
         private final ArrayDeque<Event> socket = new ArrayDeque<>();
         private long resumesAt;
-        private long wakeAt = Long.MAX_VALUE;
+        private long nextTickAt = Long.MAX_VALUE;
 
-        Process(int front) {
-            this.front = front;
+        Process(int memberId) {
+            this.memberId = memberId;
             startedMs = clock() / 1_000;
             membership = new MembershipProtocol(
                     clock(),
                     new MembershipConfig(
-                            front,
-                            plan.fronts,
-                            zone(front),
-                            address(front),
-                            sizes.clone(),
-                            plan.beatUs,
+                            memberId,
+                            plan.memberCount,
+                            zone(memberId),
+                            address(memberId),
+                            membersByZone.clone(),
+                            plan.heartbeatUs,
                             startedMs,
                             plan.refusals),
                     this);
@@ -122,39 +122,43 @@
 
         /** us; Unix time as this machine has it. */
         long clock() {
-            return EPOCH + now + skew[front];
+            return EPOCH_US + now + clockSkewUs[memberId];
         }
 
         @Override
         public void send(int to, byte[] message) {
-            if (message.length > LARGEST || message.length == 0 || to == front || to < 0 || to >= plan.fronts) {
-                throw new AssertionError(message.length + " bytes from " + front + " to " + to);
+            if (message.length > MAX_DATAGRAM_BYTES
+                    || message.length == 0
+                    || to == memberId
+                    || to < 0
+                    || to >= plan.memberCount) {
+                throw new AssertionError(message.length + " bytes from " + memberId + " to " + to);
             }
             messages++;
             bytes += message.length;
-            actions.add(now).add((long) front).add((long) to).add(message);
+            actions.add(now).add((long) memberId).add((long) to).add(message);
             onMessage.accept(message);
-            post(this, to, message);
+            transmit(this, to, message);
         }
 
         @Override
         public void probe(int to, long probedAt) {
-            if (!plan.refusals || to == front || to < 0 || to >= plan.fronts) {
-                throw new AssertionError("probe from " + front + " to " + to);
+            if (!plan.refusals || to == memberId || to < 0 || to >= plan.memberCount) {
+                throw new AssertionError("probe from " + memberId + " to " + to);
             }
             probes++;
-            actions.add(now).add((long) front).add((long) to).add(probedAt);
+            actions.add(now).add((long) memberId).add((long) to).add(probedAt);
             onProbe.accept(this, to);
-            int copies = chance(duplicated) ? 2 : 1;
+            int copies = chance(duplicateRate) ? 2 : 1;
             for (int i = 0; i < copies; i++) {
-                if ((links.forgesRefusals(front, to) || !links.cut(front, to)) && !chance(loss)) {
-                    push(now + halfProbeDelay(), EventType.PROBE, this, front, to, null, false, null).probedAt =
-                            probedAt;
+                if ((links.forgesRefusals(memberId, to) || !links.isCut(memberId, to)) && !chance(lossRate)) {
+                    enqueue(now + oneWayProbeDelayUs(), EventType.PROBE, this, memberId, to, null, false, null)
+                            .probedAt = probedAt;
                 }
             }
         }
 
-        MemberStatus of(int other) {
+        MemberStatus statusOf(int other) {
             return membership.status(other);
         }
 
@@ -163,12 +167,12 @@
         }
 
         double zoneQuota() {
-            return 1 / membership.quotaDivisorIn(clock(), zone(front));
+            return 1 / membership.quotaDivisorIn(clock(), zone(memberId));
         }
 
         @Override
         public String toString() {
-            return "front " + front + " since " + startedAt / MS + " ms";
+            return "front " + memberId + " since " + startedAt / MS + " ms";
         }
     }
 
@@ -177,14 +181,14 @@
     final Fingerprint actions = new Fingerprint();
     /**
      * Shares of datagrams that are lost, duplicated, reordered (up to 60 ms late) and delayed (up to
-     * {@link #longestDelayUs}).
+     * {@link #maxDelayUs}).
      */
-    double loss;
+    double lossRate;
 
-    double duplicated;
-    double reordered;
-    double delayed;
-    long longestDelayUs = 5 * SECOND;
+    double duplicateRate;
+    double reorderRate;
+    double delayRate;
+    long maxDelayUs = 5 * SECOND;
     /** Sees each message that is sent. */
     Consumer<byte[]> onMessage = message -> {};
     /** Sees each probe: its sender and its target. */
@@ -196,93 +200,93 @@
     private final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final List<List<Process>> processes = new ArrayList<>();
-    private final int[] sizes;
-    private final long[] skew;
-    private final boolean[] vanished;
+    private final int[] membersByZone;
+    private final long[] clockSkewUs;
+    private final boolean[] machineFailed;
     private final SimulatedLinks links;
-    private long pushed;
+    private long eventCount;
     private long trace = 17;
 
-    SimFleet(Plan plan) {
+    SimulatedFleet(Plan plan) {
         this.plan = plan;
         random = new SplittableRandom(plan.seed);
-        sizes = new int[plan.zones];
-        skew = new long[plan.fronts];
-        vanished = new boolean[plan.fronts];
-        links = new SimulatedLinks(plan.fronts);
-        for (int front = 0; front < plan.fronts; front++) {
+        membersByZone = new int[plan.zoneCount];
+        clockSkewUs = new long[plan.memberCount];
+        machineFailed = new boolean[plan.memberCount];
+        links = new SimulatedLinks(plan.memberCount);
+        for (int member = 0; member < plan.memberCount; member++) {
             processes.add(new ArrayList<>(1));
-            sizes[zone(front)]++;
-            skew[front] = random.nextLong(-400 * MS, 400 * MS + 1);
+            membersByZone[zone(member)]++;
+            clockSkewUs[member] = random.nextLong(-400 * MS, 400 * MS + 1);
         }
     }
 
-    int zone(int front) {
-        return front % plan.zones;
+    int zone(int member) {
+        return member % plan.zoneCount;
     }
 
-    static int address(int front) {
-        return 0x0a000000 + front;
+    static int address(int member) {
+        return 0x0a000000 + member;
     }
 
     /** The youngest running process of a front, or null. */
-    Process of(int front) {
-        List<Process> all = processes.get(front);
+    Process processOf(int member) {
+        List<Process> all = processes.get(member);
         return all.isEmpty() ? null : all.get(all.size() - 1);
     }
 
     /** Youngest processes of fronts that run. */
     List<Process> running() {
         List<Process> all = new ArrayList<>();
-        for (int front = 0; front < plan.fronts; front++) {
-            if (of(front) != null) {
-                all.add(of(front));
+        for (int member = 0; member < plan.memberCount; member++) {
+            if (processOf(member) != null) {
+                all.add(processOf(member));
             }
         }
         return all;
     }
 
     /** Starts a process of a front, beside the one it may have; it starts serving after a delay. */
-    Process start(int front, long readyUs) {
-        vanished[front] = false;
-        Process process = new Process(front);
-        processes.get(front).add(process);
-        handled(process);
-        in(readyUs, () -> startServing(process));
+    Process start(int member, long servingDelayUs) {
+        machineFailed[member] = false;
+        Process process = new Process(member);
+        processes.get(member).add(process);
+        afterEvent(process);
+        schedule(servingDelayUs, () -> startServing(process));
         return process;
     }
 
     private void startServing(Process process) {
         if (process.running && process.paused) {
-            in(10 * MS, () -> startServing(process));
+            schedule(10 * MS, () -> startServing(process));
         } else if (process.running) {
             process.serving = true;
             process.membership.startServing(process.clock());
-            handled(process);
+            afterEvent(process);
         }
     }
 
     /** Starts every front within the first half second. */
-    SimFleet startAll() {
-        for (int front = 0; front < plan.fronts; front++) {
-            int number = front;
-            in(random.nextLong(500 * MS), () -> start(number, 20 * MS + random.nextLong(100 * MS)));
+    SimulatedFleet startAll() {
+        for (int member = 0; member < plan.memberCount; member++) {
+            int memberToStart = member;
+            schedule(random.nextLong(500 * MS), () -> start(memberToStart, 20 * MS + random.nextLong(100 * MS)));
         }
         run(620 * MS);
         return this;
     }
 
     /** Starts every front and waits until all views are the same and whole; how long that took, us. */
-    long converge(long mostUs) {
+    long converge(long timeoutUs) {
         startAll();
-        return until(mostUs, this::converged);
+        return runUntil(timeoutUs, this::converged);
     }
 
     /** Runs until something holds, looking every 5 ms; how long that took, or -1. */
-    long until(long mostUs, BooleanSupplier holds) {
+    long runUntil(long timeoutUs, BooleanSupplier condition) {
         long from = now;
-        while (!holds.getAsBoolean()) {
-            if (now - from >= mostUs) {
+        while (!condition.getAsBoolean()) {
+            if (now - from >= timeoutUs) {
                 return -1;
             }
             run(5 * MS);
@@ -297,7 +301,7 @@
         List<Process> running = running();
         for (Process seen : running) {
             for (Process viewer : List.of(running.get(0), running.get(running.size() / 2))) {
-                if (viewer != seen && viewer.of(seen.front) != MemberStatus.ALIVE) {
+                if (viewer != seen && viewer.statusOf(seen.memberId) != MemberStatus.ALIVE) {
                     return false;
                 }
             }
@@ -312,33 +316,33 @@
     }
 
     /** Ends all processes of a front; its machine goes on and refuses probes. */
-    void kill(int front) {
-        for (Process process : processes.get(front)) {
+    void kill(int member) {
+        for (Process process : processes.get(member)) {
             process.running = false;
             process.socket.clear();
         }
-        processes.get(front).clear();
+        processes.get(member).clear();
     }
 
     /** Ends one process. */
-    void end(Process process) {
+    void endProcess(Process process) {
         process.running = false;
         process.socket.clear();
-        processes.get(process.front).remove(process);
+        processes.get(process.memberId).remove(process);
     }
 
     /** The whole machine fails: nothing refuses probes in its name. */
-    void vanish(int front) {
-        kill(front);
-        vanished[front] = true;
+    void failMachine(int member) {
+        kill(member);
+        machineFailed[member] = true;
     }
 
     /** The processes of a front handle nothing for a while; datagrams wait in their sockets. */
-    void pause(int front, long us) {
-        for (Process process : processes.get(front)) {
+    void pause(int member, long us) {
+        for (Process process : processes.get(member)) {
             process.paused = true;
             process.resumesAt = Math.max(process.resumesAt, now + us);
-            push(process.resumesAt, EventType.RESUME, process, front, front, null, false, null);
+            enqueue(process.resumesAt, EventType.RESUME, process, member, member, null, false, null);
         }
     }
 
@@ -347,8 +351,8 @@
         return links;
     }
 
-    void in(long us, Runnable action) {
-        push(now + us, EventType.ACTION, null, 0, 0, null, false, action);
+    void schedule(long us, Runnable action) {
+        enqueue(now + us, EventType.ACTION, null, 0, 0, null, false, action);
     }
 
     void run(long us) {
@@ -375,12 +379,12 @@
     /** Likewise of a zone's limit; of the whole fleet's for -1. */
     double quotaSum(int zone) {
         double sum = 0;
-        for (int front = 0; front < plan.fronts; front++) {
-            if (zone >= 0 && zone != zone(front)) {
+        for (int member = 0; member < plan.memberCount; member++) {
+            if (zone >= 0 && zone != zone(member)) {
                 continue;
             }
             double most = 0;
-            for (Process process : processes.get(front)) {
+            for (Process process : processes.get(member)) {
                 most = Math.max(most, zone < 0 ? process.quota() : process.zoneQuota());
             }
             sum += most;
@@ -392,54 +396,61 @@
         return random;
     }
 
-    private boolean chance(double share) {
-        return share > 0 && random.nextDouble() < share;
+    private boolean chance(double probability) {
+        return probability > 0 && random.nextDouble() < probability;
     }
 
-    private long halfProbeDelay() {
+    private long oneWayProbeDelayUs() {
         return random.nextLong(MS / 2, 15 * MS);
     }
 
-    private Event push(
-            long at, EventType type, Process process, int from, int to, byte[] message, boolean late, Runnable action) {
-        Event event = new Event(at, pushed++, type, process, from, to, message, late, action);
+    private Event enqueue(
+            long at,
+            EventType type,
+            Process process,
+            int from,
+            int to,
+            byte[] message,
+            boolean delayed,
+            Runnable action) {
+        Event event = new Event(at, eventCount++, type, process, from, to, message, delayed, action);
         events.add(event);
         return event;
     }
 
-    private void post(Process from, int to, byte[] message) {
-        if (links.cut(from.front, to) || chance(loss)) {
+    private void transmit(Process from, int to, byte[] message) {
+        if (links.isCut(from.memberId, to) || chance(lossRate)) {
             return;
         }
-        int copies = chance(duplicated) ? 2 : 1;
+        int copies = chance(duplicateRate) ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            boolean late = chance(delayed);
+            boolean late = chance(delayRate);
             long delay = random.nextLong(1_400, 23_001);
             if (late) {
-                delay = random.nextLong(200 * MS, longestDelayUs);
-            } else if (chance(reordered)) {
+                delay = random.nextLong(200 * MS, maxDelayUs);
+            } else if (chance(reorderRate)) {
                 delay += random.nextLong(37 * MS);
             }
-            push(now + delay, EventType.ARRIVE, from, from.front, to, message, late, null);
+            enqueue(now + delay, EventType.ARRIVE, from, from.memberId, to, message, late, null);
         }
     }
 
     private void dispatch(Event event) {
         switch (event.type) {
             case ARRIVE -> {
-                Process process = of(event.to);
-                if (process != null && (event.delayed || !links.cut(event.from, event.to))) {
+                Process process = processOf(event.to);
+                if (process != null && (event.delayed || !links.isCut(event.from, event.to))) {
                     deliver(process, event);
                 }
             }
             case PROBE -> {
-                boolean answers = !vanished[event.to]
-                        && of(event.to) == null
-                        && !links.cut(event.from, event.to)
-                        && !links.cut(event.to, event.from);
-                if ((answers || links.forgesRefusals(event.from, event.to)) && !chance(loss)) {
-                    push(
-                                    now + halfProbeDelay(),
+                boolean answers = !machineFailed[event.to]
+                        && processOf(event.to) == null
+                        && !links.isCut(event.from, event.to)
+                        && !links.isCut(event.to, event.from);
+                if ((answers || links.forgesRefusals(event.from, event.to)) && !chance(lossRate)) {
+                    enqueue(
+                                    now + oneWayProbeDelayUs(),
                                     EventType.REFUSED,
                                     event.process,
                                     event.to,
@@ -451,18 +462,18 @@
                 }
             }
             case REFUSED -> {
-                if (links.forgesRefusals(event.to, event.from) || !links.cut(event.from, event.to)) {
+                if (links.forgesRefusals(event.to, event.from) || !links.isCut(event.from, event.to)) {
                     deliver(event.process, event);
                 }
             }
-            case WAKE -> {
+            case TICK -> {
                 Process process = event.process;
-                if (process.running && !process.paused && process.wakeAt == event.at) {
-                    process.wakeAt = Long.MAX_VALUE;
+                if (process.running && !process.paused && process.nextTickAt == event.at) {
+                    process.nextTickAt = Long.MAX_VALUE;
                     if (process.clock() >= process.membership.due()) {
                         process.membership.tick(process.clock());
                     }
-                    handled(process);
+                    afterEvent(process);
                 }
             }
             case RESUME -> resume(event.process);
@@ -476,7 +487,7 @@
             return;
         }
         if (process.paused) {
-            if (process.socket.size() < SOCKET) {
+            if (process.socket.size() < SOCKET_CAPACITY) {
                 process.socket.add(event);
             }
             return;
@@ -487,7 +498,7 @@
             process.received++;
             process.membership.messageReceived(process.clock(), event.from, event.message);
         }
-        handled(process);
+        afterEvent(process);
     }
 
     /** What waited is handled before or after what is due: either may come first. */
@@ -507,16 +518,16 @@
         if (!first) {
             process.membership.tick(process.clock());
         }
-        process.wakeAt = Long.MAX_VALUE;
-        handled(process);
+        process.nextTickAt = Long.MAX_VALUE;
+        afterEvent(process);
     }
 
-    private void handled(Process process) {
-        long due = process.membership.due() - EPOCH - skew[process.front];
+    private void afterEvent(Process process) {
+        long due = process.membership.due() - EPOCH_US - clockSkewUs[process.memberId];
         long at = Math.max(due, now) + random.nextLong(50, 1_500);
-        if (at < process.wakeAt) {
-            process.wakeAt = at;
-            push(at, EventType.WAKE, process, process.front, process.front, null, false, null);
+        if (at < process.nextTickAt) {
+            process.nextTickAt = at;
+            enqueue(at, EventType.TICK, process, process.memberId, process.memberId, null, false, null);
         }
         onEvent.accept(process);
     }
--- a/src/test/java/magpiewheel/membership/SimulatedLinks.java
+++ b/src/test/java/magpiewheel/membership/SimulatedLinks.java
@@ -4,49 +4,49 @@
 
 /** The links of a simulated fleet: which datagrams and probes between two fronts are blocked. */
 final class SimulatedLinks {
-    private final int fronts;
-    private final boolean[] mute;
-    private final boolean[] deaf;
-    private final int[] side;
-    private final boolean[][] oneWay;
+    private final int memberCount;
+    private final boolean[] outboundCut;
+    private final boolean[] inboundCut;
+    private final int[] sideOf;
+    private final boolean[][] oneWayCut;
     private final boolean[][] filtered;
 
-    SimulatedLinks(int fronts) {
-        this.fronts = fronts;
-        mute = new boolean[fronts];
-        deaf = new boolean[fronts];
-        side = new int[fronts];
-        oneWay = new boolean[fronts][];
-        filtered = new boolean[fronts][];
+    SimulatedLinks(int memberCount) {
+        this.memberCount = memberCount;
+        outboundCut = new boolean[memberCount];
+        inboundCut = new boolean[memberCount];
+        sideOf = new int[memberCount];
+        oneWayCut = new boolean[memberCount][];
+        filtered = new boolean[memberCount][];
     }
 
     /** Nothing that the front sends arrives. */
-    void mute(int front, boolean yes) {
-        mute[front] = yes;
+    void setOutboundCut(int member, boolean cut) {
+        outboundCut[member] = cut;
     }
 
     /** Nothing arrives at the front. */
-    void deaf(int front, boolean yes) {
-        deaf[front] = yes;
+    void setInboundCut(int member, boolean cut) {
+        inboundCut[member] = cut;
     }
 
     /** Blocks or opens one direction between two fronts. */
-    void oneWay(int from, int to, boolean yes) {
-        if (oneWay[from] == null) {
-            oneWay[from] = new boolean[fronts];
+    void setOneWayCut(int from, int to, boolean cut) {
+        if (oneWayCut[from] == null) {
+            oneWayCut[from] = new boolean[memberCount];
         }
-        oneWay[from][to] = yes;
+        oneWayCut[from][to] = cut;
     }
 
     /**
      * Places a filter between two fronts: nothing passes, and probes of the first are refused, whether the other runs
      * or not.
      */
-    void filter(int from, int to) {
-        oneWay(from, to, true);
-        oneWay(to, from, true);
+    void addFilter(int from, int to) {
+        setOneWayCut(from, to, true);
+        setOneWayCut(to, from, true);
         if (filtered[from] == null) {
-            filtered[from] = new boolean[fronts];
+            filtered[from] = new boolean[memberCount];
         }
         filtered[from][to] = true;
     }
@@ -58,20 +58,23 @@
 
     /** Splits the fleet by the side of each front. */
     void split(int... sides) {
-        System.arraycopy(sides, 0, side, 0, side.length);
+        System.arraycopy(sides, 0, sideOf, 0, sides.length);
     }
 
     /** All links are open again; a killed process stays dead. */
     void heal() {
-        Arrays.fill(side, 0);
-        Arrays.fill(mute, false);
-        Arrays.fill(deaf, false);
-        Arrays.fill(oneWay, null);
+        Arrays.fill(sideOf, 0);
+        Arrays.fill(outboundCut, false);
+        Arrays.fill(inboundCut, false);
+        Arrays.fill(oneWayCut, null);
         Arrays.fill(filtered, null);
     }
 
     /** Whether nothing that one front sends arrives at another now. */
-    boolean cut(int from, int to) {
-        return side[from] != side[to] || mute[from] || deaf[to] || oneWay[from] != null && oneWay[from][to];
+    boolean isCut(int from, int to) {
+        return sideOf[from] != sideOf[to]
+                || outboundCut[from]
+                || inboundCut[to]
+                || oneWayCut[from] != null && oneWayCut[from][to];
     }
 }
--- a/src/test/java/magpiewheel/membership/SimulationHelpers.java
+++ b/src/test/java/magpiewheel/membership/SimulationHelpers.java
@@ -3,30 +3,30 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import magpiewheel.membership.SimFleet.Plan;
-import magpiewheel.membership.SimFleet.Process;
+import magpiewheel.membership.SimulatedFleet.Plan;
+import magpiewheel.membership.SimulatedFleet.Process;
 
 /** Helpers that the scenarios of a simulated fleet share. */
 final class SimulationHelpers {
     /** us; stands for an event that did not happen. */
-    static final long NEVER = 3_600 * SimFleet.SECOND;
+    static final long NEVER = 3_600 * SimulatedFleet.SECOND;
 
     private SimulationHelpers() {}
 
-    static SimFleet convergedFleet(Plan plan) {
-        SimFleet fleet = new SimFleet(plan);
-        long took = fleet.converge(30 * SimFleet.SECOND);
-        if (took < 0) {
+    static SimulatedFleet convergedFleet(Plan plan) {
+        SimulatedFleet fleet = new SimulatedFleet(plan);
+        long elapsedUs = fleet.converge(30 * SimulatedFleet.SECOND);
+        if (elapsedUs < 0) {
             throw new AssertionError("views are not equal 30 s after the start, seed " + plan.seed());
         }
         return fleet;
     }
 
-    static boolean allAlive(SimFleet fleet) {
+    static boolean allAlive(SimulatedFleet fleet) {
         List<Process> running = fleet.running();
         for (Process viewer : running) {
             for (Process seen : running) {
-                if (viewer != seen && viewer.of(seen.front) != MemberStatus.ALIVE) {
+                if (viewer != seen && viewer.statusOf(seen.memberId) != MemberStatus.ALIVE) {
                     return false;
                 }
             }
@@ -34,29 +34,29 @@
         return true;
     }
 
-    static boolean listed(Process viewer, int front) {
-        MemberStatus status = viewer.of(front);
+    static boolean isListed(Process viewer, int member) {
+        MemberStatus status = viewer.statusOf(member);
         return status != MemberStatus.DEAD
                 && status != MemberStatus.LEFT
-                && viewer.membership.runningMembers().contains(front);
+                && viewer.membership.runningMembers().contains(member);
     }
 
-    static int newlyDead(Process viewer, boolean[] reportedDead) {
+    static int countNewlyDead(Process viewer, boolean[] reportedDead) {
         int more = 0;
-        for (int front = 0; front < reportedDead.length; front++) {
-            boolean dead = front != viewer.front && viewer.of(front) == MemberStatus.DEAD;
-            if (dead && !reportedDead[front]) {
+        for (int member = 0; member < reportedDead.length; member++) {
+            boolean dead = member != viewer.memberId && viewer.statusOf(member) == MemberStatus.DEAD;
+            if (dead && !reportedDead[member]) {
                 more++;
             }
-            reportedDead[front] = dead;
+            reportedDead[member] = dead;
         }
         return more;
     }
 
-    static List<Integer> shuffled(int fronts, SplittableRandom random) {
-        Integer[] order = new Integer[fronts];
+    static List<Integer> shuffled(int memberCount, SplittableRandom random) {
+        Integer[] order = new Integer[memberCount];
         Arrays.setAll(order, i -> i);
-        for (int i = fronts - 1; i > 0; i--) {
+        for (int i = memberCount - 1; i > 0; i--) {
             int j = random.nextInt(i + 1);
             Integer swap = order[i];
             order[i] = order[j];
