--- a/src/test/java/magpiewheel/membership/FailureDetectionScenarios.java
+++ b/src/test/java/magpiewheel/membership/FailureDetectionScenarios.java
@@ -7,20 +7,23 @@
 import magpiewheel.membership.SimulatedFleet.Plan;
 import magpiewheel.membership.SimulatedFleet.Process;
 
-/** Failures, pauses and restarts in simulated time: each method plays one seed and returns a measurement. */
+/** Failures, pauses and restarts in simulated time. Each method runs one seed and returns a measurement. */
 final class FailureDetectionScenarios {
     private static final long MS = SimulatedFleet.MS;
     private static final long SECOND = SimulatedFleet.SECOND;
 
     private FailureDetectionScenarios() {}
 
-    /** How long it takes until all views are equal and complete after a start within half a second, us. */
+    /** Returns the time until all views are equal and complete after a start within half a second, in microseconds. */
     static long convergenceTime(long seed, int memberCount) {
         long elapsedUs = new SimulatedFleet(Plan.of(seed, memberCount)).converge(30 * SECOND);
         return elapsedUs < 0 ? SimulationHelpers.NEVER : elapsedUs;
     }
 
-    /** Kills fronts, one each so often; for each how long until it is out of every other view, us. */
+    /**
+     * Kills members one after another, one per interval. Returns the times until each is removed from all other views,
+     * in microseconds and in ascending order.
+     */
     static List<Long> detectionTimes(
             long seed, int memberCount, int kills, long intervalUs, double loss, boolean refusals) {
         Plan plan = Plan.of(seed, memberCount);
@@ -57,7 +60,10 @@
         return detectionTimesUs;
     }
 
-    /** Kills so many fronts at once; for each how long until it is out of every other view, us. */
+    /**
+     * Kills several members at once. Returns the times until each is removed from all other views, in microseconds and
+     * in ascending order.
+     */
     static List<Long> simultaneousDetectionTimes(Plan plan, int kills, double loss) {
         SimulatedFleet fleet = SimulationHelpers.convergedFleet(plan);
         fleet.run(SECOND + fleet.random().nextLong(plan.heartbeatUs()));
@@ -84,7 +90,11 @@
         return detectionTimesUs;
     }
 
-    /** Continues with the front that still listed it last time. */
+    /**
+     * Whether no view lists a member any more. Starts with the view that listed it at the last call.
+     *
+     * @param entry member, index of its kill, and the view to start with, which is updated
+     */
     private static boolean isRemovedFromAllViews(SimulatedFleet fleet, int[] entry) {
         for (int offset = 0; offset < fleet.plan.memberCount(); offset++) {
             Process viewer = fleet.processOf((entry[2] + offset) % fleet.plan.memberCount());
@@ -96,7 +106,7 @@
         return true;
     }
 
-    /** Deaths reported of fronts that all run and are all connected. */
+    /** Returns the number of deaths reported while all members run and are connected. */
     static int falseDeaths(long seed, int memberCount, double loss, long us) {
         SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.lossRate = loss;
@@ -110,7 +120,7 @@
         return deaths[0];
     }
 
-    /** How often a front came to be suspected, of fronts that all run and are all connected. */
+    /** Returns how often a member comes to be suspected while all members run and are connected. */
     static int suspicions(long seed, int memberCount, double loss, long us) {
         SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(SECOND);
@@ -132,7 +142,10 @@
         return suspicions[0];
     }
 
-    /** A pause: deaths reported of the paused front, or by it of others, and the time until all are alive again, us. */
+    /**
+     * A pause: deaths reported of the paused member or by it, and the time until all members are alive again, in
+     * microseconds.
+     */
     record Pause(int falseDeaths, long aliveUs) {}
 
     static Pause pause(long seed, int memberCount, long us, double loss) {
@@ -152,13 +165,13 @@
     }
 
     /**
-     * A filter that forges refusals of a front: deaths reported of it, the highest sum of quotas, and the time until
-     * all are alive again, us.
+     * Refusals that filters forge in the name of a member: deaths reported of it, the highest sum of quotas, the time
+     * until all members are alive again in microseconds, and the number of probes.
      */
     record ForgedRefusals(
             int deaths, double highestQuotaSum, String highestQuotaSumDescription, long recoveryUs, int probes) {}
 
-    /** For 3 s filters stand between a front and so many of its neighbours, and refuse their probes in its name. */
+    /** Places filters between a member and some of its neighbours for 3 s, which refuse their probes in its name. */
     static ForgedRefusals forgedRefusals(long seed, int memberCount, int filters) {
         SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(8 * SECOND);
@@ -191,7 +204,10 @@
                 (int) probes);
     }
 
-    /** A front is killed and started again at once: the highest sum of quotas, and the time until all are alive, us. */
+    /**
+     * Kills a member and restarts it within 0.3 s: deaths reported of the new process, the highest sum of quotas, and
+     * the time until all members are alive, in microseconds.
+     */
     static ForgedRefusals quickRestart(long seed, int memberCount, double loss) {
         SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(8 * SECOND);
@@ -226,7 +242,10 @@
                 0);
     }
 
-    /** An upgrade whose new process ends: the time until all that run list each other as alive, us. */
+    /**
+     * Starts a second process of a member, which ends soon. Returns the time until all members list each other as
+     * alive, in microseconds.
+     */
     static long failedUpgrade(long seed, int memberCount, long successorRunsUs) {
         SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(6 * SECOND + fleet.random().nextLong(SECOND));
--- a/src/test/java/magpiewheel/membership/FaultSchedule.java
+++ b/src/test/java/magpiewheel/membership/FaultSchedule.java
@@ -5,14 +5,14 @@
 import magpiewheel.membership.SimulatedFleet.Plan;
 import magpiewheel.membership.SimulatedFleet.Process;
 
-/** Plays a list of faults over a fleet in simulated time. */
+/** Runs a list of faults against a fleet in simulated time. */
 final class FaultSchedule {
     private static final long MS = SimulatedFleet.MS;
     private static final long SECOND = SimulatedFleet.SECOND;
 
     private FaultSchedule() {}
 
-    /** Injects each fault at its time; returns the watch over the quotas. */
+    /** Injects each fault at its time. Returns the monitor of the quota sums. */
     static QuotaSumMonitor injectFaults(Plan plan, List<InjectedFault> faults, long settleMs) {
         SimulatedFleet fleet = new SimulatedFleet(plan);
         QuotaSumMonitor quotas = new QuotaSumMonitor(fleet);
@@ -72,11 +72,11 @@
                     process.membership.setDraining(process.clock(), fault.durationMs() % 2 == 0);
                 }
             }
-            default -> throw new IllegalStateException();
+            default -> throw new IllegalStateException("unexpected fault " + fault.kind());
         }
     }
 
-    /** Kills a front and starts it again later, unless it runs by then. */
+    /** Kills a member and starts it again after a delay, unless another process of it runs by then. */
     private static void restart(SimulatedFleet fleet, int member, long delayUs) {
         fleet.kill(member);
         fleet.schedule(delayUs, () -> {
@@ -86,7 +86,7 @@
         });
     }
 
-    /** Splits the fleet into two to four sides for a while. */
+    /** Splits the fleet into two to four sides for the duration of the fault. */
     private static void splitTemporarily(SimulatedFleet fleet, InjectedFault fault) {
         int[] side = new int[fleet.plan.memberCount()];
         SplittableRandom random = new SplittableRandom(31L * fault.memberId() + fault.otherMemberId());
--- a/src/test/java/magpiewheel/membership/FleetFigures.java
+++ b/src/test/java/magpiewheel/membership/FleetFigures.java
@@ -12,8 +12,8 @@
 import magpiewheel.membership.SimulatedFleet.Plan;
 
 /**
- * Measures what {@link FleetProperties} checks, with as many seeds as asked for: {@code FleetFigures SEEDS [NAME..]}.
- * Seeds are 1, 2, .. and are played side by side.
+ * Measures what {@link FleetProperties} checks, with a given number of seeds: {@code FleetFigures SEEDS [NAME...]}. The
+ * seeds are 1, 2, ... and run in parallel.
  */
 public final class FleetFigures {
     private static final long MS = SimulatedFleet.MS;
@@ -50,7 +50,7 @@
         this.seeds = seeds;
     }
 
-    /** Measures what the arguments name, or everything: {@code [SEEDS [NAME...]]}, 20 seeds where none are given. */
+    /** Runs the named measurements, or all of them: {@code [SEEDS [NAME...]]}, with 20 seeds by default. */
     public static void main(String[] args) {
         Locale.setDefault(Locale.ROOT);
         FleetFigures figures = new FleetFigures(args.length > 0 ? Integer.parseInt(args[0]) : 20);
@@ -109,11 +109,11 @@
                                 seed -> List.of(FailureDetectionScenarios.failedUpgrade(
                                         seed, 8, seed * 377 % 2_900 * MS + 100 * MS))));
             case "return" -> rejoins();
-            default -> throw new IllegalArgumentException(name + " is none of " + NAMES);
+            default -> throw new IllegalArgumentException("unknown measurement " + name + ", expected one of " + NAMES);
         }
     }
 
-    /** Messages and bytes of a front a second, by the size of the fleet. */
+    /** Messages and bytes that a member sends per second, by fleet size. */
     private void rates() {
         for (int memberCount : List.of(10, 100, 1_000)) {
             TrafficScenarios.Rate rate = TrafficScenarios.rate(1, memberCount, 5 * SECOND);
@@ -122,7 +122,7 @@
         }
     }
 
-    /** The traffic of 100 fronts at rest and while they are restarted in turn, with slow and quick beats. */
+    /** Traffic of 100 members at rest and while they are restarted in turn, with slow and fast heartbeats. */
     private void rollingRestarts() {
         for (long heartbeatUs : List.of(800 * MS, SimulatedFleet.HEARTBEAT_US)) {
             List<TrafficScenarios.RollingRestart> all = LongStream.rangeClosed(1, seeds)
@@ -157,7 +157,7 @@
         }
     }
 
-    /** How long fronts that start together take until all know all. */
+    /** Time until members that start together all know each other. */
     private void convergenceTime() {
         for (int memberCount : List.of(8, 100, 1_000)) {
             int runs = memberCount == 1_000 ? Math.min(4, seeds) : seeds;
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Running fronts that are reported dead while datagrams are lost. */
+    /** Running members that are reported dead while datagrams are lost. */
     private void losses(List<Double> shares) {
         for (double loss : shares) {
             List<Long> deaths = play(
@@ -178,7 +178,7 @@
         }
     }
 
-    /** Fronts whose way is cut in one direction: their own verdict, and those of the others. */
+    /** Members cut off in one direction: their own verdict, and the verdicts of the others. */
     private void oneWayCuts() {
         for (int memberCount : List.of(8, 20)) {
             for (boolean inbound : List.of(true, false)) {
@@ -204,7 +204,7 @@
         }
     }
 
-    /** Fronts that pause for 300 ms: deaths said of them, and how long until they are alive to all. */
+    /** Members that pause for 300 ms: deaths reported of them, and the time until all consider them alive. */
     private void pauses() {
         for (int memberCount : List.of(8, 20, 100)) {
             List<Long> alive = new ArrayList<>();
@@ -225,7 +225,7 @@
         }
     }
 
-    /** Splits of 6 s: how long until views are equal, and deaths reported within a side. */
+    /** Splits of 6 s: time until the views are equal, and deaths reported within a side. */
     private void splits() {
         for (int memberCount : List.of(8, 100, 1_000)) {
             int runs = memberCount == 1_000 ? Math.min(4, seeds) : seeds;
@@ -250,7 +250,7 @@
         }
     }
 
-    /** Shares of a limit after seven in ten fronts died at once. */
+    /** Shares of a limit after seven in ten members fail at once. */
     private void massFailures() {
         for (int memberCount : List.of(10, 20, 100)) {
             int runs = memberCount == 100 ? Math.min(10, seeds) : seeds;
@@ -278,7 +278,7 @@
         }
     }
 
-    /** Shares of a limit where refusals are read only after a pause. */
+    /** Shares of a limit if refusals are read only after a pause. */
     private void lateRefusals() {
         List<QuotaSumMonitor> all = LongStream.rangeClosed(1, seeds)
                 .parallel()
@@ -291,7 +291,7 @@
                 all.stream().filter(each -> !(each.highestSum <= 1 + 1e-9)).count());
     }
 
-    /** Filters that answer in the place of a front. */
+    /** Filters that refuse probes in the name of a member. */
     private void forgedRefusals() {
         for (int filters : List.of(1, 2)) {
             for (int memberCount : List.of(8, 20)) {
@@ -304,7 +304,7 @@
         }
     }
 
-    /** How often a front probes others, by the loss of datagrams. */
+    /** Probes that a member sends, by the loss of datagrams. */
     private void probes() {
         for (double loss : List.of(0.0, 0.05, 0.2)) {
             System.out.printf(
@@ -327,7 +327,7 @@
                 seeds, SimulationHelpers.percentile(got, 0.5), got.get(got.size() - 1));
     }
 
-    /** Messages that a returning front needs until it knows all. */
+    /** Messages that a returning member receives until it knows all others. */
     private void rejoins() {
         for (int memberCount : List.of(10, 100)) {
             List<Long> got = play(seeds, seed -> List.of(TrafficScenarios.messagesUntilRejoined(seed, memberCount)));
@@ -346,7 +346,7 @@
         }
     }
 
-    /** Many random schedules; the worst is told with its seed. */
+    /** Sums of quotas under random faults; each excess is printed with its seed. */
     private void quotaSums(boolean refusals) {
         List<QuotaSumMonitor> all = LongStream.rangeClosed(1, seeds)
                 .parallel()
--- a/src/test/java/magpiewheel/membership/FleetProperties.java
+++ b/src/test/java/magpiewheel/membership/FleetProperties.java
@@ -22,8 +22,8 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Properties of a fleet in simulated time. Seeds are fixed, so a run has the same verdict every time; a failure reports
- * its seed and schedule. {@code -Dmembership.times=N} plays N seeds for each of a usual run's.
+ * Properties of a fleet in simulated time. The seeds are fixed, so every run has the same result; a failure reports its
+ * seed and faults. {@code -Dmembership.times=N} runs N seeds for each seed of a normal run.
  */
 class FleetProperties {
     private static final long MS = SimulatedFleet.MS;
@@ -51,7 +51,7 @@
         return fault.list().ofMinSize(1).ofMaxSize(24);
     }
 
-    /** As many seeds as were asked for, from one on. */
+    /** Returns {@link #SEED_MULTIPLIER} seeds, starting with the given one. */
     private static List<Long> seedsFrom(long seed) {
         List<Long> seeds = new ArrayList<>();
         for (int i = 0; i < SEED_MULTIPLIER; i++) {
@@ -107,7 +107,7 @@
         assertTrue(SimulationHelpers.percentile(detectionTimes, 0.99) <= 500 * MS, () -> detectionTimes.toString());
     }
 
-    /** With refusals: within 240 ms for any number of failures. */
+    /** With refusals, the detection time does not depend on the number of failures. */
     @Example
     void oneOrFourOf8KilledAtOnceAreDetectedWithin240Ms() {
         for (int killCount : List.of(1, 4)) {
@@ -143,7 +143,10 @@
         }
     }
 
-    /** Such filters before two of its neighbours: it is reported dead for a moment, and nobody uses its quota. */
+    /**
+     * With filters before two of its neighbours a member is reported dead for a moment; no other may use its quota
+     * meanwhile.
+     */
     @Property(tries = 10, seed = "15", shrinking = ShrinkingMode.OFF)
     void forgedRefusalsToTwoObserversFreeNoQuota(@ForAll("seeds") long seed) {
         for (long each : seedsFrom(seed)) {
@@ -168,7 +171,7 @@
         }
     }
 
-    /** A probe sent before the last heartbeat, or an answer read late, is out of date. */
+    /** A refusal is outdated if its probe was sent before the last heartbeat, or if it is read too late. */
     @Example
     void outdatedRefusalIsIgnored() {
         SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(17, 8));
@@ -187,7 +190,7 @@
         assertEquals(
                 MemberStatus.SUSPECT,
                 observer.statusOf(neighbour),
-                "refusals seen by one front cause a suspicion, no more");
+                "refusals received by one member cause a suspicion only");
     }
 
     @Example
@@ -204,7 +207,10 @@
         }
     }
 
-    /** A suspected front that runs refutes, so no death follows; but each refutation costs all fronts messages. */
+    /**
+     * A suspected member that runs refutes the suspicion, so that it is not declared dead; but each refutation costs
+     * messages to all members.
+     */
     @Property(tries = 10, seed = "32", shrinking = ShrinkingMode.OFF)
     void datagramLossCausesFewSuspicions(@ForAll("seeds") long seed) {
         for (long each : seedsFrom(seed)) {
@@ -230,7 +236,7 @@
         for (long each : seedsFrom(seed)) {
             int memberCount = List.of(8, 20, 60).get((int) (each % 3));
             FailureDetectionScenarios.Pause result = FailureDetectionScenarios.pause(each, memberCount, 300 * MS, 0);
-            String description = result + ", " + memberCount + " fronts, seed " + each;
+            String description = result + ", " + memberCount + " members, seed " + each;
             assertEquals(0, result.falseDeaths(), description);
             assertTrue(result.aliveUs() <= SECOND, description);
         }
@@ -248,7 +254,7 @@
 
     private static void assertSplitHeals(long seed, int memberCount) {
         PartitionScenarios.Split result = PartitionScenarios.split(seed, memberCount, 2 + (int) (seed % 3), 6 * SECOND);
-        String description = result + ", " + memberCount + " fronts, seed " + seed;
+        String description = result + ", " + memberCount + " members, seed " + seed;
         assertTrue(result.equalUs() <= 2 * SECOND && result.aliveUs() <= 2 * SECOND, description);
     }
 
@@ -266,7 +272,7 @@
             QuotaSumMonitor quotas = FaultSchedule.injectFaults(Plan.of(each, 6 + (int) (each % 9)), faults, 3_000);
             assertTrue(
                     quotas.highestSum > 0.3 && quotas.highestSum <= 1 + ROUNDING_TOLERANCE,
-                    () -> quotas.highestSum + " of " + quotas.highestSumDescription + ", seed " + each);
+                    () -> "quota sum " + quotas.highestSum + " of " + quotas.highestSumDescription + ", seed " + each);
         }
     }
 
@@ -277,7 +283,7 @@
                     Plan.of(each, 6 + (int) (each % 9)).withoutRefusals(), faults, 3_000);
             assertTrue(
                     quotas.highestSum > 0.3 && quotas.highestSum <= 1 + ROUNDING_TOLERANCE,
-                    () -> quotas.highestSum + " of " + quotas.highestSumDescription + ", seed " + each);
+                    () -> "quota sum " + quotas.highestSum + " of " + quotas.highestSumDescription + ", seed " + each);
         }
     }
 
@@ -287,7 +293,7 @@
             QuotaSumMonitor quotas = QuotaScenarios.lateRefusal(each, 6, each % 2 == 0);
             assertTrue(
                     quotas.highestSum <= 1 + ROUNDING_TOLERANCE,
-                    () -> quotas.highestSum + " of " + quotas.highestSumDescription + ", seed " + each);
+                    () -> "quota sum " + quotas.highestSum + " of " + quotas.highestSumDescription + ", seed " + each);
         }
     }
 
@@ -325,7 +331,7 @@
                 long messages = TrafficScenarios.messagesUntilRejoined(each, memberCount);
                 assertTrue(
                         messages <= (memberCount + 13) / 14 + 8,
-                        () -> messages + " messages for " + memberCount + " fronts, seed " + each);
+                        () -> messages + " messages for " + memberCount + " members, seed " + each);
             }
         }
     }
@@ -349,7 +355,7 @@
                 assertEquals(stateBefore, MessageSamples.describe(process), "from " + unknownMember);
             }
         }
-        // A repeated update would change nothing in any case; this one is new.
+        // A repeated update would change nothing even if it were accepted, so this one is new.
         MemberUpdate departure = MemberUpdate.ofSelf(
                 5, MemberStatus.LEFT, process.clock() / 1_000 + 60_000, fleet.zone(5), SimulatedFleet.address(5));
         byte[] update = new MembershipMessage(
@@ -372,7 +378,7 @@
         assertEquals(MemberStatus.LEFT, process.statusOf(5));
     }
 
-    /** Flipped bits may go unnoticed: the outcome is not fixed, but nothing crashes. */
+    /** Flipped bits may go undetected, so the resulting state is not checked, only that no exception is thrown. */
     @Property(tries = 20, seed = "103", shrinking = ShrinkingMode.OFF)
     void flippedBitsCauseNoException(@ForAll("seeds") long seed) {
         SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, 10));
--- a/src/test/java/magpiewheel/membership/MembershipFingerprintTest.java
+++ b/src/test/java/magpiewheel/membership/MembershipFingerprintTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Fingerprints of all messages, probes and views of seeded fleets; a change of names and shape leaves them alone. */
+/**
+ * Fingerprints of all messages, probes and views of seeded fleets, which changes that only rename or restructure code
+ * must keep.
+ */
 class MembershipFingerprintTest {
     private static final long SECOND = SimulatedFleet.SECOND;
 
--- a/src/test/java/magpiewheel/membership/MembershipMessageGoldenTest.java
+++ b/src/test/java/magpiewheel/membership/MembershipMessageGoldenTest.java
@@ -7,7 +7,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The octets of the membership's datagrams: other versions of the program read them. */
+/** Encoded bytes of membership messages, which must not change since other versions of the program read them. */
 class MembershipMessageGoldenTest {
     private static final int ADDRESS = 0x0a010203;
     private static final long INCARNATION = 1_764_576_000_123L;
--- a/src/test/java/magpiewheel/membership/MessageSamples.java
+++ b/src/test/java/magpiewheel/membership/MessageSamples.java
@@ -6,13 +6,13 @@
 import java.util.SplittableRandom;
 import magpiewheel.membership.SimulatedFleet.Process;
 
-/** Messages that a fleet sends, malformed copies of them, and the state that they may not change. */
+/** Messages of a fleet, malformed copies of them, and the state that these must not change. */
 final class MessageSamples {
     private static final long MS = SimulatedFleet.MS;
 
     private MessageSamples() {}
 
-    /** What the fleet's members send, each message once. */
+    /** Returns each message that the members send while one of them is killed and restarted. */
     static List<byte[]> messages(SimulatedFleet fleet, long us) {
         List<byte[]> messages = new ArrayList<>();
         fleet.onMessage = message -> messages.add(message.clone());
@@ -24,7 +24,9 @@
         return messages;
     }
 
-    /** Other magic bytes and versions, garbage, truncated messages, and messages with trailing bytes. */
+    /**
+     * Returns messages with other magic bytes or versions, empty, truncated and extended messages, and random bytes.
+     */
     static List<byte[]> malformed(byte[] message, SplittableRandom random) {
         List<byte[]> malformed = new ArrayList<>();
         malformed.add(new byte[0]);
@@ -43,7 +45,7 @@
         return malformed;
     }
 
-    /** The complete state of a view as text. */
+    /** Returns the complete state of a view as text. */
     static String describe(Process process) {
         StringBuilder all = new StringBuilder();
         MembershipProtocol view = process.membership;
--- a/src/test/java/magpiewheel/membership/MutationsTest.java
+++ b/src/test/java/magpiewheel/membership/MutationsTest.java
@@ -20,9 +20,10 @@
 import org.junit.platform.launcher.core.LauncherFactory;
 
 /**
- * Each property of the fleet is seen to fail: a deliberate mistake is made in a copy of the membership's sources, which
- * are compiled apart and played in a process of their own. Takes minutes, so only with
- * {@code -Dmembership.mutations=true}; {@code -Dmembership.mistakes=PATTERN} makes those only of which that is a part.
+ * Checks that each property of the fleet fails for a deliberate mistake. The mistake is made in a copy of the
+ * membership sources, which is compiled separately and run in its own process. Takes minutes, so it runs only with
+ * {@code -Dmembership.mutations=true}; {@code -Dmembership.mistakes=PATTERN} selects the mistakes whose description
+ * contains a match.
  */
 @EnabledIfSystemProperty(named = "membership.mutations", matches = "true")
 class MutationsTest {
@@ -40,49 +41,49 @@
                         "new LinkedHashSet<>(members.all()); receivers.remove(members.self());",
                         "messageRateIsIndependentOfFleetSize"),
                 new SourceMutation(
-                        "an observer waits eight heartbeats",
+                        "an observer suspects after eight heartbeats of silence",
                         "HeartbeatMonitor",
                         "SUSPECT_AFTER_HEARTBEATS = 4;",
                         "SUSPECT_AFTER_HEARTBEATS = 8;",
                         "killedMemberOf8IsDetectedWithin500Ms"),
                 new SourceMutation(
-                        "a suspect's time grows six times as fast with the fleet",
+                        "the refutation time grows six times as fast with the member count",
                         "FailureDetector",
                         "REFUTATION_HEARTBEATS_PER_DOUBLING = 2.0 / 3;",
                         "REFUTATION_HEARTBEATS_PER_DOUBLING = 4;",
                         "killedMemberOf1000IsDetectedWithin1500Ms"),
                 new SourceMutation(
-                        "an observer waits one heartbeat",
+                        "an observer suspects after one heartbeat of silence",
                         "HeartbeatMonitor",
                         "SUSPECT_AFTER_HEARTBEATS = 4;",
                         "SUSPECT_AFTER_HEARTBEATS = 1;",
                         "datagramLossCausesFewSuspicions"),
                 new SourceMutation(
-                        "a suspect is dead at once",
+                        "a suspect is declared dead at once",
                         "FailureDetector",
                         "now - suspect.suspectedAt >= refutationUs",
                         "true || now - suspect.suspectedAt >= refutationUs",
                         "datagramLossCausesNoFalseDeath"),
                 new SourceMutation(
-                        "who is heard hears this member",
+                        "every member that is heard counts as hearing this one",
                         "PartitionDetector",
                         "if (!hears) {",
                         "if (false) {",
                         "memberCutInOneDirectionIsIsolated"),
                 new SourceMutation(
-                        "a suspect has hardly time to refute",
+                        "a suspect has hardly any time to refute",
                         "FailureDetector",
                         "REFUTATION_HEARTBEATS = 2;",
                         "REFUTATION_HEARTBEATS = -2;",
                         "pausedMemberIsNotDeclaredDead"),
                 new SourceMutation(
-                        "who is thought dead is never tried",
+                        "members considered dead are never contacted",
                         "GossipRound",
                         "CONTACT_INTERVAL_HEARTBEATS = 5;",
                         "CONTACT_INTERVAL_HEARTBEATS = 1_000_000;",
                         "viewsConvergeAfterSplitHeals"),
                 new SourceMutation(
-                        "tables are never compared",
+                        "digests of tables are never compared",
                         "AntiEntropy",
                         "if (sender.digestMismatches >= MIN_MISMATCHES",
                         "if (false",
@@ -94,59 +95,59 @@
                         "LEASE_US = 9_000_000;",
                         "lateRefusalFreesNoQuota"),
                 new SourceMutation(
-                        "silence counts as proof",
+                        "silence counts as a proof of unreachability",
                         "QuotaDivision",
                         "member.unreachableProvenMs > 0\n                && now - "
                                 + "member.unreachableProvenMs * 1_000 < PROOF_LEASE_US",
                         "true",
                         "quotaSumsHoldUnderRandomFaults"),
                 new SourceMutation(
-                        "without probes the dead count as gone",
+                        "without probes dead members free their quota",
                         "QuotaDivision",
                         "return Math.max(1, configured);",
                         "int dead = 0; for (Member member : members.all()) { dead += member.status == "
                                 + "MemberStatus.DEAD ? 1 : 0; } return Math.max(1, configured - dead);",
                         "quotaSumsHoldWithoutRefusals"),
                 new SourceMutation(
-                        "who returns has its whole share at once",
+                        "a returning member uses its full share at once",
                         "QuotaDivision",
                         "REDUCED_AFTER_START_US = 5_000_000;",
                         "REDUCED_AFTER_START_US = 0;",
                         "survivorsUseQuotaOfDeadMembers"),
                 new SourceMutation(
-                        "a proof frees nothing",
+                        "a proof frees no share",
                         "QuotaDivision",
                         "unreachable += ",
                         "unreachable += 0 * members.size() > 0 ? 1 : 0; int none = ",
                         "survivorsUseQuotaOfDeadMembers"),
                 new SourceMutation(
-                        "a verdict follows at once",
+                        "a verdict has no hysteresis",
                         "PartitionDetector",
                         "new VerdictHysteresis(HeartbeatMonitor.SUSPECT_AFTER_HEARTBEATS * "
                                 + "config.heartbeatUs(), RECOVERY_US)",
                         "new VerdictHysteresis(0, 0)",
                         "verdictDoesNotFlap"),
                 new SourceMutation(
-                        "a young member does not ask",
+                        "a newly started member does not request updates",
                         "AntiEntropy",
                         "if (!monitor.heardAnyone() || neighbour.digestMismatches > 0 && "
                                 + "monitor.isHeard(now, neighbour)) {",
                         "if (false) {",
                         "returningMemberLearnsAllWithFewMessages"),
                 new SourceMutation(
-                        "a refusal counts from when it is read",
+                        "a refusal is dated by when it is read",
                         "MembershipProtocol",
                         "public void probeRefused(long now, int memberId, long probedAt) {",
                         "public void probeRefused(long now, int memberId, long probedAt) { probedAt = now;",
                         "lateRefusalFreesNoQuota"),
                 new SourceMutation(
-                        "a superseded process hears nothing more",
+                        "a superseded process ignores messages",
                         "MembershipProtocol",
                         "if (!members.contains(sender) || sender == config.memberId()) {",
                         "if (local.isSuperseded() || !members.contains(sender) || sender == config.memberId()) {",
                         "oldProcessTakesOverAfterFailedUpgrade"),
                 new SourceMutation(
-                        "any version is read",
+                        "messages of any version are accepted",
                         "MembershipMessage",
                         "                || bytes[1] != VERSION\n",
                         "",
@@ -158,19 +159,19 @@
                         "PROBE_AFTER_HEARTBEATS = 5;",
                         "oneOrFourOf8KilledAtOnceAreDetectedWithin240Ms"),
                 new SourceMutation(
-                        "who comes to be observed when others die is probed like all",
+                        "a member newly observed after a loss is not probed early",
                         "Neighbours",
                         "member.possiblyUnobserved = true;",
                         "",
                         "halfOf100KilledAtOnceAreDetectedWithin260Ms"),
                 new SourceMutation(
-                        "those behind a member that was refused are not looked for",
+                        "members behind one whose host refused probes are not observed",
                         "Neighbours",
                         "member.probesRefused > 0 || ",
                         "",
                         "halfOf100KilledAtOnceAreDetectedWithin260Ms"),
                 new SourceMutation(
-                        "one member's refusals are proof",
+                        "refusals to one member prove a death",
                         "FailureDetector",
                         "boolean refusedToAnother = ",
                         "boolean refusedToAnother = true || ",
@@ -182,13 +183,13 @@
                         "true",
                         "forgedRefusalsToTwoObserversFreeNoQuota"),
                 new SourceMutation(
-                        "a refusal of what was counts",
+                        "a refusal older than the last heartbeat counts",
                         "ReachabilityProber",
                         "Math.max(member.lastAliveAt, member.incarnationKnownAt)",
                         "Long.MIN_VALUE",
                         "outdatedRefusalIsIgnored"),
                 new SourceMutation(
-                        "a member started again is what it was",
+                        "updates of an earlier incarnation are accepted",
                         "UpdateMerger",
                         "update.incarnation() < member.incarnation",
                         "update.incarnation() < member.incarnation - 100_000",
@@ -200,7 +201,7 @@
                         "if (false) {",
                         "flippedBitsCauseNoException"),
                 new SourceMutation(
-                        "chance has no seed",
+                        "the random generator has no fixed seed",
                         "MembershipContext",
                         "new SplittableRandom(ObserverRings.mix(config.startedMs(), config.memberId()))",
                         "new SplittableRandom()",
@@ -215,7 +216,7 @@
                 .map(mistake -> mistake.detectionTest(folder, SOURCES, MutationsTest.class));
     }
 
-    /** Plays one property, or all, and says which ones fail. */
+    /** Runs one property, or all of them, and prints which ones fail. */
     public static void main(String[] args) {
         var selected = args.length > 0
                 ? DiscoverySelectors.selectMethod(
--- a/src/test/java/magpiewheel/membership/PartitionScenarios.java
+++ b/src/test/java/magpiewheel/membership/PartitionScenarios.java
@@ -6,14 +6,17 @@
 import magpiewheel.membership.SimulatedFleet.Plan;
 import magpiewheel.membership.SimulatedFleet.Process;
 
-/** Partitions in simulated time: each method plays one seed and returns a measurement. */
+/** Partitions in simulated time. Each method runs one seed and returns a measurement. */
 final class PartitionScenarios {
     private static final long MS = SimulatedFleet.MS;
     private static final long SECOND = SimulatedFleet.SECOND;
 
     private PartitionScenarios() {}
 
-    /** A cut of one direction: how long until the front knows that it is isolated, and the effect on others. */
+    /**
+     * A cut of one direction: the time until the member considers itself isolated, in microseconds, and the effect on
+     * others.
+     */
     record OneWayCut(long isolatedUs, int falseDeaths, boolean othersIsolated, boolean othersComplete) {}
 
     static OneWayCut oneWayCut(long seed, int memberCount, boolean inbound) {
@@ -53,7 +56,10 @@
                 othersComplete);
     }
 
-    /** A split: how long after healing all views are equal and all alive, us; deaths reported within a side. */
+    /**
+     * A split: the times from healing until all views are equal and until all members are alive, in microseconds, and
+     * the deaths reported within a side.
+     */
     record Split(long equalUs, long aliveUs, int deathsWithin) {}
 
     static Split split(long seed, int memberCount, int sides, long us) {
@@ -91,8 +97,9 @@
     }
 
     /**
-     * A front announces that it leaves, and ends. As soon as one other knows, the fleet is split for a moment too short
-     * for a death, so that only one side receives the repeated announcement; the time until all know, us.
+     * A member announces that it leaves, and ends. As soon as one other member knows, the fleet is split for a time too
+     * short for a death to be declared, so that only one side receives the repeated announcement. Returns the time
+     * until all know, in microseconds.
      */
     static long missedLeave(long seed, int memberCount) {
         SimulatedFleet fleet =
@@ -121,7 +128,10 @@
         return elapsedUs < 0 ? SimulationHelpers.NEVER : elapsedUs;
     }
 
-    /** Most changes of any verdict within 2 s, while a front's links are cut and opened faster than once a second. */
+    /**
+     * Returns the most changes of any verdict within 2 s, while a member's links are cut and restored faster than once
+     * a second.
+     */
     static int flapping(long seed, int memberCount) {
         SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(3 * SECOND);
--- a/src/test/java/magpiewheel/membership/QuotaScenarios.java
+++ b/src/test/java/magpiewheel/membership/QuotaScenarios.java
@@ -3,14 +3,17 @@
 import java.util.List;
 import magpiewheel.membership.SimulatedFleet.Plan;
 
-/** Effects on the quotas of the running fronts: each method plays one seed. */
+/** Effects of failures on the quotas of the running members. Each method runs one seed. */
 final class QuotaScenarios {
     private static final long MS = SimulatedFleet.MS;
     private static final long SECOND = SimulatedFleet.SECOND;
 
     private QuotaScenarios() {}
 
-    /** The highest sum of quotas, how much the quota of the survivors grew in 4 s, and the sum after the recovery. */
+    /**
+     * The highest sum of quotas, the factor by which the smallest quota of a survivor grew in 4 s, and the sum of
+     * quotas after the recovery.
+     */
     record MassFailure(double highestQuotaSum, double growth, double after) {}
 
     static MassFailure massFailure(long seed, int memberCount) {
@@ -40,8 +43,9 @@
     }
 
     /**
-     * An observer is paused between its probe (the first after the death, or a later one) and the answer, the dead
-     * front returns, and the observer hears nothing for a while after it went on: what it reads then is an old refusal.
+     * An observer is paused between its probe (the first after the death, or a later one) and the answer. The dead
+     * member restarts meanwhile, and the observer receives no datagrams for a while after it resumes, so that the
+     * refusal it then reads is out of date.
      */
     static QuotaSumMonitor lateRefusal(long seed, int memberCount, boolean early) {
         SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
--- a/src/test/java/magpiewheel/membership/QuotaSumMonitor.java
+++ b/src/test/java/magpiewheel/membership/QuotaSumMonitor.java
@@ -2,7 +2,7 @@
 
 import magpiewheel.membership.SimulatedFleet.Process;
 
-/** Checks the sums of all quotas after every event. */
+/** Records the highest sum of quotas, of the fleet and of each zone, after every event. */
 final class QuotaSumMonitor {
     double highestSum;
     String highestSumDescription = "";
@@ -12,7 +12,7 @@
     QuotaSumMonitor(SimulatedFleet fleet) {
         fleet.onEvent = process -> {
             if (fleet.now >= nextCheckAt) {
-                // Every event of a small fleet, every 10 ms of a large one.
+                // In a small fleet after every event, in a large one every 10 ms.
                 nextCheckAt = fleet.plan.memberCount() > 24 ? fleet.now + 10 * SimulatedFleet.MS : fleet.now;
                 check(fleet);
             }
--- a/src/test/java/magpiewheel/membership/SimulatedFleet.java
+++ b/src/test/java/magpiewheel/membership/SimulatedFleet.java
@@ -11,22 +11,21 @@
 import magpiewheel.support.Fingerprint;
 
 /**
- * Memberships of a whole fleet on a clock of their own: one thread, one queue of events, and a network between them
- * that delays, loses, duplicates, reorders and partitions as its seed says. Equal seeds and equal calls give equal
- * runs.
+ * The memberships of a whole fleet on a simulated clock: one thread, one event queue, and a network that delays, loses,
+ * duplicates, reorders and partitions datagrams depending on a seed. Equal seeds and equal calls give equal runs.
  */
 final class SimulatedFleet {
     static final long MS = 1_000;
     static final long SECOND = 1_000_000;
     static final long HEARTBEAT_US = 50 * MS;
-    /** us; Unix time at the run's start. */
+    /** Unix time at the start of the run. */
     private static final long EPOCH_US = 1_800_000_000_000_000L;
-    /** Datagrams that wait in the socket of a process that reads none. */
+    /** Maximum number of datagrams queued in the socket of a paused process. */
     private static final int SOCKET_CAPACITY = 256;
 
     private static final int MAX_DATAGRAM_BYTES = 256;
 
-    /** The parameters of a run; fronts are assigned to zones in turn. */
+    /** Parameters of a run. Members are assigned to zones in turn. */
     record Plan(long seed, int memberCount, int zoneCount, long heartbeatUs, boolean refusals) {
         static Plan of(long seed, int memberCount) {
             return new Plan(seed, memberCount, 3, HEARTBEAT_US, true);
@@ -56,7 +55,7 @@
         final byte[] message;
         final boolean delayed;
         final Runnable action;
-        /** Of a probe and its answer: when the process sent the probe, us. */
+        /** When the probe was sent, for a probe and its refusal. */
         long probedAt;
 
         Event(
@@ -86,7 +85,7 @@
         }
     }
 
-    /** A process of a front. Its machine's clock is off by a constant. */
+    /** A process of a member. The clock of its machine has a constant offset. */
     final class Process implements DatagramSender {
         final int memberId;
         final long startedAt = now;
@@ -120,7 +119,7 @@
                     this);
         }
 
-        /** us; Unix time as this machine has it. */
+        /** Returns the Unix time of this machine, in microseconds. */
         long clock() {
             return EPOCH_US + now + clockSkewUs[memberId];
         }
@@ -132,7 +131,8 @@
                     || to == memberId
                     || to < 0
                     || to >= plan.memberCount) {
-                throw new AssertionError(message.length + " bytes from " + memberId + " to " + to);
+                throw new AssertionError(
+                        "invalid datagram of " + message.length + " bytes from member " + memberId + " to " + to);
             }
             messages++;
             bytes += message.length;
@@ -144,7 +144,7 @@
         @Override
         public void probe(int to, long probedAt) {
             if (!plan.refusals || to == memberId || to < 0 || to >= plan.memberCount) {
-                throw new AssertionError("probe from " + memberId + " to " + to);
+                throw new AssertionError("invalid probe from member " + memberId + " to " + to);
             }
             probes++;
             actions.add(now).add((long) memberId).add((long) to).add(probedAt);
@@ -172,15 +172,15 @@
 
         @Override
         public String toString() {
-            return "front " + memberId + " since " + startedAt / MS + " ms";
+            return "member " + memberId + " started at " + startedAt / MS + " ms";
         }
     }
 
     final Plan plan;
-    /** Of all messages and probes, with their times. */
+    /** Fingerprint of all messages and probes, with their times. */
     final Fingerprint actions = new Fingerprint();
     /**
-     * Shares of datagrams that are lost, duplicated, reordered (up to 60 ms late) and delayed (up to
+     * Fractions of datagrams that are lost, duplicated, reordered (up to 60 ms late) and delayed (up to
      * {@link #maxDelayUs}).
      */
     double lossRate;
@@ -189,11 +189,11 @@
     double reorderRate;
     double delayRate;
     long maxDelayUs = 5 * SECOND;
-    /** Sees each message that is sent. */
+    /** Receives each message that is sent. */
     Consumer<byte[]> onMessage = message -> {};
-    /** Sees each probe: its sender and its target. */
+    /** Receives the sender and the target of each probe. */
     BiConsumer<Process, Integer> onProbe = (process, at) -> {};
-    /** Called after everything that a process handled. */
+    /** Receives a process after each event that it handled. */
     Consumer<Process> onEvent = process -> {};
 
     long now;
@@ -229,13 +229,13 @@
         return 0x0a000000 + member;
     }
 
-    /** The youngest running process of a front, or null. */
+    /** Returns the youngest running process of a member, or null. */
     Process processOf(int member) {
         List<Process> all = processes.get(member);
         return all.isEmpty() ? null : all.get(all.size() - 1);
     }
 
-    /** Youngest processes of fronts that run. */
+    /** Returns the youngest process of each running member. */
     List<Process> running() {
         List<Process> all = new ArrayList<>();
         for (int member = 0; member < plan.memberCount; member++) {
@@ -246,7 +246,7 @@
         return all;
     }
 
-    /** Starts a process of a front, beside the one it may have; it starts serving after a delay. */
+    /** Starts a process of a member, in addition to any that runs; it starts to serve after a delay. */
     Process start(int member, long servingDelayUs) {
         machineFailed[member] = false;
         Process process = new Process(member);
@@ -266,7 +266,7 @@
         }
     }
 
-    /** Starts every front within the first half second. */
+    /** Starts all members within half a second. */
     SimulatedFleet startAll() {
         for (int member = 0; member < plan.memberCount; member++) {
             int memberToStart = member;
@@ -276,13 +276,19 @@
         return this;
     }
 
-    /** Starts every front and waits until all views are the same and whole; how long that took, us. */
+    /**
+     * Starts all members and runs until all views are equal and complete. Returns the time after the start, in
+     * microseconds, or -1.
+     */
     long converge(long timeoutUs) {
         startAll();
         return runUntil(timeoutUs, this::converged);
     }
 
-    /** Runs until something holds, looking every 5 ms; how long that took, or -1. */
+    /**
+     * Runs until a condition holds, which is checked every 5 ms. Returns the elapsed time in microseconds, or -1 after
+     * the timeout.
+     */
     long runUntil(long timeoutUs, BooleanSupplier condition) {
         long from = now;
         while (!condition.getAsBoolean()) {
@@ -315,7 +321,7 @@
         return running.stream().allMatch(process -> process.membership.digest() == first);
     }
 
-    /** Ends all processes of a front; its machine goes on and refuses probes. */
+    /** Ends all processes of a member; its machine keeps running and refuses probes. */
     void kill(int member) {
         for (Process process : processes.get(member)) {
             process.running = false;
@@ -331,13 +337,13 @@
         processes.get(process.memberId).remove(process);
     }
 
-    /** The whole machine fails: nothing refuses probes in its name. */
+    /** Fails the machine of a member: its processes end, and probes are not refused. */
     void failMachine(int member) {
         kill(member);
         machineFailed[member] = true;
     }
 
-    /** The processes of a front handle nothing for a while; datagrams wait in their sockets. */
+    /** Pauses the processes of a member; datagrams queue up in their sockets. */
     void pause(int member, long us) {
         for (Process process : processes.get(member)) {
             process.paused = true;
@@ -346,7 +352,7 @@
         }
     }
 
-    /** The links between the fronts, which scenarios cut and heal. */
+    /** Returns the links between the members, which scenarios cut and heal. */
     SimulatedLinks links() {
         return links;
     }
@@ -366,17 +372,20 @@
         now = end;
     }
 
-    /** Equal for equal runs. */
+    /** Returns a hash of the handled events, which is equal for equal runs. */
     long trace() {
         return trace;
     }
 
-    /** What all running processes may use of a limit of one together; of two processes of a front the larger share. */
+    /**
+     * Returns the sum of what all running processes may use of a limit of 1; of several processes of a member, the
+     * largest share counts.
+     */
     double quotaSum() {
         return quotaSum(-1);
     }
 
-    /** Likewise of a zone's limit; of the whole fleet's for -1. */
+    /** Returns the same sum for a zone's limit, or for the limit of the whole fleet if {@code zone} is -1. */
     double quotaSum(int zone) {
         double sum = 0;
         for (int member = 0; member < plan.memberCount; member++) {
@@ -478,7 +487,7 @@
             }
             case RESUME -> resume(event.process);
             case ACTION -> event.action.run();
-            default -> throw new IllegalStateException();
+            default -> throw new IllegalStateException("unexpected event " + event.type);
         }
     }
 
@@ -501,7 +510,10 @@
         afterEvent(process);
     }
 
-    /** What waited is handled before or after what is due: either may come first. */
+    /**
+     * Resumes a paused process. Queued datagrams are handled at random before or after the tick, as either may come
+     * first.
+     */
     private void resume(Process process) {
         if (!process.running || !process.paused || process.resumesAt > now) {
             return;
--- a/src/test/java/magpiewheel/membership/SimulatedLinks.java
+++ b/src/test/java/magpiewheel/membership/SimulatedLinks.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** The links of a simulated fleet: which datagrams and probes between two fronts are blocked. */
+/** The links of a simulated fleet: which datagrams and probes between two members are blocked. */
 final class SimulatedLinks {
     private final int memberCount;
     private final boolean[] outboundCut;
@@ -20,17 +20,17 @@
         filtered = new boolean[memberCount][];
     }
 
-    /** Nothing that the front sends arrives. */
+    /** Blocks or restores everything that a member sends. */
     void setOutboundCut(int member, boolean cut) {
         outboundCut[member] = cut;
     }
 
-    /** Nothing arrives at the front. */
+    /** Blocks or restores everything sent to a member. */
     void setInboundCut(int member, boolean cut) {
         inboundCut[member] = cut;
     }
 
-    /** Blocks or opens one direction between two fronts. */
+    /** Blocks or restores one direction between two members. */
     void setOneWayCut(int from, int to, boolean cut) {
         if (oneWayCut[from] == null) {
             oneWayCut[from] = new boolean[memberCount];
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Places a filter between two fronts: nothing passes, and probes of the first are refused, whether the other runs
-     * or not.
+     * Places a filter between two members: no datagrams pass, and it refuses probes by the first in the name of the
+     * second, whether that runs or not.
      */
     void addFilter(int from, int to) {
         setOneWayCut(from, to, true);
@@ -51,17 +51,17 @@
         filtered[from][to] = true;
     }
 
-    /** Whether a filter refuses probes of one front in the name of another. */
+    /** Whether a filter refuses probes by one member in the name of another. */
     boolean forgesRefusals(int from, int to) {
         return filtered[from] != null && filtered[from][to];
     }
 
-    /** Splits the fleet by the side of each front. */
+    /** Splits the fleet into sides, given for each member. */
     void split(int... sides) {
         System.arraycopy(sides, 0, sideOf, 0, sides.length);
     }
 
-    /** All links are open again; a killed process stays dead. */
+    /** Restores all links and removes all filters; killed processes stay dead. */
     void heal() {
         Arrays.fill(sideOf, 0);
         Arrays.fill(outboundCut, false);
@@ -70,7 +70,7 @@
         Arrays.fill(filtered, null);
     }
 
-    /** Whether nothing that one front sends arrives at another now. */
+    /** Whether datagrams from one member to another are currently blocked. */
     boolean isCut(int from, int to) {
         return sideOf[from] != sideOf[to]
                 || outboundCut[from]
--- a/src/test/java/magpiewheel/membership/SimulationHelpers.java
+++ b/src/test/java/magpiewheel/membership/SimulationHelpers.java
@@ -6,9 +6,9 @@
 import magpiewheel.membership.SimulatedFleet.Plan;
 import magpiewheel.membership.SimulatedFleet.Process;
 
-/** Helpers that the scenarios of a simulated fleet share. */
+/** Helpers shared by the scenarios of a simulated fleet. */
 final class SimulationHelpers {
-    /** us; stands for an event that did not happen. */
+    /** Stands for the time of an event that did not happen, in microseconds. */
     static final long NEVER = 3_600 * SimulatedFleet.SECOND;
 
     private SimulationHelpers() {}
@@ -65,7 +65,7 @@
         return List.of(order);
     }
 
-    /** Of sorted values. */
+    /** Returns a percentile of sorted values. */
     static long percentile(List<Long> sorted, double share) {
         return sorted.get(Math.min(sorted.size() - 1, (int) Math.ceil(share * sorted.size()) - 1));
     }
--- a/src/test/java/magpiewheel/membership/TrafficScenarios.java
+++ b/src/test/java/magpiewheel/membership/TrafficScenarios.java
@@ -4,14 +4,14 @@
 import magpiewheel.membership.SimulatedFleet.Plan;
 import magpiewheel.membership.SimulatedFleet.Process;
 
-/** What a fleet in simulated time sends: each method plays one seed and returns a measurement. */
+/** Traffic of a fleet in simulated time. Each method runs one seed and returns a measurement. */
 final class TrafficScenarios {
     private static final long MS = SimulatedFleet.MS;
     private static final long SECOND = SimulatedFleet.SECOND;
 
     private TrafficScenarios() {}
 
-    /** Messages and bytes that a front sends in a second once all views are equal. */
+    /** Messages and bytes that a member sends per second once all views are equal. */
     record Rate(double messages, double bytes) {}
 
     static Rate rate(long seed, int memberCount, long us) {
@@ -28,7 +28,10 @@
                 (fleet.running().stream().mapToLong(process -> process.bytes).sum() - bytes) / memberSeconds);
     }
 
-    /** Messages and bytes that a front sends in a second at rest, and while all are restarted, a tenth at a time. */
+    /**
+     * Messages and bytes that a member sends per second at rest and while all are restarted, a tenth at a time, and the
+     * time until the views converge after that, in microseconds.
+     */
     record RollingRestart(Rate rest, Rate rolling, long convergenceUs) {}
 
     static RollingRestart rollingRestart(long seed, int memberCount, long heartbeatUs, long stepUs) {
@@ -66,7 +69,7 @@
         process.membership.setDraining(process.clock(), true);
     }
 
-    /** Probes that a front sends in a second while none is dead. */
+    /** Returns the probes that a member sends per second while no member is dead. */
     static double probesPerSecond(long seed, int memberCount, double loss, long us) {
         SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(SECOND);
@@ -80,7 +83,7 @@
                 / memberCount;
     }
 
-    /** Messages that a returning front has received when it first knows all others. */
+    /** Returns the number of messages that a returning member has received when it first knows all others. */
     static long messagesUntilRejoined(long seed, int memberCount) {
         SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(SECOND + fleet.random().nextLong(SECOND));
