--- a/src/main/java/magpiewheel/routing/Attempt.java
+++ b/src/main/java/magpiewheel/routing/Attempt.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** One attempt of a request at an endpoint, and whose fault its failure was. */
+/** One attempt of a request at an endpoint, and which endpoint is at fault if it failed. */
 final class Attempt {
     final Endpoint target;
     final Endpoint source;
@@ -9,7 +9,7 @@
     final double fillProbability;
     boolean open = true;
     boolean sourceAtFault;
-    /** It ended with an error that is the fault of either the endpoint or the request. */
+    /** Whether it ended with an error that either the endpoint or the request caused. */
     boolean ambiguousError;
 
     AttemptResult result;
@@ -22,7 +22,12 @@
         this.fillProbability = fillProbability;
     }
 
-    /** Counts it at its endpoints: so many in flight, and its work wherever that will be done. */
+    /**
+     * Counts the attempt at its endpoints.
+     *
+     * @param workUs its estimated work, counted at the target and at a fill source
+     * @param inFlightCount how much it adds to the attempts in flight at the target
+     */
     void start(long now, double workUs, int inFlightCount) {
         target.ownInFlight += inFlightCount;
         target.recentWork.add(now, workUs);
@@ -32,7 +37,7 @@
         }
     }
 
-    /** Takes back what was counted for it. */
+    /** Records the result, and removes the attempt from the counts of attempts and fills in flight. */
     void end(AttemptResult attemptResult, int inFlightCount) {
         open = false;
         result = attemptResult;
--- a/src/main/java/magpiewheel/routing/AttemptPlan.java
+++ b/src/main/java/magpiewheel/routing/AttemptPlan.java
@@ -4,14 +4,15 @@
  * How an endpoint is to serve an attempt.
  *
  * @param retentionRank how long the object is to be cached: 0 not at all, then from 1 (evicted first) to 3
- * @param deadlineUs when the attempt is to be given up
+ * @param deadlineUs when the attempt is abandoned
  * @param joinFill whether it may join a fill in flight
  * @param cachedOnly whether a parent may serve only what it holds
- * @param bypassParentCache whether a parent is not to cache the object
+ * @param bypassParentCache whether a parent must not cache the object
  * @param revalidate whether a stale copy may be revalidated
- * @param fillSource where a miss is filled from; the endpoint itself for nowhere
- * @param maxAgeUs the oldest acceptable copy; 0 for the class's own fresh time
- * @param startByUs from then on it may not start: a drain, a purge or the end of a key's window could forbid it
+ * @param fillSource the endpoint that fills a miss; the target itself if a miss is not filled
+ * @param maxAgeUs the maximum age of an acceptable copy; 0 for the class's own fresh time
+ * @param startByUs when the attempt may no longer start, as a drain, a purge or the end of an idempotency window could
+ *     forbid it
  */
 public record AttemptPlan(
         int retentionRank,
@@ -24,12 +25,12 @@
         long maxAgeUs,
         long startByUs) {
 
-    /** Starts an attempt plan with what it can't do without; all else has its preset. */
+    /** Returns a builder with the required values; other values have their defaults. */
     public static Builder builder(long fillSource) {
         return new Builder(fillSource);
     }
 
-    /** Collects the parts of an attempt plan; for one thread. */
+    /** Builder of an attempt plan; not thread-safe. */
     public static final class Builder {
         private final long fillSource;
         private int retentionRank;
@@ -93,7 +94,7 @@
             return this;
         }
 
-        /** The attempt plan as set so far. */
+        /** Returns an attempt plan with the values set so far. */
         public AttemptPlan build() {
             return new AttemptPlan(
                     retentionRank,
--- a/src/main/java/magpiewheel/routing/AttemptStarter.java
+++ b/src/main/java/magpiewheel/routing/AttemptStarter.java
@@ -1,8 +1,8 @@
 package magpiewheel.routing;
 
-/** Starts an attempt on a route: makes its plan and counts it wherever it counts. */
+/** Starts an attempt on a route: creates its plan and counts it at its endpoints, fill limit and region. */
 final class AttemptStarter {
-    /** Retention rank of an object at its first request, and of one that was requested before. */
+    /** Retention rank of an object at its first request, and at later requests. */
     private static final int FIRST_REQUEST_RANK = 1;
 
     private static final int REPEATED_REQUEST_RANK = 2;
@@ -18,9 +18,15 @@
     private final RegionBridge regions;
     private final StalenessBridge staleness;
     private final RoutingActions actions;
-    /** How long a plan holds: it must start before a drain or a purge notified meanwhile would forbid it. */
+    /**
+     * How long after its creation an attempt may start, in microseconds: before a drain or a purge announced meanwhile
+     * would forbid it.
+     */
     private final long startWithinUs;
-    /** A fill that began before a purge may land after the caches dropped their older copies. */
+    /**
+     * How long after a purge its age limit applies, in microseconds. A fill that began before the purge may end after
+     * the caches dropped their older copies.
+     */
     private final long purgeRelevantUs;
 
     AttemptStarter(
@@ -47,7 +53,7 @@
         purgeRelevantUs = limits.purgeCompletionUs() + settings.longestDeadlineUs();
     }
 
-    /** Starts it. */
+    /** Starts an attempt of a request. */
     void start(long now, InFlightRequest request, Route route) {
         boolean write = request.requestClass.write();
         int rank = write ? 0 : retentionRank(request);
@@ -88,7 +94,10 @@
                 .build();
     }
 
-    /** A preferred bound is given up where no fill may go out for it, and with the second attempt of a request. */
+    /**
+     * Whether the attempt keeps to the staleness bound. A preferred bound is dropped if no fill may be started for it,
+     * and from the second attempt that is not a lookup.
+     */
     private static boolean enforcesBound(InFlightRequest request, Route route, boolean suppressFill) {
         boolean firstFill =
                 request.attempts.size() == request.cachedOnlyAttempts && !route.noFurtherAttempts() && !suppressFill;
@@ -97,7 +106,7 @@
 
     private void countAttempt(long now, InFlightRequest request, Attempt attempt) {
         double workUs = transfers.conservativeUs(request.request.requestClass());
-        // A write only waits for the origin: counted in flight, a slow one would crowd hits out of sound caches.
+        // A write only waits for the origin: counted as in flight, slow writes would displace hits at healthy caches.
         attempt.start(now, workUs, request.requestClass.write() ? 0 : 1);
         limiter.fillStarted(attempt.fillProbability);
         regions.attemptStarted(now, attempt, request.request.objectId(), workUs, transfers.transferUs(request.request));
--- a/src/main/java/magpiewheel/routing/InFlightRequest.java
+++ b/src/main/java/magpiewheel/routing/InFlightRequest.java
@@ -14,22 +14,22 @@
     boolean completed;
     boolean noMoreAttempts;
     final long arrivedAt;
-    /** Attempts that asked a cache only for what it holds. */
+    /** Number of lookups: attempts that a cache may answer only from what it holds. */
     int cachedOnlyAttempts;
-    /** When the next of those may start; {@link Long#MAX_VALUE} for never. */
+    /** When the next lookup may start; {@link Long#MAX_VALUE} for never. */
     long nextLookupAt;
-    /** The cache whose fill the request waits for; null while it waits for none. */
+    /** The cache whose fill the request waits for; null if it does not wait. */
     Endpoint awaitedCache;
 
     final LocalCopy localCopy;
-    /** When the origin gave out the router's own copy, by this router's clock. */
+    /** When the origin issued the local copy, by this router's clock. */
     final long localCopyIssuedAt;
     /** The staleness bound of the response. */
     StalenessBound bound = StalenessBound.NONE;
-    /** Whether the bound can't be proven, or a copy came that violates it. */
+    /** Whether a strict bound cannot be proven, or an attempt returned a copy that violates the bound. */
     boolean boundUnproven;
 
-    /** A request that arrived now; the copy is null where the router has none. */
+    /** Creates a request that arrived now; the local copy is null if there is none. */
     InFlightRequest(RoutingRequest request, RequestClass requestClass, long now, long deadline, LocalCopy localCopy) {
         this.localCopy = localCopy;
         this.arrivedAt = now;
@@ -39,21 +39,21 @@
         this.deadline = deadline;
     }
 
-    /** An attempt starts; the next one that asks only for what a cache holds has to be scheduled anew. */
+    /** Adds an attempt that starts, and cancels the scheduled lookup. */
     void attemptStarted(Attempt attempt, boolean cachedOnly) {
         attempts.add(attempt);
         cachedOnlyAttempts += cachedOnly ? 1 : 0;
         nextLookupAt = Long.MAX_VALUE;
     }
 
-    /** Sets the staleness bound. A strict read whose bound can't be proven is not attempted. */
+    /** Sets the staleness bound. A strict read whose bound cannot be proven is not attempted. */
     void setBound(StalenessBound newBound) {
         bound = newBound;
         boundUnproven = newBound.strict() && !newBound.provable();
         noMoreAttempts = boundUnproven;
     }
 
-    /** Whether an endpoint recognises the idempotency keys of another; every endpoint does where that is null. */
+    /** Whether an endpoint recognises the idempotency keys of {@code keyOwner}; always true if that is null. */
     boolean isInKeyScope(Endpoint keyOwner, Endpoint endpoint) {
         return keyOwner == null
                 || (requestClass.keyScope() == IdempotencyKeyScope.CELL
@@ -66,13 +66,13 @@
         return request.objectId() == other.objectId() && request.part() == other.part();
     }
 
-    /** The attempt of a number if it is still open, else null. */
+    /** Returns the attempt with a number if it is open, else null. */
     Attempt openAttempt(int number) {
         boolean exists = number >= 0 && number < attempts.size();
         return exists && attempts.get(number).open ? attempts.get(number) : null;
     }
 
-    /** The numbers of the open attempts. */
+    /** Returns the numbers of the open attempts. */
     List<Integer> openAttemptNumbers() {
         return IntStream.range(0, attempts.size())
                 .filter(number -> attempts.get(number).open)
@@ -80,7 +80,7 @@
                 .toList();
     }
 
-    /** The first attempt that is open, or whose result does not prove that it never ran; null if there is none. */
+    /** Returns the first attempt that is open or whose result does not prove that it never ran, or null. */
     Attempt firstAttemptThatMayHaveRun() {
         return attempts.stream()
                 .filter(attempt -> attempt.open || !attempt.result.neverRan)
@@ -88,22 +88,22 @@
                 .orElse(null);
     }
 
-    /** The newest attempt; null before the first. */
+    /** Returns the newest attempt; null before the first. */
     Attempt lastAttempt() {
         return attempts.isEmpty() ? null : attempts.get(attempts.size() - 1);
     }
 
-    /** Whether an attempt already failed for a reason that lies with the endpoint itself. */
+    /** Whether an attempt was already made at an endpoint and its source was not at fault. */
     boolean failedAt(Endpoint endpoint) {
         return attempts.stream().anyMatch(attempt -> attempt.target == endpoint && !attempt.sourceAtFault);
     }
 
-    /** Whether an attempt that the endpoint was to fill, or to serve past the caches, already failed. */
+    /** Whether an attempt was already made with an endpoint as its source or target. */
     boolean failedVia(Endpoint endpoint) {
         return attempts.stream().anyMatch(attempt -> attempt.source == endpoint || attempt.target == endpoint);
     }
 
-    /** How many attempts are open. */
+    /** Returns the number of open attempts. */
     int openAttempts() {
         int open = 0;
         for (Attempt attempt : attempts) {
--- a/src/main/java/magpiewheel/routing/RequestRouter.java
+++ b/src/main/java/magpiewheel/routing/RequestRouter.java
@@ -10,40 +10,44 @@
 import magpiewheel.region.RegionConfig;
 
 /**
- * The order in which the decisions on a request are made; each decision is a class of its own in this package.
+ * Makes the decisions on a request in order; each decision is a class of its own in this package.
  *
  * <ul>
- *   <li>{@link RetryPolicy} and {@link RetryBudget}: may an attempt start at all.
+ *   <li>{@link RetryPolicy} and {@link RetryBudget}: whether an attempt may start.
  *   <li>{@link CacheSelector}: the known holder, else the first cache with capacity in rendezvous order.
- *   <li>{@link LocalCopyPolicy} and {@link CachedOnlyPolicy}: can the request be answered without a fill.
- *   <li>{@link FillSourceSelector} and {@link RouteSelector}: where a miss is filled from, and whether it may be.
- *   <li>{@link OutcomeProcessor}: what the outcome says of endpoints, objects and limits.
+ *   <li>{@link LocalCopyPolicy} and {@link CachedOnlyPolicy}: whether the request can be answered without a fill.
+ *   <li>{@link FillSourceSelector} and {@link RouteSelector}: which source fills a miss, and whether the limits admit
+ *       the fill.
+ *   <li>{@link OutcomeProcessor}: how the outcome of an attempt updates endpoints, objects and limits.
  * </ul>
  *
- * <p>An instance has no clock, no socket and no thread; see {@link RoutingPolicy} for what a caller has to keep to.
+ * <p>An instance has no clock, no socket and no thread; {@link RoutingPolicy} states the contract with the caller.
  */
 public final class RequestRouter implements RoutingPolicy {
-    /** us; from one tick to the next: short against a transfer. */
+    /** Interval between periodic ticks, in microseconds; short compared with a transfer. */
     static final long TICK_INTERVAL_US = 100_000;
-    /** us; least advice to a rejected client: long enough for a queue to drain, short against its patience. */
+    /**
+     * Minimum retry-after advice to a rejected client, in microseconds: long enough for a queue to drain, short
+     * compared with how long a client keeps trying.
+     */
     private static final long MIN_RETRY_AFTER_US = 300_000;
-    /** us; time until discovery is asked again after a failure. */
+    /** Delay before subscribing to discovery again after a failure, in microseconds. */
     private static final long RESUBSCRIBE_DELAY_US = 500_000;
-    /** Handles of the timers. */
+    /** Timer handles. */
     private static final long TICK_TIMER = 0;
 
     private static final long SUBSCRIBE_TIMER = 1;
     private static final long FLEET_TIMER = 2;
     private static final long LOOKUP_TIMER = 3;
-    /** Peers remembered: a bound against senders that make up numbers. */
+    /** Maximum number of peers remembered; a bound against senders that forge router numbers. */
     private static final int MAX_PEERS = 1_024;
-    /** us; a silent peer is remembered for so long: a message that comes then is known to be late. */
+    /** How long a silent peer is remembered, in microseconds, so that its late messages are recognised as late. */
     private static final long PEER_EXPIRY_US = 10_000_000;
 
     private final RoutingSettings settings;
     private final RoutingActions actions;
     private final SplittableRandom random;
-    /** Requests in flight, in the order of their arrival. */
+    /** Requests in flight by identifier, in order of arrival. */
     private final Map<Long, InFlightRequest> inFlight = new LinkedHashMap<>();
 
     private final FleetProtocols fleet;
@@ -68,11 +72,11 @@
     private boolean subscribed;
 
     /**
-     * An instance that knows only its settings; its first list follows.
+     * Creates a router without endpoints; {@link #endpointsChanged} delivers the first endpoint list.
      *
-     * @param seed the source of all that it draws at random
-     * @param regionConfig the regions; null where they are off
-     * @param boundedReads whether hints of requests are heeded
+     * @param seed the seed of all random decisions
+     * @param regionConfig the configuration of regions; null if they are off
+     * @param boundedReads whether the read hints of requests are applied
      */
     public RequestRouter(
             RoutingSettings settings,
@@ -187,7 +191,10 @@
         advance(now, arrived);
     }
 
-    /** Starts the next attempt of a request or ends it; it waits only for a fill in flight. */
+    /**
+     * Starts the next attempt of a request, or gives its final answer once no attempt is open. Without an open attempt
+     * a request waits only for a fill in flight.
+     */
     private void advance(long now, InFlightRequest request) {
         RetryPolicy.Permit permit = retryPolicy.permit(now, request);
         int retries = request.attempts.size() > request.cachedOnlyAttempts ? 1 : 0;
@@ -205,7 +212,7 @@
         }
     }
 
-    /** Starts an attempt, serves the local copy or lets the request wait; false if none of that is possible. */
+    /** Starts an attempt, serves the local copy or lets the request wait; returns false if none is possible. */
     private boolean tryNextStep(long now, InFlightRequest request, RetryPolicy.Permit permit) {
         boolean write = request.requestClass.write();
         Endpoint target = write
@@ -232,7 +239,10 @@
         return true;
     }
 
-    /** By the selected cache; without one past the caches, where that is allowed, else by any cache at all. */
+    /**
+     * Routes a read via the selected cache. Without one the read bypasses the caches if that is allowed and admitted,
+     * else it goes to any cache, even an ejected one.
+     */
     private Route readRoute(
             long now, InFlightRequest request, RetryPolicy.Permit permit, Endpoint target, boolean cached) {
         if (target != null || !settings.mayBypassCaches()) {
@@ -245,7 +255,7 @@
         return routes.viaCache(now, request, cacheSelector.forRead(now, request, permit, true), false, cached);
     }
 
-    /** Gives the final answer: the local copy at last, a rejection where it is safe, else a failure. */
+    /** Gives the final answer: the local copy as a last resort, a rejection if a retry is safe, else a failure. */
     private void giveFinalAnswer(long now, InFlightRequest request, RetryPolicy.Permit permit) {
         if (localCopies.servesAsLastResort(now, request)) {
             serveLocalCopy(request);
@@ -271,7 +281,7 @@
         inFlight.remove(request.request.id());
     }
 
-    /** Lets those of the waiting requests go on. */
+    /** Ends the wait of the waiting requests that match, and advances them. */
     private void resumeWaiting(long now, Predicate<InFlightRequest> filter) {
         for (InFlightRequest request : fills.releaseMatching(filter)) {
             request.nextLookupAt = Math.min(request.nextLookupAt, now);
@@ -279,7 +289,7 @@
         }
     }
 
-    // ---------------------------------------------------------------- ends
+    // ---------------------------------------------------------------- completion
 
     @Override
     public void streamStarted(long now, long requestId, int attempt) {
@@ -297,7 +307,10 @@
         }
     }
 
-    /** The request is over: what is still in flight for it is cancelled, and remembered until it ends. */
+    /**
+     * Marks a request as completed and cancels its open attempts. It stays in {@link #inFlight} until the last of them
+     * ends.
+     */
     private void complete(InFlightRequest request) {
         request.completed = true;
         fills.release(request);
@@ -316,7 +329,7 @@
             return;
         }
         attempt.end(outcome.result(), request.requestClass.write() ? 0 : 1);
-        // A time-out (attempts end at the deadline) or an expired attempt says that the client's time is up.
+        // Attempts time out at the deadline, so a timed-out or expired attempt means that the deadline has passed.
         if (outcome.result() == AttemptResult.EXPIRED || outcome.result() == AttemptResult.TIMEOUT) {
             request.deadline = now;
         }
--- a/src/main/java/magpiewheel/routing/RetryBudget.java
+++ b/src/main/java/magpiewheel/routing/RetryBudget.java
@@ -1,20 +1,20 @@
 package magpiewheel.routing;
 
-/** Retries that requests earn and attempts spend, so that retries never double the load. */
+/** Budget that requests pay into and retries are taken from, so that retries never double the load. */
 final class RetryBudget {
-    /** Retries that each request earns. */
+    /** Retries that each request adds to the budget. */
     private static final double DEPOSIT_PER_REQUEST = 0.2;
-    /** The most that can be saved up. */
+    /** Maximum balance, in retries. */
     private static final double MAX_BALANCE = 20;
 
     private double balance = MAX_BALANCE;
 
-    /** A request arrived. */
+    /** Adds the share of one arriving request. */
     void deposit() {
         balance = Math.min(MAX_BALANCE, balance + DEPOSIT_PER_REQUEST);
     }
 
-    /** Spends so many retries; false where fewer are left. */
+    /** Withdraws a number of retries; returns false, and withdraws none, if the balance is lower. */
     boolean tryWithdraw(int retries) {
         if (balance < retries) {
             return false;
--- a/src/main/java/magpiewheel/routing/RetryPolicy.java
+++ b/src/main/java/magpiewheel/routing/RetryPolicy.java
@@ -1,14 +1,17 @@
 package magpiewheel.routing;
 
-/** What the idempotency of a request allows after the attempts it had. The one place that judges effects. */
+/**
+ * Decides what the idempotency of a request permits after its attempts so far. Only this class decides whether an
+ * attempt may have had effects that forbid another one.
+ */
 final class RetryPolicy {
     /**
-     * What may follow the attempts so far.
+     * What is permitted after the attempts so far.
      *
      * @param mayAttempt whether another attempt may start
      * @param mayReject whether the request may be rejected with the promise that it had no effect
      * @param keyScopeEndpoint the attempt may go only to endpoints that share the idempotency keys of this one; null
-     *     for any
+     *     for any endpoint
      */
     record Permit(boolean mayAttempt, boolean mayReject, Endpoint keyScopeEndpoint) {}
 
@@ -18,7 +21,7 @@
         mayHedge = limits.mayHedge();
     }
 
-    /** Judges by the attempts' outcomes, the class's idempotency and the window of its keys. */
+    /** Returns what the attempts' outcomes, the class's idempotency and its idempotency window permit. */
     Permit permit(long now, InFlightRequest request) {
         Attempt mayHaveRun = request.firstAttemptThatMayHaveRun();
         RequestClass requestClass = request.requestClass;
@@ -36,7 +39,10 @@
                 keysKnownEverywhere ? null : mayHaveRun.target);
     }
 
-    /** Until when another attempt may start: while the idempotency key of what may have run is remembered. */
+    /**
+     * Returns until when another attempt may start: while the endpoint remembers the idempotency key of the attempt
+     * that may have run; {@link Long#MAX_VALUE} if there is no such limit.
+     */
     long retryableUntil(InFlightRequest request) {
         Attempt mayHaveRun =
                 request.requestClass.idempotency() == Idempotency.KEYED ? request.firstAttemptThatMayHaveRun() : null;
--- a/src/main/java/magpiewheel/routing/RoutingActions.java
+++ b/src/main/java/magpiewheel/routing/RoutingActions.java
@@ -1,47 +1,49 @@
 package magpiewheel.routing;
 
-/** What a routing policy can ask of its caller. Attempts of a request are numbered from 0 in their order. */
+/**
+ * Actions that a routing policy requests of its caller. Attempts of a request are numbered from 0 in starting order.
+ */
 public interface RoutingActions {
 
-    /** Start an attempt at an endpoint. */
+    /** Starts an attempt at an endpoint. */
     void startAttempt(long requestId, long endpointId, AttemptPlan plan);
 
-    /** Cancel an attempt; it ends all the same, with an outcome. */
+    /** Cancels an attempt; its outcome is still reported with {@link RoutingPolicy#attemptEnded}. */
     void cancelAttempt(long requestId, int attempt);
 
-    /** Final answer: the router's own copy. */
+    /** Gives the final answer: the router's local copy. */
     default void serveLocalCopy(long requestId) {
         throw new UnsupportedOperationException("request " + requestId + " came without a copy");
     }
 
     /**
-     * Final answer: rejected, and a retry does no harm.
+     * Gives the final answer: rejected, and a retry is safe.
      *
-     * @param retryAfterUs how long the client is advised to wait; 0 for no advice
+     * @param retryAfterUs how long the client is advised to wait, in microseconds; 0 for no advice
      */
     void reject(long requestId, long retryAfterUs);
 
-    /** Final answer: failed, with no promise about its effects. */
+    /** Gives the final answer: failed; the request may have had effects. */
     void fail(long requestId);
 
-    /** Call {@link RoutingPolicy#timerExpired} at a time. */
+    /** Requests a call of {@link RoutingPolicy#timerExpired} at a time. */
     void setTimer(long atUs, long handle);
 
-    /** Check the health of an endpoint. */
+    /** Starts a health check of an endpoint. */
     void checkHealth(long endpointId);
 
-    /** Send a datagram of at most 256 bytes to another router. */
+    /** Sends a datagram of at most 256 bytes to another router. */
     void sendToPeer(int router, byte[] message);
 
-    /** Probe whether anybody listens at another router's address; where that can't be told, nothing happens. */
+    /** Probes whether a process listens at another router's address; does nothing where that can't be determined. */
     default void probeReachability(int router, long at) {}
 
-    /** Subscribe to changes of discovery's list, or unsubscribe. */
+    /** Subscribes to changes of discovery's endpoint list, or unsubscribes. */
     void subscribe(boolean on);
 
-    /** Ask discovery once for the complete list. */
+    /** Requests the complete endpoint list from discovery once. */
     void fetchEndpointList();
 
-    /** Write a line to the operators' log. */
+    /** Writes a line to the operators' log. */
     void log(String line);
 }
--- a/src/main/java/magpiewheel/routing/RoutingPolicy.java
+++ b/src/main/java/magpiewheel/routing/RoutingPolicy.java
@@ -5,83 +5,85 @@
 import magpiewheel.membership.MembershipView;
 
 /**
- * The routing decisions, as events in and actions out. The caller calls one method for each event; the policy answers
- * through the {@link RoutingActions} that it was built with, during that call only.
+ * Makes the routing decisions: events come in, actions go out. The caller calls one method for each event; the policy
+ * calls the {@link RoutingActions} that it was created with, only during that call.
  *
- * <p>Units: all times are microseconds unless a name says otherwise. {@code now} is the caller's clock, which starts
- * anywhere and never goes back; the policy has no other. Endpoints, requests and objects are opaque numbers chosen by
- * the caller.
+ * <p>Units: all times are microseconds unless a name says otherwise. {@code now} is the caller's monotonic clock, with
+ * an arbitrary start; the policy has no other clock. Endpoints, requests and objects are opaque numbers chosen by the
+ * caller.
  *
- * <p>Threading: one instance is used by one thread at a time, and is never called from inside one of its own actions,
- * but for {@link #evaluateDelivery}.
+ * <p>Threading: an instance is used by one thread at a time. Only {@link #evaluateDelivery} may be called from within
+ * one of its own actions.
  *
  * <p>Errors: events about requests that are not in flight are ignored, since outcomes and timers may be late. A request
- * of an unknown class is an {@link IllegalArgumentException}.
+ * of an unknown class causes an {@link IllegalArgumentException}.
  */
 public interface RoutingPolicy {
-    /** What {@link #selectCache} returns where no cache is usable. */
+    /** Result of {@link #selectCache} if no cache is usable. */
     long NO_CACHE = -1;
 
-    /** Discovery sent a list or a change to it; with {@code FAILED} there are no endpoints in it. */
+    /** Handles an endpoint list from discovery, or a change to it; the list is empty with {@code FAILED}. */
     void endpointsChanged(long now, EndpointListMode mode, List<EndpointInfo> endpoints);
 
     /**
-     * A client's request arrived. It gets exactly one final answer, unless the client disconnects.
+     * Handles a client's request. It gets exactly one final answer, unless the client disconnects.
      *
-     * @param localCopy the router's own copy of what is requested; null where it has none
+     * @param localCopy the router's local copy of the requested object; null if there is none
      */
     void requestArrived(long now, RoutingRequest request, LocalCopy localCopy);
 
-    /** Likewise, where the router has no copy. */
+    /** Handles a client's request for an object of which the router has no local copy. */
     default void requestArrived(long now, RoutingRequest request) {
         requestArrived(now, request, null);
     }
 
-    /** A streaming response started: this attempt is the client's now, and nothing else may answer. */
+    /** Handles the start of a streaming response: from now on only this attempt answers the client. */
     void streamStarted(long now, long requestId, int attempt);
 
-    /** Whether a response may be delivered; asked for every response. See {@link BoundedReads#evaluateDelivery}. */
+    /**
+     * Decides whether a response is delivered; called for every response. See {@link BoundedReads#evaluateDelivery}.
+     */
     default DeliveryDecision evaluateDelivery(long now, long requestId, long originTimeMs) {
         return boundedReads().evaluateDelivery(now, requestId, originTimeMs);
     }
 
-    /** An attempt ended. */
+    /** Handles the end of an attempt. */
     void attemptEnded(long now, AttemptOutcome outcome);
 
-    /** The client disconnected; no answer is due. */
+    /** Handles the disconnection of a client, which gets no answer. */
     void clientDisconnected(long now, long requestId);
 
-    /** A purge was made at the origin. */
+    /** Handles a purge made at the origin. */
     void objectsPurged(long now, Purge purge);
 
-    /** A timer set with {@link RoutingActions#setTimer} expired. */
+    /** Handles the expiry of a timer set with {@link RoutingActions#setTimer}. */
     void timerExpired(long now, long handle);
 
-    /** A health check ended; a policy that requests none ignores it. */
+    /** Handles the result of a health check; a policy that requests none ignores it. */
     default void healthCheckEnded(long now, HealthCheckResult result) {}
 
-    /** A message from another router; it may contain anything. */
+    /** Handles a message from another router; its content is not trusted. */
     void peerMessageReceived(long now, long sender, byte[] message);
 
-    /** Whether this router serves from now on, or drains. */
+    /** Sets whether this router serves or drains. */
     void setServing(long now, boolean serves);
 
-    /** The host of another router refused a reachability probe that was sent at a time. */
+    /** Handles the refusal, by the host of another router, of the reachability probe sent at {@code probedAt}. */
     void reachabilityRefused(long now, int router, long probedAt);
 
-    /** The cache of a zone that a client should connect to for an object, or {@link #NO_CACHE}. */
+    /** Returns the cache of a zone that a client should connect to for an object, or {@link #NO_CACHE}. */
     long selectCache(long now, int zone, long objectId);
 
-    /** How many endpoints get nothing new now: those that drain and those that are ejected. */
+    /** Returns the number of endpoints that receive no new requests: those that drain or are ejected. */
     int avoidedEndpoints(long now);
 
-    /** Reads with a staleness bound. */
+    /** Returns the handling of reads with a staleness bound. */
     BoundedReads boundedReads();
 
-    /** The other routers, as far as is known. */
+    /** Returns this router's view of the other routers. */
     MembershipView membership();
 
-    /** Statistics of the parts that are off by default, by their external names; empty while they are off. */
+    /** Returns the statistics of features that are off by default, by external name; empty while they are off. */
     default Map<String, Long> statistics(long now) {
         return Map.of();
     }
--- a/src/main/java/magpiewheel/routing/RoutingState.java
+++ b/src/main/java/magpiewheel/routing/RoutingState.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** What several decisions look at and keep up to date: endpoints, objects, fills in flight and measured times. */
+/** State that several decisions share and update: endpoints, objects, fills in flight and measured times. */
 final class RoutingState {
     private final EndpointTable endpoints;
     private final PurgeLog purges = new PurgeLog();
@@ -11,7 +11,7 @@
     private final RegionBridge regions;
     private final StalenessBridge staleness;
 
-    /** The state of an instance that knows only its settings. */
+    /** Creates the state of a router that has no endpoints yet. */
     RoutingState(RoutingSettings settings, RegionBridge regions, StalenessBridge staleness) {
         this.regions = regions;
         this.staleness = staleness;
