--- a/src/main/java/magpiewheel/routing/CacheSelector.java
+++ b/src/main/java/magpiewheel/routing/CacheSelector.java
@@ -5,9 +5,9 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Which cache a request goes to: the known holder, else the first with capacity in rendezvous order. */
+/** Selects the cache that a request goes to: the known holder, else the first with capacity in rendezvous order. */
 final class CacheSelector {
-    /** In flight at a cache over the mean of its tier before a holder spills (bounded-load hashing). */
+    /** Multiple of the mean load of the candidates at which a cache spills (bounded-load hashing). */
     private static final double SPILL_LOAD_FACTOR = 1.25;
 
     private final RoutingSettings settings;
@@ -31,10 +31,11 @@
     }
 
     /**
-     * The cache for a read; null where none has capacity. The holder that the staleness bound or a fresh hint names
-     * comes first.
+     * Returns the cache for a read; null if none has capacity. The holder that the staleness bound or a fresh hint
+     * names comes first.
      *
-     * @param includeUnhealthy whether ejected caches are taken where no others are left
+     * @param includeUnhealthy whether ejected caches, and those that already failed the request, are used if no others
+     *     are left
      */
     Endpoint forRead(long now, InFlightRequest request, RetryPolicy.Permit permit, boolean includeUnhealthy) {
         ObjectRecord object = holders.record(request.request.objectId());
@@ -57,13 +58,16 @@
         return null;
     }
 
-    /** A hot or slow cache spills: beyond its own limit, or far above its tier. */
+    /** Whether a cache has capacity. It spills beyond its own limit (slow) or far above the mean load (hot). */
     private static boolean hasCapacity(Endpoint cache, double meanLoad, double limitFactor) {
         double spillAt = Math.max(ConcurrencyLimiter.MIN_LIMIT, SPILL_LOAD_FACTOR * meanLoad);
         return cache.inFlight() < Math.min(cache.concurrencyLimit * limitFactor, spillAt);
     }
 
-    /** Where a write passes through: the origin itself where routers reach it, else the least loaded cache, or null. */
+    /**
+     * Returns the endpoint that a write goes through: the origin if routers may reach it directly, else the least
+     * loaded cache; null if there is none.
+     */
     Endpoint forWrite(long now, InFlightRequest request, RetryPolicy.Permit permit) {
         Endpoint origin = endpoints.origin();
         if (settings.mayBypassCaches() && origin != null && request.isInKeyScope(permit.keyScopeEndpoint(), origin)) {
@@ -73,7 +77,7 @@
         return candidates.isEmpty() ? null : Collections.min(candidates, Comparator.comparingInt(Endpoint::inFlight));
     }
 
-    /** Caches that may be sent the request, without those that already failed it. */
+    /** Returns the caches that may receive the request; see {@link #forRead} for unhealthy ones. */
     private List<Endpoint> candidates(
             long now, InFlightRequest request, RetryPolicy.Permit permit, boolean includeUnhealthy) {
         double workUs = transfers.conservativeUs(request.request.requestClass());
@@ -85,14 +89,14 @@
         return includeUnhealthy && healthy.isEmpty() ? allowed : healthy;
     }
 
-    /** Whether a cache is known to hold an acceptable copy of the requested part. */
+    /** Returns whether a cache is known to hold an acceptable copy of the requested part. */
     boolean isKnownToHold(long now, InFlightRequest request, Endpoint cache) {
         ObjectRecord object = holders.record(request.request.objectId());
         boolean cached = request.request.part() <= object.highestPartCached && cache == holders.holder(now, object);
         return cache != null && cached && staleness.mayHoldAcceptableCopy(now, request, cache);
     }
 
-    /** The cache of a zone that a client should go to by itself for an object; null where none is usable. */
+    /** Returns the cache of a zone that a client should connect to directly for an object; null if none is usable. */
     Endpoint forClient(long now, int zone, long objectId) {
         double workUs = transfers.longestConservativeReadUs();
         List<Endpoint> usable = new ArrayList<>(endpoints.all());
@@ -102,7 +106,7 @@
         Endpoint first = usable.isEmpty() ? null : RendezvousHash.first(usable, objectId);
         Endpoint found = usable.contains(holder) ? holder : first;
         if (found != null) {
-            // The client goes there by itself: its work counts against a slow-start budget all the same.
+            // The client connects to the cache directly, but its work counts against the slow-start budget.
             found.recentWork.add(now, workUs);
         }
         return found;
--- a/src/main/java/magpiewheel/routing/CachedOnlyPolicy.java
+++ b/src/main/java/magpiewheel/routing/CachedOnlyPolicy.java
@@ -1,13 +1,14 @@
 package magpiewheel.routing;
 
 /**
- * Where caches do not join a request to a fill in flight, the router does: a read first asks a cache only for what it
- * holds, and waits while the part is on its way there.
+ * Coalesces reads with fills in flight on behalf of caches that do not: a read first makes a lookup, a cached-only
+ * attempt that the cache answers only from what it holds, and waits while the cache reports a fill of the part in
+ * flight.
  */
 final class CachedOnlyPolicy {
-    /** Requests that may wait for fills at once. */
+    /** Maximum number of requests that wait for fills at the same time. */
     private static final int MAX_WAITING = 64;
-    /** How often one request asks, spread over the time that it has. */
+    /** Maximum number of lookups by one request, spread over the time that it has. */
     private static final int MAX_LOOKUPS = 5;
 
     private final RoutingSettings settings;
@@ -26,7 +27,10 @@
         this.staleness = state.staleness();
     }
 
-    /** The cache that a read first asks for what it holds, where its part is filled or would be; null for none. */
+    /**
+     * Returns the cache for a read's next lookup: where its part is being filled, or would be; null if no lookup is
+     * due.
+     */
     Endpoint lookupTarget(long now, InFlightRequest request, Endpoint target) {
         if (!applies(request)) {
             return null;
@@ -49,7 +53,7 @@
                 && attemptsRemain;
     }
 
-    /** The cache that the part was sent to lately, unless the staleness bound itself names the target. */
+    /** Returns the cache where a fill of the part started lately; the target if none did or the bound prefers it. */
     private Endpoint cacheFillingPart(long now, InFlightRequest request, Endpoint target) {
         FillCoalescer.Fill fill = fills.newestFill(request.request);
         boolean fillInFlight = fill != null
@@ -66,9 +70,9 @@
     }
 
     /**
-     * A cache lacks the part: sets when the request may ask again, and says whether it waits.
+     * Schedules the next lookup after a cache missed the part, and returns whether the request waits for it.
      *
-     * @param fillInFlight whether the cache said that the part is on its way there
+     * @param fillInFlight whether the cache reported a fill of the part in flight
      */
     boolean scheduleLookupAfterMiss(long now, InFlightRequest request, boolean fillInFlight) {
         double objectiveUs = transfers.latencyObjectiveUs(request);
--- a/src/main/java/magpiewheel/routing/FillCoalescer.java
+++ b/src/main/java/magpiewheel/routing/FillCoalescer.java
@@ -8,22 +8,22 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** Which fills of parts were started lately and where, and which requests wait for one. It only stores. */
+/** Stores which fills of parts started lately at which caches, and which requests wait for one. It decides nothing. */
 final class FillCoalescer {
-    /** One part of an object. */
+    /** Identifies one part of an object. */
     private record Part(long objectId, int part) {}
 
-    /** A fill of a part was started at a cache. */
+    /** A fill of a part that was started at a cache. */
     record Fill(long objectId, int part, int group, Endpoint cache, long startedAt) {}
 
-    /** Fills remembered: some seconds' worth. */
+    /** Maximum number of fills remembered: those of a few seconds. */
     private static final int MAX_FILLS = 4_096;
 
     private final Map<Part, Fill> fills = new LinkedHashMap<>();
     private final Set<InFlightRequest> waiting = new LinkedHashSet<>();
     private final List<Fill> unreported = new ArrayList<>();
 
-    /** This router starts a fill; its peers are to hear of it. */
+    /** Records a fill that this router starts, and queues it for the next report to peers. */
     void fillStarted(RoutingRequest request, Endpoint cache, long now) {
         Fill fill = new Fill(request.objectId(), request.part(), request.group(), cache, now);
         recordFill(fill);
@@ -32,7 +32,7 @@
         }
     }
 
-    /** A fill was started by some router; the newest counts. */
+    /** Records a fill that any router started; the newest of a part replaces the others. */
     void recordFill(Fill fill) {
         Part part = new Part(fill.objectId(), fill.part());
         Fill newest = fills.get(part);
@@ -45,19 +45,19 @@
         }
     }
 
-    /** The newest fill of a part, or null. */
+    /** Returns the newest fill of the requested part, or null. */
     Fill newestFill(RoutingRequest request) {
         return fills.get(new Part(request.objectId(), request.part()));
     }
 
-    /** A cache lacks a part, and no fill of it is in flight there. */
+    /** Forgets the fill of a part at a cache that lacks the part and has no fill of it in flight. */
     void partMissing(RoutingRequest request, Endpoint cache) {
         fills.computeIfPresent(
                 new Part(request.objectId(), request.part()), (part, fill) -> fill.cache() == cache ? null : fill);
         fillEnded(request, cache);
     }
 
-    /** A fill of this router ended: that it was started need not be reported any more. */
+    /** Handles the end of a fill of this router: its start no longer has to be reported. */
     void fillEnded(RoutingRequest request, Endpoint cache) {
         unreported.removeIf(fill ->
                 fill.objectId() == request.objectId() && fill.part() == request.part() && fill.cache() == cache);
@@ -69,7 +69,7 @@
         unreported.removeIf(filter);
     }
 
-    /** The fills in flight that were not reported to peers yet; each is reported once. */
+    /** Returns the fills in flight that were not reported to peers yet; each is returned once. */
     List<HolderHint> takeUnreported(long now) {
         List<HolderHint> taken = unreported.stream()
                 .map(fill -> new HolderHint(fill.objectId(), fill.part(), fill.cache().id, fill.group(), (int)
@@ -79,19 +79,19 @@
         return taken;
     }
 
-    /** How many requests wait. */
+    /** Returns the number of waiting requests. */
     int waitingRequests() {
         return waiting.size();
     }
 
-    /** A request waits for a fill at a cache; it counts as in flight there. */
+    /** Lets a request wait for a fill at a cache; it counts as in flight there. */
     void await(InFlightRequest request, Endpoint cache) {
         request.awaitedCache = cache;
         cache.ownInFlight++;
         waiting.add(request);
     }
 
-    /** It waits no longer. */
+    /** Ends the wait of a request, if it waits. */
     void release(InFlightRequest request) {
         if (waiting.remove(request)) {
             request.awaitedCache.ownInFlight--;
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Ends the waiting of the requests that match, and returns them. */
+    /** Ends the wait of the requests that match, and returns them. */
     List<InFlightRequest> releaseMatching(Predicate<InFlightRequest> filter) {
         List<InFlightRequest> released = waiting.stream().filter(filter).toList();
         released.forEach(this::release);
--- a/src/main/java/magpiewheel/routing/FillSourceSelector.java
+++ b/src/main/java/magpiewheel/routing/FillSourceSelector.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Where a cache fills a miss from: a parent, or the origin itself. */
+/** Selects the fill source of a cache miss: a parent, or the origin itself. */
 final class FillSourceSelector {
-    /** Share of a class's latency objective by which parents' latencies must differ to count as different. */
+    /** Share of a class's latency objective up to which a difference in parents' latencies is ignored. */
     private static final double LATENCY_TOLERANCE = 0.25;
 
     private final EndpointTable endpoints;
@@ -26,7 +26,10 @@
         this.staleness = state.staleness();
     }
 
-    /** A usable parent unless the origin is faster, else the origin while it has capacity, else any parent, or null. */
+    /**
+     * Returns a usable parent unless it is too slow and the origin is faster, else the origin while it has capacity,
+     * else any parent, or null.
+     */
     Endpoint select(long now, InFlightRequest request) {
         Endpoint parent = request.boundUnproven ? null : parent(now, request, false);
         Endpoint origin = endpoints.origin();
@@ -38,7 +41,7 @@
         return originHasCapacity ? origin : parent(now, request, true);
     }
 
-    /** Whether a parent is later than the objective allows, and later than an origin that is not degraded. */
+    /** Whether a parent exceeds the latency objective and is slower than the origin, which is not degraded. */
     private boolean isSlowerThanOrigin(long now, Endpoint parent, Endpoint origin, InFlightRequest request) {
         double latencyUs = parent.fillLatency.or(now, 0);
         return latencyUs > request.requestClass.latencyObjectiveUs()
@@ -47,10 +50,10 @@
     }
 
     /**
-     * The usable parent that leads the region; else the one of two with the lower latency, those not measured lately
-     * being average.
+     * Returns the usable parent that leads the region; without one, the faster of two parents, where a parent not
+     * measured lately counts as average.
      *
-     * @param includeUnhealthy whether ejected parents, and those that already failed the request, are taken as well
+     * @param includeUnhealthy whether ejected parents, and those that already failed the request, are included
      */
     Endpoint parent(long now, InFlightRequest request, boolean includeUnhealthy) {
         long objectId = request.request.objectId();
@@ -65,7 +68,10 @@
         return fasterOfTwo(now, request, usable);
     }
 
-    /** The two are drawn by the object, the same each time, so that it is not cached at every parent in turn. */
+    /**
+     * Returns the faster of the first two parents in rendezvous order. The two are the same for each request of an
+     * object, so that the object is not cached at every parent in turn.
+     */
     private static Endpoint fasterOfTwo(long now, InFlightRequest request, List<Endpoint> usable) {
         long objectId = request.request.objectId();
         List<Endpoint> measured = usable.stream()
--- a/src/main/java/magpiewheel/routing/HolderTable.java
+++ b/src/main/java/magpiewheel/routing/HolderTable.java
@@ -1,10 +1,10 @@
 package magpiewheel.routing;
 
-/** Which cache is thought to hold an object: hints that expire, from responses and from reports of peers. */
+/** Remembers which cache probably holds an object: hints from responses and peer reports, which expire. */
 final class HolderTable {
-    /** Objects remembered: some minutes of a busy zone's objects, a few MB. */
+    /** Maximum number of objects remembered: a few minutes of a busy zone's objects, a few MB. */
     private static final int MAX_OBJECTS = 20_000;
-    /** us; how long a hint lasts. A copy that nobody requested for so long may have been dropped unseen. */
+    /** Lifetime of a hint, in microseconds; a copy not requested for longer may have been evicted unnoticed. */
     static final long HINT_LIFETIME_US = 10_000_000;
 
     private final PurgeLog purges;
@@ -14,18 +14,21 @@
         this.purges = purges;
     }
 
-    /** The record of an object, a new one where there is none. */
+    /** Returns the record of an object, and creates it if there is none. */
     ObjectRecord record(long objectId) {
         return objects.computeIfAbsent(objectId, key -> new ObjectRecord());
     }
 
-    /** The cache that is thought to hold an object; null where no hint is fresh. */
+    /** Returns the cache that probably holds an object; null without a fresh hint. */
     Endpoint holder(long now, long objectId) {
         ObjectRecord object = objects.get(objectId);
         return object == null ? null : holder(now, object);
     }
 
-    /** The cache that a record names, unless it drains, restarted, or its group was purged since; else null. */
+    /**
+     * Returns the cache that a record names; null if the hint expired, the cache drains or restarted since, or the
+     * object's group was purged since.
+     */
     Endpoint holder(long now, ObjectRecord object) {
         Endpoint holder = object.holder;
         if (holder == null || !holder.isReady() || object.holderSeenAt < holder.info.startedUs()) {
@@ -36,12 +39,12 @@
         return fresh ? holder : null;
     }
 
-    /** A peer reported at a time that a cache holds an object. */
+    /** Records a peer's report that a cache held an object at {@code reportedAt}. */
     void reportedByPeer(long reportedAt, Endpoint cache, HolderHint hint) {
         record(hint.objectId()).reportedByPeer(cache, reportedAt, hint.group());
     }
 
-    /** An object was purged. */
+    /** Forgets an object that was purged. */
     void forget(long objectId) {
         objects.remove(objectId);
     }
--- a/src/main/java/magpiewheel/routing/LocalCopyPolicy.java
+++ b/src/main/java/magpiewheel/routing/LocalCopyPolicy.java
@@ -1,16 +1,16 @@
 package magpiewheel.routing;
 
-/** Whether the router's own copy of an object answers a request: fresh enough, after every purge, and in time. */
+/** Decides whether a local copy answers a request: if it is fresh, newer than every purge, and sent in time. */
 final class LocalCopyPolicy {
-    /** Share of the latency objective in which the own link must be through: the way to the client takes the rest. */
+    /** Share of the latency objective available for sending a copy; the way to the client takes the rest. */
     private static final double TRANSFER_SHARE = 0.8;
-    /** us; taken off the age limit of a copy, and off the deadline, against rounding and clocks. */
+    /** Margin, in microseconds, off the age limit of a copy and the deadline: allows for rounding and clock skew. */
     private static final long MARGIN_US = 20_000;
 
     private final PurgeLog purges;
     private final StalenessBridge staleness;
     private final TransferTimes transfers;
-    /** When the router's own link is through with the copies that were given to it. */
+    /** When the router's own link will have sent the local copies served so far. */
     private long linkFreeAt;
 
     LocalCopyPolicy(PurgeLog purges, StalenessBridge staleness, TransferTimes transfers) {
@@ -19,19 +19,22 @@
         this.transfers = transfers;
     }
 
-    /** Whether the copy is served first, as no cache is known to hold one: a fill costs more and comes later. */
+    /** Whether the copy is served when no cache is known to hold one: a fill costs more and takes longer. */
     boolean servesBeforeFill(long now, InFlightRequest request) {
         long mustEndBy = now + (long) (TRANSFER_SHARE * transfers.latencyObjectiveUs(request));
         return serves(now, request, mustEndBy, 0, false);
     }
 
-    /** Whether the copy is served at last, as nobody else can answer; one within the class's grace will do, too. */
+    /**
+     * Whether the copy is served because no endpoint can answer. It may be stale within the class's grace, and only a
+     * strict staleness bound still applies.
+     */
     boolean servesAsLastResort(long now, InFlightRequest request) {
         boolean ignoreBound = !request.bound.strict();
         return serves(now, request, request.deadline - MARGIN_US, request.requestClass.staleGraceUs(), ignoreBound);
     }
 
-    /** Whether the copy is acceptable and through in time; if so the link is taken for it. */
+    /** Whether the copy is acceptable and sent in time; if so, reserves the link for it. */
     private boolean serves(long now, InFlightRequest request, long mustEndBy, long graceUs, boolean ignoreBound) {
         if (request.localCopy == null || request.openAttempts() > 0) {
             return false;
@@ -48,7 +51,7 @@
         return true;
     }
 
-    /** Caches drop older copies some time after a purge; the router's own stays, so every purge counts. */
+    /** Caches drop older copies some time after a purge, but local copies stay, so purges of any age count. */
     private boolean isPurged(InFlightRequest request) {
         long purgedAt = purges.lastPurge(request.request.objectId(), request.request.group());
         return request.localCopyIssuedAt - MARGIN_US <= purgedAt;
--- a/src/main/java/magpiewheel/routing/LruMap.java
+++ b/src/main/java/magpiewheel/routing/LruMap.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A map from numbers that evicts the least recently used entry once it is full. */
+/** A map with numeric keys that evicts the least recently used entry when it exceeds its capacity. */
 final class LruMap<V> extends LinkedHashMap<Long, V> {
     private static final long serialVersionUID = 1L;
     private static final float LOAD_FACTOR = 0.75f;
--- a/src/main/java/magpiewheel/routing/ObjectRecord.java
+++ b/src/main/java/magpiewheel/routing/ObjectRecord.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** What is known of an object: the cache that is thought to hold it, and which of its parts were requested. */
+/** Records the cache that probably holds an object, and which parts of the object were requested. */
 final class ObjectRecord {
     Endpoint holder;
     long holderSeenAt;
@@ -9,7 +9,7 @@
     int highestPartRequested = -1;
     int highestPartCached = -1;
 
-    /** It was requested; a request of its parts from the first on counts once. */
+    /** Records a request; requests for ascending parts of the object count as one. */
     void requested(RoutingRequest request) {
         group = request.group();
         if (request.part() <= highestPartRequested || requests == 0) {
@@ -18,14 +18,14 @@
         highestPartRequested = Math.max(highestPartRequested, request.part());
     }
 
-    /** A response proved that a cache holds a part now. */
+    /** Records a response that proves that a cache holds a part now. */
     void cached(Endpoint cache, long now, int part) {
         highestPartCached = Math.max(holder == cache ? highestPartCached : -1, part);
         holder = cache;
         holderSeenAt = now;
     }
 
-    /** A peer reported at a time that a cache holds it; the newer report counts. */
+    /** Records a peer's report that a cache held the object at {@code reportedAt}; the newest report counts. */
     void reportedByPeer(Endpoint cache, long reportedAt, int objectGroup) {
         group = objectGroup;
         if (reportedAt > holderSeenAt) {
--- a/src/main/java/magpiewheel/routing/PurgeLog.java
+++ b/src/main/java/magpiewheel/routing/PurgeLog.java
@@ -1,16 +1,19 @@
 package magpiewheel.routing;
 
-/** The newest purge of each object and group, and the age limits that follow from them. */
+/** Records the newest purge of each object and group, and derives age limits of copies from them. */
 final class PurgeLog {
-    /** Purges remembered of objects, and of groups: far more than come within the time in which they matter. */
+    /**
+     * Maximum number of purges remembered of objects, and of groups: far more than arrive within the time in which they
+     * matter.
+     */
     static final int MAX_PURGES = 20_000;
-    /** us; taken off each age limit against rounding. */
+    /** Margin for rounding, in microseconds, subtracted from each age limit. */
     private static final long MARGIN_US = 1_000;
 
     private final LruMap<Long> objects = new LruMap<>(MAX_PURGES);
     private final LruMap<Long> groups = new LruMap<>(MAX_PURGES);
 
-    /** A purge was made at a time. */
+    /** Records a purge made at {@code purgedAt}. */
     void add(long purgedAt, Purge purge) {
         if (purge.objectId() == 0) {
             groups.merge((long) purge.group(), purgedAt, Math::max);
@@ -19,18 +22,19 @@
         }
     }
 
-    /** When a group was purged last; {@link Long#MIN_VALUE} where it never was. */
+    /** Returns when a group was last purged; {@link Long#MIN_VALUE} if it never was. */
     long lastGroupPurge(int group) {
         return groups.getOrDefault((long) group, Long.MIN_VALUE);
     }
 
-    /** When an object or its group was purged last; {@link Long#MIN_VALUE} where neither was. */
+    /** Returns when an object or its group was last purged; {@link Long#MIN_VALUE} if neither was. */
     long lastPurge(long objectId, int group) {
         return Math.max(objects.getOrDefault(objectId, Long.MIN_VALUE), lastGroupPurge(group));
     }
 
     /**
-     * The age of the oldest acceptable copy, us; 0 stands for the class's own fresh time, so a limit is never below 1.
+     * Returns the maximum age of an acceptable copy, in microseconds. 0 stands for the class's own fresh time, so a
+     * limit is at least 1.
      *
      * @param relevantUs how long after a purge a cache may still return an older copy
      */
--- a/src/main/java/magpiewheel/routing/RendezvousHash.java
+++ b/src/main/java/magpiewheel/routing/RendezvousHash.java
@@ -4,11 +4,11 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Rendezvous hashing: the order of endpoints for an object, the same at every router. */
+/** Rendezvous hashing: orders the endpoints for an object in the same way at every router. */
 final class RendezvousHash {
     private RendezvousHash() {}
 
-    /** Mixes a number's bits well (the finaliser of SplitMix64). */
+    /** Mixes the bits of a number (the finaliser of SplitMix64). */
     static long mix(long value) {
         long z = value + 0x9e3779b97f4a7c15L;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
@@ -16,17 +16,17 @@
         return z ^ z >>> 31;
     }
 
-    /** A number from 0 to 1 (never 1 itself) that seems drawn at random but is the same for the same value. */
+    /** Returns a pseudo-random number from 0 (inclusive) to 1 (exclusive) that depends only on the value. */
     static double toUnitInterval(long value) {
         return (mix(value) >>> 11) * 0x1.0p-53;
     }
 
-    /** From the first to the last for an object. */
+    /** Returns the order of endpoints for an object. */
     static Comparator<Endpoint> order(long objectId) {
         return Comparator.comparingLong(endpoint -> mix(objectId ^ endpoint.hash));
     }
 
-    /** The first for an object. */
+    /** Returns the first endpoint in the order for an object. */
     static Endpoint first(List<Endpoint> endpoints, long objectId) {
         return Collections.min(endpoints, order(objectId));
     }
--- a/src/main/java/magpiewheel/routing/Route.java
+++ b/src/main/java/magpiewheel/routing/Route.java
@@ -1,11 +1,12 @@
 package magpiewheel.routing;
 
 /**
- * Where an attempt goes.
+ * Where an attempt is sent and its misses are filled from.
  *
- * @param source where a miss is filled from; the target itself for nowhere
- * @param fillProbability how likely the attempt becomes a fill, 0 for certain hits
- * @param cachedOnly whether it asks only for what the target holds
- * @param noFurtherAttempts whether no other attempt may follow
+ * @param source the endpoint that fills a miss; the target itself if a miss is not filled
+ * @param fillProbability the probability that the attempt becomes a fill; 0 for known hits, writes and cached-only
+ *     attempts
+ * @param cachedOnly whether the target may answer only from what it holds
+ * @param noFurtherAttempts whether the request gets no attempt after this one
  */
 record Route(Endpoint target, Endpoint source, double fillProbability, boolean cachedOnly, boolean noFurtherAttempts) {}
--- a/src/main/java/magpiewheel/routing/RouteSelector.java
+++ b/src/main/java/magpiewheel/routing/RouteSelector.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** Puts a target, its fill source and the limits of fills together to a route. */
+/** Builds a route from a target and its fill source, within the limits on fills. */
 final class RouteSelector {
     private final EndpointTable endpoints;
     private final FillSourceSelector sources;
@@ -21,17 +21,23 @@
         this.regions = state.regions();
     }
 
-    /** The fill source for a request; null where none is usable. */
+    /** Returns the fill source for a request; null if none is usable. */
     Endpoint source(long now, InFlightRequest request) {
         return sources.select(now, request);
     }
 
-    /** The source that a read goes to past the caches while the fill limit admits it; else null. */
+    /**
+     * Returns the source that a read goes to when it bypasses the caches; null if none is usable or the fill limit
+     * rejects the read.
+     */
     Endpoint bypassTarget(long now, InFlightRequest request) {
         return admitsFill(request, 1) ? sources.select(now, request) : null;
     }
 
-    /** A route past the caches, or null: a miss comes from the origin, or from any parent where there is none. */
+    /**
+     * Returns a route that bypasses the caches, or null. A miss is filled from the origin, or from any parent if there
+     * is no origin.
+     */
     Route bypass(long now, InFlightRequest request, Endpoint target) {
         double fill = request.requestClass.write() ? 0 : 1;
         Endpoint origin = endpoints.origin();
@@ -41,9 +47,9 @@
     }
 
     /**
-     * A route by a cache; null without a cache or a source.
+     * Returns a route via a cache; null without a cache or a source.
      *
-     * @param cachedOnly whether the cache is asked only for what it holds
+     * @param cachedOnly whether the cache may answer only from what it holds
      * @param cached whether the cache is known to hold the object
      */
     Route viaCache(long now, InFlightRequest request, Endpoint cache, boolean cachedOnly, boolean cached) {
@@ -52,7 +58,7 @@
             return null;
         }
         double fill = cached ? 0 : misses.missProbability();
-        // Beyond the limit no fill is started, but what is thought to be missing may be cached all the same.
+        // Beyond the limit no fill is started, but the cache may still hold the object.
         boolean noFurtherAttempts =
                 !cachedOnly && fill > 0 && (!admitsFill(request, fill) || !regionAdmitsFill(now, request, fill));
         boolean noFill = cachedOnly || noFurtherAttempts;
