--- a/src/main/java/magpiewheel/routing/ConcurrencyLimiter.java
+++ b/src/main/java/magpiewheel/routing/ConcurrencyLimiter.java
@@ -3,17 +3,23 @@
 import java.util.List;
 
 /**
- * Adaptive concurrency limits (additive increase, decrease on lateness): of attempts at each endpoint, and of the fills
- * over the zone's link. Peers report theirs, and the limits of a zone converge to their average.
+ * Adapts concurrency limits (additive increase for responses in time, decrease for late ones): of attempts at each
+ * endpoint, and of fills over the zone's link. Peers report their limits, and those of a zone converge to the average.
  */
 final class ConcurrencyLimiter {
-    /** Limit of an endpoint at first, in attempts. */
+    /** Initial limit of an endpoint, in attempts. */
     static final double INITIAL_LIMIT = 16;
-    /** The lowest limit of an endpoint: a small machine's cores. */
+    /** Minimum limit of an endpoint, in attempts: the cores of a small machine. */
     static final double MIN_LIMIT = 4;
-    /** Fills at first over what the link carries at a client's pace: the objective leaves time for some more. */
+    /**
+     * Initial fill limit as a multiple of the transfers that the link carries at a client's rate; the latency objective
+     * leaves time for more than one.
+     */
     private static final double INITIAL_FILLS_PER_LINK_TRANSFER = 2;
-    /** Added to a limit in use by a response in time, taken off by a late one: one in eleven may be late. */
+    /**
+     * What a response in time adds to a limit in use, and a late one subtracts: a limit is stable with one late
+     * response in eleven.
+     */
     private static final double INCREASE = 0.08;
 
     private static final double DECREASE = 0.8;
@@ -21,11 +27,11 @@
     private final EndpointTable endpoints;
     private final PeerReports peers;
     private final OriginHealth originHealth;
-    /** Fills that the zone's link carries at a client's pace: so many are never too many for it. */
+    /** Fills that the zone's link carries at a client's rate: the minimum of the fill limit. */
     private final double linkTransfers;
-    /** Fills that the zone's link and its sources carry in time. */
+    /** Maximum number of fills that the zone's link and the fill sources carry in time. */
     private double fillLimit;
-    /** Fills of this router that are thought to be in flight. */
+    /** Expected number of fills of this router in flight. */
     private double ownFills;
 
     ConcurrencyLimiter(RouterTopology topology, EndpointTable endpoints, PeerReports peers, OriginHealth originHealth) {
@@ -36,37 +42,40 @@
         fillLimit = INITIAL_FILLS_PER_LINK_TRANSFER * linkTransfers;
     }
 
-    /** Whether one more attempt, a fill with such a probability, stays within this multiple of the fill limit. */
+    /** Whether one more attempt with this fill probability stays within a multiple of the fill limit. */
     boolean admitsFill(double probability, double limitFactor) {
         return fillsInFlight() + probability <= fillLimit * limitFactor;
     }
 
-    /** Fills thought to be in flight into the zone: this router's and those that peers reported. */
+    /** Returns the expected number of fills in flight into the zone, including those that peers reported. */
     private double fillsInFlight() {
         return ownFills + peers.fillsInFlight();
     }
 
-    /** Fills of this router that are thought to be in flight. */
+    /** Returns the expected number of fills of this router in flight. */
     double ownFills() {
         return ownFills;
     }
 
-    /** The limit of fills into the zone. */
+    /** Returns the limit of fills into the zone. */
     double fillLimit() {
         return fillLimit;
     }
 
-    /** An attempt started that is a fill with such a probability. */
+    /** Counts a started attempt with this fill probability. */
     void fillStarted(double probability) {
         ownFills += probability;
     }
 
-    /** Such an attempt ended. */
+    /** Counts the end of an attempt with this fill probability. */
     void fillEnded(double probability) {
         ownFills -= probability;
     }
 
-    /** Adapts the limits to a response: a late hit is the cache's doing, a late fill the link's or the origin's. */
+    /**
+     * Adapts the limits to a response. A late hit lowers the limit of the cache; a late fill lowers the fill limit,
+     * unless the origin is degraded, and the limit of an origin that filled it.
+     */
     void adapt(long now, Attempt attempt, boolean hit, boolean late) {
         Endpoint target = attempt.target;
         if (hit) {
@@ -82,13 +91,16 @@
         }
     }
 
-    /** Each response counts for the whole zone: its routers see a part each and average their limits. */
+    /**
+     * Returns the adapted limit. A response counts once for each of the zone's routers, since each sees only a part of
+     * the responses and the routers average their limits.
+     */
     private double adapted(double limit, double minimum, double inUse, boolean late) {
         double increase = inUse + 1 > limit / 2 ? INCREASE : 0;
         return Math.max(minimum, limit + (late ? -DECREASE : increase) * (1 + peers.size()));
     }
 
-    /** A peer reported its limits: each router's word has the weight of one. */
+    /** Averages the limits with those that a peer reported; each router of the zone has the same weight. */
     void reportedByPeer(double peerFillLimit, List<EndpointLoad> loads) {
         double weight = 1.0 / (1 + peers.size());
         fillLimit += weight * (peerFillLimit - fillLimit);
--- a/src/main/java/magpiewheel/routing/OutcomeProcessor.java
+++ b/src/main/java/magpiewheel/routing/OutcomeProcessor.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** What the outcome of an attempt says of its target, its source, the object and the limits. */
+/** Updates the target, the source, the object and the limits with the outcome of an attempt. */
 final class OutcomeProcessor {
     private final RoutingSettings settings;
     private final HolderTable holders;
@@ -14,7 +14,7 @@
     private final CachedOnlyPolicy cachedOnly;
     private final PeerExchange peerExchange;
 
-    /** The parts that learn from outcomes, besides the shared state. */
+    /** Components that are updated with outcomes, besides the shared state. */
     record Collaborators(
             OutlierDetector outliers,
             OriginHealth originHealth,
@@ -37,7 +37,7 @@
         this.peerExchange = collaborators.peerExchange();
     }
 
-    /** An attempt of a request has ended. */
+    /** Processes the outcome of an attempt that has ended. */
     void process(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome) {
         staleness.attemptEnded(now, request, attempt, outcome);
         if (outcome.result() != AttemptResult.TIMEOUT && outcome.result() != AttemptResult.CANCELLED) {
@@ -46,7 +46,7 @@
         switch (outcome.result()) {
             case OK -> served(now, request, attempt, outcome);
             case MISS -> missed(now, request, attempt, outcome);
-            // No sign of an outlier; after the first attempt the holder may be tried again.
+            // Does not indicate an outlier; after the first attempt the holder may be tried again.
             case CORRUPT -> attempt.sourceAtFault = request.attempts.size() == 1;
             case CANCELLED, EXPIRED -> {}
             default -> failed(now, request, attempt, outcome);
@@ -74,7 +74,10 @@
         }
     }
 
-    /** Another endpoint served what failed here; where no status tells whose fault it was, the source may be it. */
+    /**
+     * Counts an attempt as a failure of its target, after another endpoint served the request. Without a detailed cache
+     * status the source may be at fault, so it counts as failed as well.
+     */
     private void countFailure(long now, Attempt failed) {
         outliers.failed(now, failed.target);
         if (!settings.detailedCacheStatus() && failed.source != failed.target) {
@@ -82,7 +85,10 @@
         }
     }
 
-    /** A holder stays one while its hint is fresh: else the other parts follow whoever took a spilled request. */
+    /**
+     * Records a cache as the holder, unless another holder has a fresh hint: otherwise requests for the other parts
+     * would follow a spilled request to the cache that served it.
+     */
     private void recordHolder(long now, InFlightRequest request, Endpoint cache, boolean hit) {
         ObjectRecord object = holders.record(request.request.objectId());
         Endpoint holder = holders.holder(now, object);
@@ -94,7 +100,7 @@
         }
     }
 
-    /** The time of a hit speaks of its cache, any other of the fills. */
+    /** Records the duration of a response: that of a hit for its cache, any other for the fills. */
     private void recordDuration(
             long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome, boolean hit) {
         if (hit) {
@@ -113,7 +119,7 @@
 
     // ---------------------------------------------------------------- misses
 
-    /** A copy that is not acceptable is a miss of its holder; a second one ends the request. */
+    /** Handles a miss. An unacceptable copy is a miss of its holder; a second one ends the request. */
     private void missed(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome) {
         boolean coalesced = outcome.cacheStatus() == CacheStatus.COALESCED;
         boolean unacceptable = outcome.originTimeMs() != 0;
@@ -123,7 +129,7 @@
         request.noMoreAttempts = !waits && (request.noMoreAttempts || unacceptable && request.boundUnproven);
         request.boundUnproven |= unacceptable;
         if (unacceptable || !coalesced) {
-            // Parts follow the holder of the first part, which need not hold those behind it.
+            // Requests for later parts go to the holder of the first part, which may not hold them yet.
             ObjectRecord object = holders.record(request.request.objectId());
             boolean beyondCachedParts = missingPart && request.request.part() > object.highestPartCached;
             object.holder = beyondCachedParts ? object.holder : null;
@@ -133,7 +139,7 @@
 
     // ---------------------------------------------------------------- failures
 
-    /** The source is at fault where the status says so, the target otherwise. */
+    /** Handles a failure. The source is at fault if the cache status says so, otherwise the target. */
     private void failed(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome) {
         CacheStatus status = outcome.cacheStatus();
         boolean write = request.requestClass.write();
@@ -165,7 +171,10 @@
         return result == AttemptResult.TIMEOUT || result == AttemptResult.REJECTED;
     }
 
-    /** An error may be the request's fault: the target is at fault once another serves it, and two errors end it. */
+    /**
+     * Handles a failure of the target. An error may be caused by the request: it counts against the target only once
+     * another endpoint serves the request, and a second error ends the request.
+     */
     private void targetFailed(long now, InFlightRequest request, Attempt attempt, AttemptResult result) {
         attempt.ambiguousError = result == AttemptResult.ERROR;
         if (!attempt.ambiguousError) {
--- a/src/main/java/magpiewheel/routing/OutlierDetector.java
+++ b/src/main/java/magpiewheel/routing/OutlierDetector.java
@@ -6,21 +6,27 @@
 import java.util.function.Predicate;
 
 /**
- * Ejects endpoints that fail far more often than their tier, refuse connections or are unresponsive. An ejection ends
- * with a probation, in which the endpoint gets one request at a time until one succeeds.
+ * Ejects endpoints that fail far more often than their tier, refuse connections or are unresponsive. After an ejection
+ * the endpoint is on probation, with one request at a time, until a request succeeds.
  */
 final class OutlierDetector {
-    /** Failure rate from which an endpoint may be ejected: half is beyond what any sound endpoint shows. */
+    /** Failure rate above which an endpoint may be ejected; no healthy endpoint fails half of its attempts. */
     private static final double MIN_FAILURE_RATE = 0.4;
-    /** An outlier fails at this multiple of its tier's rate: else the fault is not its own. */
+    /** Multiple of its tier's failure rate above which an endpoint is an outlier; below, the cause lies elsewhere. */
     static final double FAILURE_RATIO = 2;
-    /** Share of a tier that stays in use whatever its health, so that no tier is ejected as a whole. */
+    /** Share of a tier that stays in use regardless of its health, so that no tier is ejected as a whole. */
     private static final double MIN_SHARE_IN_USE = 0.5;
-    /** us; first and longest ejection, doubling between: short against the seconds that faults last. */
+    /**
+     * First and longest ejection, in microseconds; the duration doubles with each ejection. The first is short compared
+     * with the seconds that faults last.
+     */
     private static final long MIN_EJECTION_US = 1_000_000;
 
     private static final long MAX_EJECTION_US = 8_000_000;
-    /** us, attempts: an endpoint silent for so long while so many attempts are overdue is unresponsive. */
+    /**
+     * Silence of an endpoint, in microseconds, and number of overdue attempts from which it is unresponsive. The number
+     * of refused connections in a row that eject an endpoint is the same.
+     */
     private static final long UNRESPONSIVE_AFTER_US = 400_000;
 
     private static final int OVERDUE_ATTEMPTS = 3;
@@ -29,7 +35,7 @@
     private final TransferTimes transfers;
     private final RoutingActions actions;
     private final boolean mayCancel;
-    /** Whether a tier may be ejected as a whole, since requests may go past it. */
+    /** Whether a tier may be ejected as a whole, since requests may bypass it. */
     private final boolean mayBypassCaches;
 
     OutlierDetector(
@@ -49,7 +55,7 @@
         return !endpoint.onProbation || endpoint.ownInFlight + endpoint.fillsInFlight == 0;
     }
 
-    /** Counts a success of an endpoint, which ends its probation. */
+    /** Records a success of an endpoint, which ends its probation. */
     void succeeded(Endpoint endpoint) {
         endpoint.failureRate.add(0);
         if (endpoint.onProbation) {
@@ -57,7 +63,7 @@
         }
     }
 
-    /** Counts a failure of an endpoint, and ejects it where it is an outlier or on probation. */
+    /** Records a failure of an endpoint, and ejects it if it is an outlier or on probation. */
     void failed(long now, Endpoint endpoint) {
         endpoint.failureRate.add(1);
         if (endpoint.onProbation || isOutlier(endpoint)) {
@@ -72,7 +78,10 @@
         return endpoint.failureRate.or(0) > Math.max(MIN_FAILURE_RATE, FAILURE_RATIO * tierRate);
     }
 
-    /** An attempt at an endpoint ended: refused connections in a row prove that it does not run. */
+    /**
+     * Records whether the connection of an attempt failed. Several failed connections in a row prove that the endpoint
+     * does not run, and eject it.
+     */
     void connectionEnded(long now, Endpoint endpoint, AttemptResult result) {
         boolean unreachable = result == AttemptResult.UNREACHABLE || result == AttemptResult.CONNECTION_LOST;
         endpoint.attemptEnded(now, !unreachable);
@@ -81,7 +90,10 @@
         }
     }
 
-    /** Ejects an endpoint; without proof only while enough of its tier stays in use. */
+    /**
+     * Ejects an endpoint while enough of its tier stays in use, or if it is proven not to respond and requests may
+     * bypass its tier.
+     */
     private void eject(long now, Endpoint endpoint, boolean proven) {
         List<Endpoint> tier = endpoints.tierOf(endpoint);
         Predicate<Endpoint> inUse = other -> other != endpoint && now >= other.ejectedUntil;
@@ -92,7 +104,10 @@
         }
     }
 
-    /** Ejects unresponsive endpoints and cancels what is in flight there: discovery reports late what vanished. */
+    /**
+     * Ejects unresponsive endpoints and cancels the attempts in flight there, since discovery reports late that an
+     * endpoint vanished.
+     */
     void checkUnresponsive(long now, Collection<InFlightRequest> inFlight) {
         endpoints.all().forEach(endpoint -> endpoint.overdueAttempts = 0);
         List<InFlightRequest> requests = new ArrayList<>(inFlight);
@@ -111,7 +126,10 @@
         }
     }
 
-    /** The silent endpoint behind an overdue attempt: its cache, or its parent where the cache responds; else null. */
+    /**
+     * Returns the silent endpoint that delays an overdue attempt: its target, or its source if the target responds.
+     * Returns null if there is none, or if it is the origin.
+     */
     private Endpoint unresponsive(long now, InFlightRequest request) {
         Attempt last = request.lastAttempt();
         boolean open = last != null && last.open && !request.requestClass.write();
--- a/src/main/java/magpiewheel/routing/SlowStart.java
+++ b/src/main/java/magpiewheel/routing/SlowStart.java
@@ -4,15 +4,15 @@
 import magpiewheel.region.SlowStartProfile;
 
 /**
- * The budget of work that this router may send to an endpoint that started lately: a share of what the settings let the
- * endpoint tolerate, so that all routers together stay within it.
+ * Limits the work that this router sends to a recently started endpoint to its share of what the endpoint tolerates
+ * according to the settings, so that all routers together stay within that.
  */
 final class SlowStart {
-    /** Share of the budget that is used: the work of an attempt is an estimate. */
+    /** Share of the budget that is used, because the work of an attempt is an estimate. */
     private static final double SAFETY_FACTOR = 0.6;
-    /** Concurrent transfers that a cache of unknown size is taken to carry when warm: a small machine's. */
+    /** Concurrent transfers that a warm cache of unknown size is assumed to carry: those of a small machine. */
     private static final double MIN_CAPACITY = 3;
-    /** Share of all zones' links that the parents together are sized for, at least. */
+    /** Minimum share of the capacity of all zones' links that the parents together are assumed to be sized for. */
     private static final double PARENT_CAPACITY_SHARE = 0.6;
 
     private final RoutingSettings settings;
@@ -27,7 +27,7 @@
         this.membership = membership;
     }
 
-    /** Whether an endpoint tolerates this much more work from this router; always where it is warm. */
+    /** Whether an endpoint tolerates this much more work from this router; always true for a warm one. */
     boolean hasBudget(long now, Endpoint endpoint, double workUs) {
         SlowStartProfile profile = settings.safetyLimits().slowStart(endpoint.isParent());
         long sinceStart = now - endpoint.info.startedUs();
@@ -35,7 +35,7 @@
         if (warm || endpoint.isOrigin()) {
             return true;
         }
-        // The routers of a cache's zone divide its budget among them: those of other zones have none.
+        // The routers of a cache's zone divide its budget; routers of other zones have no share.
         if (endpoint.isCache() && endpoint.info.zone() != topology.zone()) {
             return false;
         }
@@ -51,7 +51,10 @@
                 : membership.quotaDivisorIn(now, endpoint.info.zone());
     }
 
-    /** From 0 to 1, anew in each window: a share below one request becomes one request in some of the windows. */
+    /**
+     * Returns a pseudo-random number from 0 to 1, a new one for each window, so that a share of less than one request
+     * admits one request in some of the windows.
+     */
     private double windowDraw(long now, Endpoint endpoint, SlowStartProfile profile) {
         long windowUs = Math.max(1, profile.overloadWindowUs());
         long router = RendezvousHash.mix(topology.routerId());
@@ -59,7 +62,10 @@
         return RendezvousHash.toUnitInterval(router ^ RendezvousHash.mix(window ^ endpoint.hash));
     }
 
-    /** Concurrent transfers of a warm endpoint, estimated low: by its weight, or for a parent by the links it feeds. */
+    /**
+     * Returns a low estimate of the concurrent transfers that a warm endpoint carries: from its weight, or for a parent
+     * from the links that it serves.
+     */
     double capacity(Endpoint endpoint) {
         double weight = endpoint.info.weight();
         if (settings.weightSource() == WeightSource.NOMINAL || settings.weightSource() == WeightSource.ROUGH) {
