--- a/src/main/java/magpiewheel/routing/RequestRouter.java
+++ b/src/main/java/magpiewheel/routing/RequestRouter.java
@@ -86,7 +86,7 @@
             RegionConfig regionConfig,
             boolean boundedReads) {
         if (settings == null || actions == null) {
-            throw new IllegalArgumentException((settings == null ? "settings" : "actions") + " are missing");
+            throw new IllegalArgumentException((settings == null ? "settings" : "actions") + " must not be null");
         }
         this.settings = settings;
         this.actions = actions;
@@ -175,7 +175,8 @@
     public void requestArrived(long now, RoutingRequest request, LocalCopy localCopy) {
         if (request.requestClass() < 0
                 || request.requestClass() >= settings.requestClasses().size()) {
-            throw new IllegalArgumentException("request names the unknown profile " + request.requestClass());
+            throw new IllegalArgumentException(
+                    "request " + request.id() + " has the unknown class " + request.requestClass());
         }
         RequestClass requestClass = settings.requestClasses().get(request.requestClass());
         long budgetUs = request.timeBudgetUs() > 0 ? request.timeBudgetUs() : requestClass.deadlineUs();
--- a/src/main/java/magpiewheel/routing/RoutingActions.java
+++ b/src/main/java/magpiewheel/routing/RoutingActions.java
@@ -13,7 +13,7 @@
 
     /** Gives the final answer: the router's local copy. */
     default void serveLocalCopy(long requestId) {
-        throw new UnsupportedOperationException("request " + requestId + " came without a copy");
+        throw new UnsupportedOperationException("request " + requestId + " has no local copy");
     }
 
     /**
--- a/src/test/java/magpiewheel/routing/RequestRouterTest.java
+++ b/src/test/java/magpiewheel/routing/RequestRouterTest.java
@@ -139,7 +139,7 @@
         assertThrows(IllegalArgumentException.class, () -> new RequestRouter(null, 1, actions, null, null, false));
         assertTrue(assertThrows(IllegalArgumentException.class, () -> router.requestArrived(now, request(1, 9, 1)))
                 .getMessage()
-                .contains("profile 9"));
+                .contains("request 1 has the unknown class 9"));
     }
 
     /**
