--- a/src/test/java/magpiewheel/routing/CacheSelectionTest.java
+++ b/src/test/java/magpiewheel/routing/CacheSelectionTest.java
@@ -8,23 +8,23 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Which cache a read goes to. */
+/** Tests of the selection of a cache for a read. */
 class CacheSelectionTest extends RequestRouterFixture {
     @Test
     void aReadFollowsTheHashUntilAPeerReportsAHolder() {
-        long hashed = submit(1, READ, 77).node();
+        long hashedCache = submit(1, READ, 77).node();
         endAttempt(1, 0, AttemptResult.OK, CacheStatus.FILLED);
-        assertEquals(hashed, submit(2, READ, 77).node());
-        long other = hashed % 4 + 1;
+        assertEquals(hashedCache, submit(2, READ, 77).node());
+        long otherCache = hashedCache % 4 + 1;
         now += 10_000;
-        router.peerMessageReceived(now, 1, encodeHolderHint(0, now, new HolderHint(77, 0, other, 5, 0)));
+        router.peerMessageReceived(now, 1, encodeHolderHint(0, now, new HolderHint(77, 0, otherCache, 5, 0)));
         now += 1;
-        assertEquals(other, submit(3, READ, 77).node());
+        assertEquals(otherCache, submit(3, READ, 77).node());
     }
 
     /**
-     * A holder that spills stays the holder: else the other parts of its object follow whoever took the spill over, and
-     * are filled there a second time.
+     * A holder that spills a request stays the holder. Otherwise requests for the other parts of the object would
+     * follow the spilled request to another cache, and the parts would be filled there a second time.
      */
     @Test
     void aSpilledRequestDoesNotMigrateTheHolder() {
@@ -34,20 +34,20 @@
         while (submit(id, READ, 77).node() == holder) {
             id++;
         }
-        for (long held = 2; held < id; held++) {
-            endAttempt(held, 0, AttemptResult.OK, CacheStatus.HIT);
+        for (long open = 2; open < id; open++) {
+            endAttempt(open, 0, AttemptResult.OK, CacheStatus.HIT);
         }
         endAttempt(id, 0, AttemptResult.OK, CacheStatus.FILLED);
         assertEquals(holder, submit(id + 1, READ, 77).node());
     }
 
-    /** With eight in hand at each cache, a holder that gets a quarter more than that and one spills. */
+    /** With eight attempts in flight at each cache, the holder spills above 1.25 times the mean load plus one. */
     @Test
     void aHolderSpillsAQuarterAboveTheMeanLoad() {
         long holder = submit(1, READ, 77).node();
         endAttempt(1, 0, AttemptResult.OK, CacheStatus.HIT);
         List<EndpointLoad> loads = LongStream.rangeClosed(1, 4)
-                .mapToObj(node -> new EndpointLoad(node, 8, 16))
+                .mapToObj(cacheId -> new EndpointLoad(cacheId, 8, 16))
                 .toList();
         PeerMessage message = new PeerMessage(0, now, 0, 16, 0, loads, List.of(), List.of());
         PeerMessageCodec.encode(message).forEach(bytes -> router.peerMessageReceived(now, 1, bytes));
@@ -60,27 +60,27 @@
 
     @Test
     void aReportOlderThanAPurgeIsIgnored() {
-        long hashed = submit(1, READ, 77).node();
-        long other = hashed % 4 + 1;
+        long hashedCache = submit(1, READ, 77).node();
+        long otherCache = hashedCache % 4 + 1;
         router.objectsPurged(now, new Purge(0, 0, 5));
-        router.peerMessageReceived(now + 1, 1, encodeHolderHint(0, now, new HolderHint(77, 0, other, 5, 1000)));
+        router.peerMessageReceived(now + 1, 1, encodeHolderHint(0, now, new HolderHint(77, 0, otherCache, 5, 1000)));
         now += 2;
-        assertEquals(hashed, submit(2, READ, 77).node());
+        assertEquals(hashedCache, submit(2, READ, 77).node());
     }
 
     @Test
-    void drainingAndRemovedEndpointsGetNothing() {
-        long hashed = submit(1, READ, 77).node();
+    void drainingAndRemovedEndpointsGetNoRequests() {
+        long hashedCache = submit(1, READ, 77).node();
         endAttempt(1, 0, AttemptResult.OK, CacheStatus.HIT);
         router.endpointsChanged(
                 now,
                 EndpointListMode.DELTA,
                 List.of(
-                        endpoint(hashed, 0, 0, 0, EndpointState.DRAINING),
+                        endpoint(hashedCache, 0, 0, 0, EndpointState.DRAINING),
                         endpoint(PARENT_A, 1, 1, 0, EndpointState.REMOVED)));
         for (long id = 2; id < 60; id++) {
             RecordingActions.StartedAttempt sent = submit(id, READ, id % 2 == 0 ? 77 : id);
-            assertNotEquals(hashed, sent.node());
+            assertNotEquals(hashedCache, sent.node());
             assertNotEquals(PARENT_A, sent.plan().fillSource());
             endAttempt(id, 0, AttemptResult.OK, CacheStatus.HIT);
         }
@@ -95,32 +95,33 @@
         }
     }
 
-    /** A client that is sent to a cache by name comes by itself, so the cold budget must count it. */
+    /** A client connects directly to the cache that was selected for it, so the slow-start budget must count it. */
     @Test
-    void aLookupFollowsReportsDrainsAndTheSlowStartBudget() {
-        long hashed = router.selectCache(now, 0, 77);
-        assertEquals(hashed, submit(1, READ, 77).node());
-        long other = hashed % 4 + 1;
-        router.peerMessageReceived(now, 1, encodeHolderHint(0, now, new HolderHint(77, 0, other, 5, 0)));
-        assertEquals(other, router.selectCache(now + 1, 0, 77));
+    void selectCacheFollowsHolderHintsDrainsAndTheSlowStartBudget() {
+        long hashedCache = router.selectCache(now, 0, 77);
+        assertEquals(hashedCache, submit(1, READ, 77).node());
+        long otherCache = hashedCache % 4 + 1;
+        router.peerMessageReceived(now, 1, encodeHolderHint(0, now, new HolderHint(77, 0, otherCache, 5, 0)));
+        assertEquals(otherCache, router.selectCache(now + 1, 0, 77));
         router.objectsPurged(now + 2, new Purge(0, 0, 5));
-        assertEquals(hashed, router.selectCache(now + 3, 0, 77), "a hint older than its group's purge is none");
+        assertEquals(
+                hashedCache, router.selectCache(now + 3, 0, 77), "a hint older than the purge of its group is ignored");
         router.endpointsChanged(
-                now, EndpointListMode.DELTA, List.of(endpoint(hashed, 0, 0, 0, EndpointState.DRAINING)));
-        assertNotEquals(hashed, router.selectCache(now, 0, 77));
+                now, EndpointListMode.DELTA, List.of(endpoint(hashedCache, 0, 0, 0, EndpointState.DRAINING)));
+        assertNotEquals(hashedCache, router.selectCache(now, 0, 77));
         now += 10 * SECOND;
         router.endpointsChanged(now, EndpointListMode.FULL, List.of(endpoint(1, 0, 0, now, EndpointState.READY)));
-        int given = 0;
-        while (given < 1_000 && router.selectCache(now, 0, 77) == 1) {
-            given++;
+        int selected = 0;
+        while (selected < 1_000 && router.selectCache(now, 0, 77) == 1) {
+            selected++;
         }
-        assertTrue(given > 0 && given < 100, "a cold cache's budget ends: " + given);
-        assertEquals(RoutingPolicy.NO_CACHE, router.selectCache(now, 1, 77), "no cache is there");
+        assertTrue(selected > 0 && selected < 100, "the slow-start budget of a cold cache is limited: " + selected);
+        assertEquals(RoutingPolicy.NO_CACHE, router.selectCache(now, 1, 77), "zone 1 has no caches");
     }
 
-    /** Found day ha85063: writes waiting for a slow origin must not crowd hits out of sound caches. */
+    /** Writes that waited for a slow origin displaced hits at healthy caches (simulation ha85063). */
     @Test
-    void writesThatWaitForTheOriginTakeNoCapacityOfCaches() {
+    void writesWaitingForTheOriginDoNotUseCacheCapacity() {
         for (long id = 1; id <= 400; id++) {
             submit(id, KEYED_WRITE, id);
         }
@@ -129,20 +130,23 @@
         assertTrue(actions.rejected.isEmpty());
     }
 
-    /** zone_loss: half of all requests were refused while parents and the branch's link stood idle. */
+    /**
+     * Without caches in its zone, a router rejected half of all requests while the parents and the zone's link were
+     * idle (simulation zone_loss).
+     */
     @Test
     void withoutCachesAReadBypassesThemToAParent() {
-        RecordingActions seen = new RecordingActions();
-        RequestRouter past = startRouter(bypassSettings(), seen);
-        past.endpointsChanged(now, EndpointListMode.FULL, endpoints().subList(4, 7));
+        RecordingActions recorded = new RecordingActions();
+        RequestRouter bypassing = startRouter(bypassSettings(), recorded);
+        bypassing.endpointsChanged(now, EndpointListMode.FULL, endpoints().subList(4, 7));
         for (long id = 1; id <= 60; id++) {
-            past.requestArrived(now, request(id, READ, id));
+            bypassing.requestArrived(now, request(id, READ, id));
         }
-        assertTrue(seen.attempts.stream()
+        assertTrue(recorded.attempts.stream()
                 .allMatch(s -> s.node() != ORIGIN && s.plan().fillSource() == ORIGIN));
-        // 20 fills at first, as the link allows; the rest would only crowd it.
-        assertEquals(20, seen.attempts.size());
-        assertEquals(40, seen.rejected.size());
+        // The initial fill limit is 20, twice the transfers of the link; further requests are rejected.
+        assertEquals(20, recorded.attempts.size());
+        assertEquals(40, recorded.rejected.size());
     }
 
     @Test
--- a/src/test/java/magpiewheel/routing/ConcurrencyLimiterTest.java
+++ b/src/test/java/magpiewheel/routing/ConcurrencyLimiterTest.java
@@ -28,7 +28,7 @@
     private Endpoint origin;
 
     @BeforeEach
-    void aCacheAndTheOrigin() {
+    void addCacheAndOrigin() {
         endpoints.update(
                 NOW,
                 EndpointListMode.FULL,
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aLateFillLowersTheFillLimitAndThatOfADirectOrigin() {
+    void aLateFillLowersTheFillLimitAndTheLimitOfTheOriginThatServedIt() {
         respond(false, true);
         assertEquals(2 * LINK_TRANSFERS - 0.8, limiter.fillLimit(), 1e-9);
         assertEquals(ConcurrencyLimiter.INITIAL_LIMIT - 0.8, origin.concurrencyLimit, 1e-9);
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void theFillLimitNeverFallsBelowWhatTheLinkCarries() {
+    void theFillLimitNeverFallsBelowTheTransfersOfTheLink() {
         for (int i = 0; i < 100; i++) {
             respond(false, true);
         }
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aLimitGrowsOnlyWhileItIsInUse() {
+    void aLimitIncreasesOnlyWhileItIsInUse() {
         respond(true, false);
         assertEquals(ConcurrencyLimiter.INITIAL_LIMIT, cache.concurrencyLimit);
         cache.ownInFlight = 8;
--- a/src/test/java/magpiewheel/routing/FillCoalescingTest.java
+++ b/src/test/java/magpiewheel/routing/FillCoalescingTest.java
@@ -9,7 +9,10 @@
 import magpiewheel.membership.HeartbeatMessages;
 import org.junit.jupiter.api.Test;
 
-/** A part that another front, or this one, has sent to a cache: where it is asked for, how long, and what ends that. */
+/**
+ * Tests of requests for a part that a cache is already filling for this router or a peer: where the part is looked up,
+ * how long a request waits for it, and what ends the wait.
+ */
 class FillCoalescingTest {
     private static final int PURE = 0;
     private static final int KEYED = 1;
@@ -20,35 +23,35 @@
     private static final long OBJECT = 77;
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
-    private static final long WAIT = 3;
-    private static final int MOST_WAITING = 64;
-    private final RecordingActions router = new RecordingActions();
-    private final RequestRouter rules;
-    private final long hashed;
-    private final long other;
+    private static final long LOOKUP_TIMER = 3;
+    private static final int MAX_WAITING = 64;
+    private final RecordingActions actions = new RecordingActions();
+    private final RequestRouter router;
+    private final long hashedCache;
+    private final long otherCache;
     private long now = 100 * SECOND;
     private long lastId = 1;
 
     FillCoalescingTest() {
         RoutingSettings settings = settings(false);
-        // Where rendezvous sends the object is known from a router that heard nothing.
-        RecordingActions quiet = new RecordingActions();
-        started(settings, quiet).requestArrived(now, request(1, PURE, 0));
-        hashed = quiet.lastAttempt().node();
-        other = hashed % 4 + 1;
-        rules = started(settings, router);
-        rules.peerMessageReceived(now, 1, HeartbeatMessages.fromServingMember(1, 2, 0, now));
-        rules.timerExpired(now, 0);
+        // A router without peer reports sends the request to the first cache in rendezvous order.
+        RecordingActions hashedActions = new RecordingActions();
+        started(settings, hashedActions).requestArrived(now, request(1, PURE, 0));
+        hashedCache = hashedActions.lastAttempt().node();
+        otherCache = hashedCache % 4 + 1;
+        router = started(settings, actions);
+        router.peerMessageReceived(now, 1, HeartbeatMessages.fromServingMember(1, 2, 0, now));
+        router.timerExpired(now, 0);
     }
 
-    private static RoutingSettings settings(boolean joins) {
-        RoutingSettings set = RequestRouterFixture.settings(false, SiblingFills.OFF);
-        return RequestRouterFixture.withFeatures(set, joins, set.detailedCacheStatus());
+    private static RoutingSettings settings(boolean cachesJoinFills) {
+        RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
+        return RequestRouterFixture.withFeatures(settings, cachesJoinFills, settings.detailedCacheStatus());
     }
 
-    private RequestRouter started(RoutingSettings settings, RecordingActions recorder) {
+    private RequestRouter started(RoutingSettings settings, RecordingActions recorded) {
         RequestRouter started = new RequestRouter(
-                settings, 42, recorder, settings.topology().membershipConfig(0, 400_000, 1, false), null, false);
+                settings, 42, recorded, settings.topology().membershipConfig(0, 400_000, 1, false), null, false);
         started.endpointsChanged(now, EndpointListMode.CACHED, RequestRouterFixture.endpoints());
         return started;
     }
@@ -66,17 +69,17 @@
                 .build();
     }
 
-    private long ask(int profile, int part) {
-        rules.requestArrived(now, request(++lastId, profile, part));
+    private long requestPart(int profile, int part) {
+        router.requestArrived(now, request(++lastId, profile, part));
         return lastId;
     }
 
-    /** Another front says that it sent a fill of a part to a cache some time ago. */
-    private void sent(int part, long node, int agoMs) {
-        rules.peerMessageReceived(now, 1, message(part, node, agoMs));
+    /** Delivers a peer report of a fill that was started at a cache {@code ageMs} ago. */
+    private void reportPeerFill(int part, long cacheId, int ageMs) {
+        router.peerMessageReceived(now, 1, message(part, cacheId, ageMs));
     }
 
-    private byte[] message(int part, long node, int agoMs) {
+    private byte[] message(int part, long cacheId, int ageMs) {
         return PeerMessageCodec.encode(new PeerMessage(
                         0,
                         now,
@@ -84,399 +87,412 @@
                         16,
                         0,
                         List.of(),
-                        List.of(new HolderHint(OBJECT, part, node, GROUP, agoMs)),
+                        List.of(new HolderHint(OBJECT, part, cacheId, GROUP, ageMs)),
                         List.of()))
                 .get(0);
     }
 
-    private void answer(long id, AttemptResult result, CacheStatus note) {
-        List<RecordingActions.StartedAttempt> mine = of(id);
-        rules.attemptEnded(
+    private void endAttempt(long id, AttemptResult result, CacheStatus status) {
+        List<RecordingActions.StartedAttempt> attempts = attemptsOf(id);
+        router.attemptEnded(
                 now,
                 AttemptOutcome.builder(
-                                id, mine.size() - 1, mine.get(mine.size() - 1).node(), result)
+                                id,
+                                attempts.size() - 1,
+                                attempts.get(attempts.size() - 1).node(),
+                                result)
                         .durationUs(5 * MS)
                         .requestCompleted(result == AttemptResult.OK)
-                        .cacheStatus(note)
+                        .cacheStatus(status)
                         .firstByteUs(MS)
                         .build());
     }
 
-    private List<RecordingActions.StartedAttempt> of(long id) {
-        return router.attempts.stream().filter(sent -> sent.request() == id).toList();
+    private List<RecordingActions.StartedAttempt> attemptsOf(long id) {
+        return actions.attempts.stream().filter(sent -> sent.request() == id).toList();
     }
 
-    private long lastTimer() {
-        return router.calls.stream()
-                .filter(line -> line.startsWith("timer ") && line.endsWith(" " + WAIT))
+    private long lastLookupTimer() {
+        return actions.calls.stream()
+                .filter(line -> line.startsWith("timer ") && line.endsWith(" " + LOOKUP_TIMER))
                 .mapToLong(line -> Long.parseLong(line.split(" ")[1]))
                 .reduce((first, second) -> second)
                 .orElse(-1);
     }
 
-    /** The clock goes on to when the module asked to be woken for those that wait. */
-    private void wake() {
-        now = lastTimer();
-        rules.timerExpired(now, WAIT);
+    /** Advances the clock to the last lookup timer, and expires it. */
+    private void expireLookupTimer() {
+        now = lastLookupTimer();
+        router.timerExpired(now, LOOKUP_TIMER);
     }
 
-    /** Asks for a part that is on its way to a cache, which says so: from now on the request waits. */
-    private long waiting() {
-        long id = ask(PURE, 0);
+    /** Starts a request whose lookup reports a fill in flight, so that it waits; returns its identifier. */
+    private long requestThatWaits() {
+        long id = requestPart(PURE, 0);
         now += 2 * MS;
-        answer(id, AttemptResult.MISS, CacheStatus.COALESCED);
+        endAttempt(id, AttemptResult.MISS, CacheStatus.COALESCED);
         return id;
     }
 
-    private void looksAt(RecordingActions.StartedAttempt sent, long node) {
-        assertEquals(node, sent.node());
-        assertEquals(node, sent.plan().fillSource());
+    private void assertLookupAt(RecordingActions.StartedAttempt sent, long cacheId) {
+        assertEquals(cacheId, sent.node());
+        assertEquals(cacheId, sent.plan().fillSource());
     }
 
-    private void fillsAt(RecordingActions.StartedAttempt sent, long node) {
-        assertEquals(node, sent.node());
-        assertNotEquals(node, sent.plan().fillSource());
+    private void assertFillAt(RecordingActions.StartedAttempt sent, long cacheId) {
+        assertEquals(cacheId, sent.node());
+        assertNotEquals(cacheId, sent.plan().fillSource());
     }
 
-    /** A request asks a cache first, which holds nothing and has nothing on its way: then it is filled. */
-    private void goesTo(long node, long id) {
-        looksAt(of(id).get(0), node);
-        answer(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
-        fillsAt(of(id).get(1), node);
+    /** Checks that a request makes a lookup at a cache, and is filled there after a miss without a fill in flight. */
+    private void assertLookupThenFillAt(long cacheId, long id) {
+        assertLookupAt(attemptsOf(id).get(0), cacheId);
+        endAttempt(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
+        assertFillAt(attemptsOf(id).get(1), cacheId);
     }
 
-    /** What this front tells of how many it has in hand at a cache. */
-    private int inHand(long node) {
-        rules.timerExpired(now, 0);
-        PeerMessage message = PeerMessageCodec.decode(router.peerMessages.get(router.peerMessages.size() - 1));
+    /** Returns how many attempts in flight at a cache this router reports to its peers. */
+    private int reportedInFlight(long cacheId) {
+        router.timerExpired(now, 0);
+        PeerMessage message = PeerMessageCodec.decode(actions.peerMessages.get(actions.peerMessages.size() - 1));
         return message.loads().stream()
-                .filter(load -> load.endpointId() == node)
+                .filter(load -> load.endpointId() == cacheId)
                 .mapToInt(EndpointLoad::inFlight)
                 .sum();
     }
 
     @Test
-    void aPartIsAskedForWhereAnotherFrontSentIt() {
-        sent(0, other, 50);
-        looksAt(of(ask(PURE, 0)).get(0), other);
-        goesTo(hashed, ask(PURE, 1));
+    void aPartIsLookedUpAtTheCacheWhereAPeerStartedItsFill() {
+        reportPeerFill(0, otherCache, 50);
+        assertLookupAt(attemptsOf(requestPart(PURE, 0)).get(0), otherCache);
+        assertLookupThenFillAt(hashedCache, requestPart(PURE, 1));
     }
 
     @Test
-    void whatACacheHoldsAlreadyIsNoFill() {
-        long id = ask(PURE, 0);
-        looksAt(of(id).get(0), hashed);
-        answer(id, AttemptResult.OK, CacheStatus.HIT);
-        assertEquals(1, of(id).size());
+    void aLookupThatHitsIsNotAFill() {
+        long id = requestPart(PURE, 0);
+        assertLookupAt(attemptsOf(id).get(0), hashedCache);
+        endAttempt(id, AttemptResult.OK, CacheStatus.HIT);
+        assertEquals(1, attemptsOf(id).size());
         now += 100 * MS;
-        rules.timerExpired(now, 0);
-        PeerMessage message = PeerMessageCodec.decode(router.peerMessages.get(router.peerMessages.size() - 1));
+        router.timerExpired(now, 0);
+        PeerMessage message = PeerMessageCodec.decode(actions.peerMessages.get(actions.peerMessages.size() - 1));
         assertTrue(message.fillsStarted().isEmpty() && message.holders().isEmpty());
         assertEquals(0, message.fillsInFlight());
     }
 
     @Test
-    void aRequestWaitsForAFillThatIsOnItsWayAndIsServedThere() {
-        sent(0, other, 50);
-        long id = waiting();
-        assertEquals(1, of(id).size());
-        assertTrue(router.rejected.isEmpty() && router.failed.isEmpty());
-        assertTrue(lastTimer() > now);
-        wake();
-        assertEquals(2, of(id).size());
-        looksAt(of(id).get(1), other);
-        answer(id, AttemptResult.OK, CacheStatus.HIT);
-        assertEquals(2, of(id).size());
+    void aRequestWaitsForAFillInFlightAndIsServedThere() {
+        reportPeerFill(0, otherCache, 50);
+        long id = requestThatWaits();
+        assertEquals(1, attemptsOf(id).size());
+        assertTrue(actions.rejected.isEmpty() && actions.failed.isEmpty());
+        assertTrue(lastLookupTimer() > now);
+        expireLookupTimer();
+        assertEquals(2, attemptsOf(id).size());
+        assertLookupAt(attemptsOf(id).get(1), otherCache);
+        endAttempt(id, AttemptResult.OK, CacheStatus.HIT);
+        assertEquals(2, attemptsOf(id).size());
     }
 
     @Test
-    void aTimerThatComesEarlyWakesNobody() {
-        sent(0, other, 50);
-        long id = waiting();
-        rules.timerExpired(lastTimer() - 1, WAIT);
-        assertEquals(1, of(id).size());
+    void aTimerThatExpiresEarlyResumesNoRequest() {
+        reportPeerFill(0, otherCache, 50);
+        long id = requestThatWaits();
+        router.timerExpired(lastLookupTimer() - 1, LOOKUP_TIMER);
+        assertEquals(1, attemptsOf(id).size());
     }
 
     @Test
-    void aFillThatDiedIsWaitedForNoMore() {
-        sent(0, other, 50);
-        long id = waiting();
-        wake();
-        answer(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
-        assertEquals(3, of(id).size());
-        fillsAt(of(id).get(2), hashed);
-        // The next request asks where it is filled now.
-        looksAt(of(ask(PURE, 0)).get(0), hashed);
+    void aRequestDoesNotWaitForAFillThatFailed() {
+        reportPeerFill(0, otherCache, 50);
+        long id = requestThatWaits();
+        expireLookupTimer();
+        endAttempt(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
+        assertEquals(3, attemptsOf(id).size());
+        assertFillAt(attemptsOf(id).get(2), hashedCache);
+        // The next request makes its lookup at the cache of the new fill.
+        assertLookupAt(attemptsOf(requestPart(PURE, 0)).get(0), hashedCache);
     }
 
     @Test
-    void aCacheThatNeverGotItIsLeftAtOnce() {
-        sent(0, other, 50);
-        long id = ask(PURE, 0);
-        answer(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
-        assertEquals(2, of(id).size());
-        fillsAt(of(id).get(1), hashed);
+    void aCacheWithoutTheReportedFillIsNotWaitedFor() {
+        reportPeerFill(0, otherCache, 50);
+        long id = requestPart(PURE, 0);
+        endAttempt(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
+        assertEquals(2, attemptsOf(id).size());
+        assertFillAt(attemptsOf(id).get(1), hashedCache);
     }
 
     @Test
-    void aCacheThatNeverGotItIsNotAskedFirstAgain() {
-        sent(0, other, 50);
-        long id = ask(PURE, 0);
-        // Its client needs no more, so that nothing newer is sent.
-        rules.attemptEnded(
+    void aCacheWithoutTheReportedFillIsNotLookedUpAgain() {
+        reportPeerFill(0, otherCache, 50);
+        long id = requestPart(PURE, 0);
+        // The request is completed, so that no new fill is started for it.
+        router.attemptEnded(
                 now,
-                AttemptOutcome.builder(id, 0, other, AttemptResult.MISS)
+                AttemptOutcome.builder(id, 0, otherCache, AttemptResult.MISS)
                         .durationUs(5 * MS)
                         .requestCompleted(true)
                         .firstByteUs(MS)
                         .build());
-        looksAt(of(ask(PURE, 0)).get(0), hashed);
+        assertLookupAt(attemptsOf(requestPart(PURE, 0)).get(0), hashedCache);
     }
 
     @Test
-    void aSlowFillIsWaitedForWithinTheAimOnly() {
-        sent(0, other, 50);
+    void aSlowFillIsWaitedForOnlyWithinTheLatencyObjective() {
+        reportPeerFill(0, otherCache, 50);
         long start = now;
-        long id = waiting();
-        while (of(id).get(of(id).size() - 1).plan().fillSource() == other) {
-            wake();
-            answer(id, AttemptResult.MISS, CacheStatus.COALESCED);
-            assertTrue(of(id).size() <= 6);
+        long id = requestThatWaits();
+        while (attemptsOf(id).get(attemptsOf(id).size() - 1).plan().fillSource() == otherCache) {
+            expireLookupTimer();
+            endAttempt(id, AttemptResult.MISS, CacheStatus.COALESCED);
+            assertTrue(attemptsOf(id).size() <= 6);
         }
-        // Aim 500 ms and twice the own sending time, which is 500 ms before any was seen; and that is needed for the
-        // answer.
+        // The objective is 500 ms plus twice the transfer time, which is 500 ms before the first measurement. The
+        // response
+        // itself needs one transfer time of that.
         assertTrue(now - start <= 1_000 * MS, "waited " + (now - start));
         assertTrue(now - start > 500 * MS, "waited " + (now - start));
-        fillsAt(of(id).get(of(id).size() - 1), hashed);
-        assertTrue(router.rejected.isEmpty() && router.failed.isEmpty());
+        assertFillAt(attemptsOf(id).get(attemptsOf(id).size() - 1), hashedCache);
+        assertTrue(actions.rejected.isEmpty() && actions.failed.isEmpty());
     }
 
     @Test
-    void whoHeardOfItLateAsksAtMostOnce() {
-        sent(0, other, 50);
-        long id = ask(PURE, 0);
+    void aLateAnswerToTheFirstLookupIsNotFollowedByAnother() {
+        reportPeerFill(0, otherCache, 50);
+        long id = requestPart(PURE, 0);
         now += 1_100 * MS;
-        answer(id, AttemptResult.MISS, CacheStatus.COALESCED);
-        fillsAt(of(id).get(1), hashed);
+        endAttempt(id, AttemptResult.MISS, CacheStatus.COALESCED);
+        assertFillAt(attemptsOf(id).get(1), hashedCache);
     }
 
     @Test
-    void aCacheThatDrainsIsNotWaitedFor() {
-        sent(0, other, 50);
-        long id = waiting();
-        rules.endpointsChanged(
+    void aDrainingCacheIsNotWaitedFor() {
+        reportPeerFill(0, otherCache, 50);
+        long id = requestThatWaits();
+        router.endpointsChanged(
                 now,
                 EndpointListMode.DELTA,
-                List.of(RequestRouterFixture.endpoint(other, 0, 0, 0, EndpointState.DRAINING)));
-        assertEquals(2, of(id).size());
-        fillsAt(of(id).get(1), hashed);
-        rules.endpointsChanged(
+                List.of(RequestRouterFixture.endpoint(otherCache, 0, 0, 0, EndpointState.DRAINING)));
+        assertEquals(2, attemptsOf(id).size());
+        assertFillAt(attemptsOf(id).get(1), hashedCache);
+        router.endpointsChanged(
                 now,
                 EndpointListMode.DELTA,
-                List.of(RequestRouterFixture.endpoint(other, 0, 0, 0, EndpointState.READY)));
-        looksAt(of(ask(PURE, 0)).get(0), hashed);
+                List.of(RequestRouterFixture.endpoint(otherCache, 0, 0, 0, EndpointState.READY)));
+        assertLookupAt(attemptsOf(requestPart(PURE, 0)).get(0), hashedCache);
     }
 
     @Test
-    void aCacheThatDiesIsNotWaitedFor() {
-        sent(0, other, 50);
-        long id = waiting();
-        wake();
-        answer(id, AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN);
-        assertEquals(3, of(id).size());
-        fillsAt(of(id).get(2), hashed);
+    void anUnreachableCacheIsNotWaitedFor() {
+        reportPeerFill(0, otherCache, 50);
+        long id = requestThatWaits();
+        expireLookupTimer();
+        endAttempt(id, AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN);
+        assertEquals(3, attemptsOf(id).size());
+        assertFillAt(attemptsOf(id).get(2), hashedCache);
     }
 
     @Test
-    void whoWaitsCountsInHandAndALeavingClientNoMore() {
-        sent(0, other, 50);
-        long id = waiting();
-        assertEquals(1, inHand(other));
-        rules.clientDisconnected(now, id);
-        assertEquals(0, inHand(other));
-        wake();
-        assertEquals(1, of(id).size());
-        assertTrue(router.rejected.isEmpty() && router.failed.isEmpty());
+    void aWaitingRequestCountsAsInFlightUntilItsClientDisconnects() {
+        reportPeerFill(0, otherCache, 50);
+        long id = requestThatWaits();
+        assertEquals(1, reportedInFlight(otherCache));
+        router.clientDisconnected(now, id);
+        assertEquals(0, reportedInFlight(otherCache));
+        expireLookupTimer();
+        assertEquals(1, attemptsOf(id).size());
+        assertTrue(actions.rejected.isEmpty() && actions.failed.isEmpty());
     }
 
     @Test
-    void aPurgeForgetsWhatWasSentBefore() {
-        sent(0, other, 50);
-        rules.objectsPurged(now, new Purge(0, 0, GROUP));
+    void aPurgeForgetsFillsStartedBefore() {
+        reportPeerFill(0, otherCache, 50);
+        router.objectsPurged(now, new Purge(0, 0, GROUP));
         now += MS;
-        looksAt(of(ask(FRESH, 0)).get(0), hashed);
-        // Word from before the purge that comes late says nothing either.
-        sent(0, other, 50);
-        looksAt(of(ask(FRESH, 0)).get(0), hashed);
+        assertLookupAt(attemptsOf(requestPart(FRESH, 0)).get(0), hashedCache);
+        // A late report of a fill from before the purge is ignored as well.
+        reportPeerFill(0, otherCache, 50);
+        assertLookupAt(attemptsOf(requestPart(FRESH, 0)).get(0), hashedCache);
     }
 
     @Test
-    void whatWaitsThroughAPurgeAsksForACopyThatIsYounger() {
-        sent(0, other, 50);
-        long id = waiting();
-        rules.objectsPurged(now, new Purge(0, OBJECT, 0));
-        wake();
-        looksAt(of(id).get(1), other);
-        assertTrue(of(id).get(1).plan().maxAgeUs() > 0);
+    void aRequestThatWaitsDuringAPurgeLimitsTheAgeOfItsCopy() {
+        reportPeerFill(0, otherCache, 50);
+        long id = requestThatWaits();
+        router.objectsPurged(now, new Purge(0, OBJECT, 0));
+        expireLookupTimer();
+        assertLookupAt(attemptsOf(id).get(1), otherCache);
+        assertTrue(attemptsOf(id).get(1).plan().maxAgeUs() > 0);
     }
 
     @Test
-    void anOwnFillThatLandsLetsTheWaitingGoAtOnce() {
-        long first = ask(PURE, 0);
-        answer(first, AttemptResult.MISS, CacheStatus.UNKNOWN);
+    void theEndOfAnOwnFillResumesWaitingRequestsAtOnce() {
+        long first = requestPart(PURE, 0);
+        endAttempt(first, AttemptResult.MISS, CacheStatus.UNKNOWN);
         now += 50 * MS;
-        long second = waiting();
-        looksAt(of(second).get(0), hashed);
-        assertEquals(1, of(second).size());
-        answer(first, AttemptResult.OK, CacheStatus.FILLED);
-        assertEquals(2, of(second).size());
-        assertEquals(hashed, of(second).get(1).node());
+        long second = requestThatWaits();
+        assertLookupAt(attemptsOf(second).get(0), hashedCache);
+        assertEquals(1, attemptsOf(second).size());
+        endAttempt(first, AttemptResult.OK, CacheStatus.FILLED);
+        assertEquals(2, attemptsOf(second).size());
+        assertEquals(hashedCache, attemptsOf(second).get(1).node());
     }
 
     @Test
-    void anOwnFillThatFailsLetsTheWaitingGoAtOnce() {
-        long first = ask(PURE, 0);
-        answer(first, AttemptResult.MISS, CacheStatus.UNKNOWN);
+    void theFailureOfAnOwnFillResumesWaitingRequestsAtOnce() {
+        long first = requestPart(PURE, 0);
+        endAttempt(first, AttemptResult.MISS, CacheStatus.UNKNOWN);
         now += 50 * MS;
-        long second = waiting();
-        answer(first, AttemptResult.ERROR, CacheStatus.SOURCE_REJECTED);
-        assertEquals(2, of(second).size());
+        long second = requestThatWaits();
+        endAttempt(first, AttemptResult.ERROR, CacheStatus.SOURCE_REJECTED);
+        assertEquals(2, attemptsOf(second).size());
     }
 
     @Test
-    void noMoreWaitThanAreCounted() {
+    void theNumberOfWaitingRequestsIsBounded() {
         List<EndpointInfo> more = LongStream.range(11, 31)
                 .mapToObj(node -> RequestRouterFixture.endpoint(node, 0, 0, 0, EndpointState.READY))
                 .toList();
-        rules.endpointsChanged(now, EndpointListMode.DELTA, more);
-        for (int i = 0; i < MOST_WAITING + 10; i++) {
-            rules.requestArrived(now, request(++lastId, PURE, 0, 1_000 + i));
-            answer(lastId, AttemptResult.MISS, CacheStatus.COALESCED);
-            // Beyond the bound it goes the way it went before, at once: a fill, or the end where the link has no room.
-            assertEquals(i >= MOST_WAITING, of(lastId).size() == 2 || router.rejected.contains(lastId), "request " + i);
+        router.endpointsChanged(now, EndpointListMode.DELTA, more);
+        for (int i = 0; i < MAX_WAITING + 10; i++) {
+            router.requestArrived(now, request(++lastId, PURE, 0, 1_000 + i));
+            endAttempt(lastId, AttemptResult.MISS, CacheStatus.COALESCED);
+            // Beyond the bound a request does not wait: it is filled, or rejected if the fill limit is reached.
+            assertEquals(
+                    i >= MAX_WAITING,
+                    attemptsOf(lastId).size() == 2 || actions.rejected.contains(lastId),
+                    "request " + i);
         }
     }
 
     @Test
-    void whoWaitsTakesACachesPlacesLikeAnyOther() {
-        for (int i = 0; i < 3 * MOST_WAITING; i++) {
-            rules.requestArrived(now, request(++lastId, PURE, 0, 1_000 + i));
-            if (of(lastId).isEmpty()) {
-                // All caches are full: what has nowhere to go has its end at once.
-                assertTrue(router.rejected.contains(lastId));
+    void waitingRequestsUseTheConcurrencyLimitOfTheirCache() {
+        for (int i = 0; i < 3 * MAX_WAITING; i++) {
+            router.requestArrived(now, request(++lastId, PURE, 0, 1_000 + i));
+            if (attemptsOf(lastId).isEmpty()) {
+                // All caches are at their limit: the request is rejected at once.
+                assertTrue(actions.rejected.contains(lastId));
                 return;
             }
-            answer(lastId, AttemptResult.MISS, CacheStatus.COALESCED);
+            endAttempt(lastId, AttemptResult.MISS, CacheStatus.COALESCED);
         }
-        throw new AssertionError("nobody was turned away");
+        throw new AssertionError("no request was rejected");
     }
 
     @Test
-    void oldWordIsForgottenAndTheNewestCounts() {
-        sent(0, other, 50);
+    void expiredReportsAreIgnoredAndTheNewestCounts() {
+        reportPeerFill(0, otherCache, 50);
         now += 11 * SECOND;
-        looksAt(of(ask(PURE, 0)).get(0), hashed);
-        long third = other % 4 + 1;
-        sent(1, third, 50);
-        sent(1, other, 900);
-        looksAt(of(ask(PURE, 1)).get(0), third);
-        sent(2, 4711, 50);
-        looksAt(of(ask(PURE, 2)).get(0), hashed);
+        assertLookupAt(attemptsOf(requestPart(PURE, 0)).get(0), hashedCache);
+        long third = otherCache % 4 + 1;
+        reportPeerFill(1, third, 50);
+        reportPeerFill(1, otherCache, 900);
+        assertLookupAt(attemptsOf(requestPart(PURE, 1)).get(0), third);
+        reportPeerFill(2, 4711, 50);
+        assertLookupAt(attemptsOf(requestPart(PURE, 2)).get(0), hashedCache);
     }
 
     @Test
-    void whereCachesJoinFillsNobodyAsksFirst() {
-        RecordingActions recorder = new RecordingActions();
-        RequestRouter joining = started(settings(true), recorder);
-        joining.peerMessageReceived(now, 1, message(0, other, 50));
+    void thereAreNoLookupsWhereCachesJoinFills() {
+        RecordingActions recorded = new RecordingActions();
+        RequestRouter joining = started(settings(true), recorded);
+        joining.peerMessageReceived(now, 1, message(0, otherCache, 50));
         joining.requestArrived(now, request(1, PURE, 0));
-        fillsAt(recorder.lastAttempt(), hashed);
+        assertFillAt(recorded.lastAttempt(), hashedCache);
     }
 
     @Test
-    void whoMayTryTwiceOnlyKeepsBothForFills() {
-        RoutingSettings set = settings(false);
-        RequestLimits all = set.limits();
-        RequestLimits two = RequestLimits.builder(2)
-                .mayCancel(all.mayCancel())
-                .mayHedge(all.mayHedge())
-                .mayMessagePeers(all.mayMessagePeers())
-                .mayCheckHealth(all.mayCheckHealth())
-                .maySendRetryAfter(all.maySendRetryAfter())
-                .maxInFlight(all.maxInFlight())
-                .maxRetryAfterUs(all.maxRetryAfterUs())
-                .connectTimeoutUs(all.connectTimeoutUs())
+    void thereAreNoLookupsWithOnlyTwoAttempts() {
+        RoutingSettings settings = settings(false);
+        RequestLimits limits = settings.limits();
+        RequestLimits twoAttempts = RequestLimits.builder(2)
+                .mayCancel(limits.mayCancel())
+                .mayHedge(limits.mayHedge())
+                .mayMessagePeers(limits.mayMessagePeers())
+                .mayCheckHealth(limits.mayCheckHealth())
+                .maySendRetryAfter(limits.maySendRetryAfter())
+                .maxInFlight(limits.maxInFlight())
+                .maxRetryAfterUs(limits.maxRetryAfterUs())
+                .connectTimeoutUs(limits.connectTimeoutUs())
                 .build();
-        RecordingActions recorder = new RecordingActions();
+        RecordingActions recorded = new RecordingActions();
         started(
-                        RoutingSettings.builder(set.topology(), set.requestClasses(), two, set.safetyLimits())
-                                .tenants(set.tenants())
-                                .overQuotaPriorityWeight(set.overQuotaPriorityWeight())
-                                .mustSubscribe(set.mustSubscribe())
-                                .siblingFills(set.siblingFills())
-                                .cachesJoinFills(set.cachesJoinFills())
-                                .mayBypassCaches(set.mayBypassCaches())
-                                .detailedCacheStatus(set.detailedCacheStatus())
-                                .weightSource(set.weightSource())
-                                .loadMetrics(set.loadMetrics())
+                        RoutingSettings.builder(
+                                        settings.topology(),
+                                        settings.requestClasses(),
+                                        twoAttempts,
+                                        settings.safetyLimits())
+                                .tenants(settings.tenants())
+                                .overQuotaPriorityWeight(settings.overQuotaPriorityWeight())
+                                .mustSubscribe(settings.mustSubscribe())
+                                .siblingFills(settings.siblingFills())
+                                .cachesJoinFills(settings.cachesJoinFills())
+                                .mayBypassCaches(settings.mayBypassCaches())
+                                .detailedCacheStatus(settings.detailedCacheStatus())
+                                .weightSource(settings.weightSource())
+                                .loadMetrics(settings.loadMetrics())
                                 .build(),
-                        recorder)
+                        recorded)
                 .requestArrived(now, request(1, PURE, 0));
-        fillsAt(recorder.lastAttempt(), hashed);
+        assertFillAt(recorded.lastAttempt(), hashedCache);
     }
 
     @Test
-    void writesGoTheirOwnWay() {
-        sent(0, other, 50);
-        assertEquals(ORIGIN, of(ask(KEYED, 0)).get(0).plan().fillSource());
-        assertEquals(ORIGIN, of(ask(UNSAFE, 0)).get(0).plan().fillSource());
+    void writesAreNotLookedUp() {
+        reportPeerFill(0, otherCache, 50);
+        assertEquals(ORIGIN, attemptsOf(requestPart(KEYED, 0)).get(0).plan().fillSource());
+        assertEquals(ORIGIN, attemptsOf(requestPart(UNSAFE, 0)).get(0).plan().fillSource());
     }
 
     @Test
-    void aFillIsToldWhileItIsOutAndOnlyOnce() {
-        long id = ask(PURE, 3);
-        answer(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
+    void aFillIsReportedOnceWhileItIsInFlight() {
+        long id = requestPart(PURE, 3);
+        endAttempt(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
         now += 100 * MS;
-        rules.timerExpired(now, 0);
-        PeerMessage message = PeerMessageCodec.decode(router.peerMessages.get(router.peerMessages.size() - 1));
-        assertEquals(List.of(new HolderHint(OBJECT, 3, hashed, GROUP, 100)), message.fillsStarted());
+        router.timerExpired(now, 0);
+        PeerMessage message = PeerMessageCodec.decode(actions.peerMessages.get(actions.peerMessages.size() - 1));
+        assertEquals(List.of(new HolderHint(OBJECT, 3, hashedCache, GROUP, 100)), message.fillsStarted());
         now += 100 * MS;
-        rules.timerExpired(now, 0);
+        router.timerExpired(now, 0);
         assertEquals(
                 List.of(),
-                PeerMessageCodec.decode(router.peerMessages.get(router.peerMessages.size() - 1))
+                PeerMessageCodec.decode(actions.peerMessages.get(actions.peerMessages.size() - 1))
                         .fillsStarted());
-        answer(id, AttemptResult.OK, CacheStatus.FILLED);
-        ask(PURE, 4);
-        answer(lastId, AttemptResult.MISS, CacheStatus.UNKNOWN);
-        answer(lastId, AttemptResult.OK, CacheStatus.FILLED);
+        endAttempt(id, AttemptResult.OK, CacheStatus.FILLED);
+        requestPart(PURE, 4);
+        endAttempt(lastId, AttemptResult.MISS, CacheStatus.UNKNOWN);
+        endAttempt(lastId, AttemptResult.OK, CacheStatus.FILLED);
         now += 100 * MS;
-        rules.timerExpired(now, 0);
-        message = PeerMessageCodec.decode(router.peerMessages.get(router.peerMessages.size() - 1));
+        router.timerExpired(now, 0);
+        message = PeerMessageCodec.decode(actions.peerMessages.get(actions.peerMessages.size() - 1));
         assertEquals(
-                List.of(new HolderHint(OBJECT, 3, hashed, GROUP, 0), new HolderHint(OBJECT, 4, hashed, GROUP, 0)),
+                List.of(
+                        new HolderHint(OBJECT, 3, hashedCache, GROUP, 0),
+                        new HolderHint(OBJECT, 4, hashedCache, GROUP, 0)),
                 message.holders());
         assertEquals(List.of(), message.fillsStarted());
     }
 
     /**
-     * A large object's aim lies behind the end of a request whose client waits only 0.3 s: waiting for the fill by that
-     * aim, the request would have been woken when its time was over, and had got no answer.
+     * The latency objective of a large object lies after the deadline of a request with a time budget of 0.3 s. A
+     * request that waited for the fill until the objective would be resumed after its deadline, and get no answer.
      */
     @Test
-    void aRequestNeverWaitsPastItsOwnEnd() {
-        double large = 9_000;
-        long end = now + 300 * MS;
+    void aRequestNeverWaitsPastItsDeadline() {
+        double largeKb = 9_000;
+        long deadline = now + 300 * MS;
         long id = ++lastId;
-        rules.requestArrived(
+        router.requestArrived(
                 now,
                 RoutingRequest.builder(id, PURE, OBJECT)
                         .group(GROUP)
-                        .sizeKb(large)
-                        .timeBudgetUs(end - now)
+                        .sizeKb(largeKb)
+                        .timeBudgetUs(deadline - now)
                         .build());
-        answer(id, AttemptResult.MISS, CacheStatus.COALESCED);
-        assertTrue(lastTimer() < end, "woken in time");
-        assertEquals(2, of(id).size(), "the fill goes out");
+        endAttempt(id, AttemptResult.MISS, CacheStatus.COALESCED);
+        assertTrue(lastLookupTimer() < deadline, "resumed before the deadline");
+        assertEquals(2, attemptsOf(id).size(), "the fill is started");
     }
 }
--- a/src/test/java/magpiewheel/routing/FillSourceSelectionTest.java
+++ b/src/test/java/magpiewheel/routing/FillSourceSelectionTest.java
@@ -9,13 +9,13 @@
 
 /** Whether a fill comes from a parent or the origin. */
 class FillSourceSelectionTest extends RequestRouterFixture {
-    /** Late fills from the origin, as one director sees them. */
-    private void originLate(RequestRouter director, RecordingActions sent, long from) {
+    /** Ends 20 requests with late fills from the origin. */
+    private void completeLateOriginFills(RequestRouter requestRouter, RecordingActions recorded, long from) {
         for (long id = from; id < from + 20; id++) {
-            director.requestArrived(now, request(id, READ, id));
-            director.attemptEnded(
+            requestRouter.requestArrived(now, request(id, READ, id));
+            requestRouter.attemptEnded(
                     now,
-                    AttemptOutcome.builder(id, 0, sent.lastAttempt().node(), AttemptResult.OK)
+                    AttemptOutcome.builder(id, 0, recorded.lastAttempt().node(), AttemptResult.OK)
                             .durationUs(1_900_000)
                             .requestCompleted(true)
                             .cacheStatus(CacheStatus.FILLED_BY_ORIGIN)
@@ -24,25 +24,28 @@
         }
     }
 
-    /** Fills of these objects that go to the origin all the same, of 400. */
-    private long tried(RequestRouter director, RecordingActions sent, long from) {
-        long tried = 0;
+    /** Returns how many of 400 requests may still be filled from the origin. */
+    private long fillsSentToOrigin(RequestRouter requestRouter, RecordingActions recorded, long from) {
+        long sentToOrigin = 0;
         for (long id = from; id < from + 400; id++) {
-            director.requestArrived(now, request(id, READ, id));
-            RecordingActions.StartedAttempt last = sent.lastAttempt();
-            tried += last.plan().cachedOnly() ? 0 : 1;
-            director.attemptEnded(
+            requestRouter.requestArrived(now, request(id, READ, id));
+            RecordingActions.StartedAttempt last = recorded.lastAttempt();
+            sentToOrigin += last.plan().cachedOnly() ? 0 : 1;
+            requestRouter.attemptEnded(
                     now,
                     AttemptOutcome.builder(id, 0, last.node(), AttemptResult.CANCELLED)
                             .durationUs(1_000)
                             .requestCompleted(true)
                             .build());
         }
-        return tried;
+        return sentToOrigin;
     }
 
-    /** One parent is left, and its fills come so late; where they come straight from the origin, they come so. */
-    private List<Long> sources(long fromParent, long fromOrigin, CacheStatus note, long from) {
+    /**
+     * Returns the fill sources of 20 requests after one parent drains. Fills from the other parent and from the origin
+     * take the given times.
+     */
+    private List<Long> sources(long parentUs, long originUs, CacheStatus parentStatus, long from) {
         router.endpointsChanged(
                 now, EndpointListMode.DELTA, List.of(endpoint(PARENT_B, 1, 1, 0, EndpointState.DRAINING)));
         List<Long> sources = new ArrayList<>();
@@ -53,9 +56,9 @@
             router.attemptEnded(
                     now,
                     AttemptOutcome.builder(id, 0, sent.node(), AttemptResult.OK)
-                            .durationUs(origin ? fromOrigin : fromParent)
+                            .durationUs(origin ? originUs : parentUs)
                             .requestCompleted(true)
-                            .cacheStatus(origin ? CacheStatus.FILLED_BY_ORIGIN : note)
+                            .cacheStatus(origin ? CacheStatus.FILLED_BY_ORIGIN : parentStatus)
                             .firstByteUs(10_000)
                             .build());
             now += 10_000;
@@ -63,7 +66,7 @@
         return sources;
     }
 
-    private int sourcedFromA(long firstId) {
+    private int fillsFromParentA(long firstId) {
         int count = 0;
         for (long id = firstId; id < firstId + 40; id++) {
             count += submit(id, READ, id).plan().fillSource() == PARENT_A ? 1 : 0;
@@ -81,9 +84,12 @@
         assertEquals(0, write.plan().retentionRank());
     }
 
-    /** Incident i447baf: with the origin stopped, fills hung behind it while parents could still help. */
+    /**
+     * With the origin stopped, fills waited for it although parents could still serve what they held (incident
+     * i447baf).
+     */
     @Test
-    void mostFillsSpareADegradedOrigin() {
+    void mostFillsDoNotGoToADegradedOrigin() {
         for (long id = 1; id <= 20; id++) {
             submit(id, READ, id);
             endAttempt(id, 0, AttemptResult.OK, CacheStatus.FILLED);
@@ -97,37 +103,40 @@
                             .firstByteUs(1_000_000)
                             .build());
         }
-        int heldOnly = 0;
+        int cachedOnly = 0;
         for (long id = 201; id <= 300; id++) {
-            boolean held = submit(id, READ, id).plan().cachedOnly();
-            heldOnly += held ? 1 : 0;
+            boolean isCachedOnly = submit(id, READ, id).plan().cachedOnly();
+            cachedOnly += isCachedOnly ? 1 : 0;
             endAttempt(
                     id,
                     0,
-                    held ? AttemptResult.MISS : AttemptResult.OK,
-                    held ? CacheStatus.SOURCE_MISS : CacheStatus.FILLED);
-            assertEquals(1, attemptCount(id), "a spared fill ends at once");
+                    isCachedOnly ? AttemptResult.MISS : AttemptResult.OK,
+                    isCachedOnly ? CacheStatus.SOURCE_MISS : CacheStatus.FILLED);
+            assertEquals(1, attemptCount(id), "a fill kept from the origin ends at once");
         }
-        assertTrue(heldOnly > 60 && heldOnly < 100, "some fills try the origin again: " + heldOnly);
+        assertTrue(cachedOnly > 60 && cachedOnly < 100, "some fills still go to the origin: " + cachedOnly);
     }
 
     /**
-     * join+vast 213653845384, 14 fronts: while the origin was late each front still sent 15% of its fills there, so the
-     * fleet sent 14 times what one front tries, and writes waited behind them (apply served 0.73, G 0.744).
+     * Each of 14 routers sent 15% of its fills to a late origin, so that together they sent 14 times the fills of one,
+     * and writes waited behind them (simulation join+vast 213653845384: served share of apply 0.73, G 0.744).
      */
     @Test
-    void allRoutersTogetherTryALateOriginAsOneWould() {
-        RecordingActions sent = new RecordingActions();
-        RequestRouter director = startRouter(settings(0, 14, false, SiblingFills.OFF), sent);
-        originLate(director, sent, 1);
-        long tried = tried(director, sent, 1_000);
-        assertTrue(tried >= 1 && tried <= 16, "of 400 fills, tried at the origin: " + tried);
+    void allRoutersTogetherSendALateOriginAsManyFillsAsOneRouter() {
+        RecordingActions recorded = new RecordingActions();
+        RequestRouter requestRouter = startRouter(settings(0, 14, false, SiblingFills.OFF), recorded);
+        completeLateOriginFills(requestRouter, recorded, 1);
+        long sentToOrigin = fillsSentToOrigin(requestRouter, recorded, 1_000);
+        assertTrue(sentToOrigin >= 1 && sentToOrigin <= 16, "of 400 fills, sent to the origin: " + sentToOrigin);
     }
 
-    /** The same day: each front found the late origin by itself, 6.3 to 9.1 s into the day. */
+    /**
+     * Without peer reports, each router detected the late origin only by its own fills, 6.3 to 9.1 s after the start of
+     * the same simulation.
+     */
     @Test
     void aPeersReportOfALateOriginCounts() {
-        assertTrue(tried(router, actions, 1_000) > 390, "nothing was late yet");
+        assertTrue(fillsSentToOrigin(router, actions, 1_000) > 390, "the origin is not late yet");
         for (int peer = 1; peer <= 12; peer++) {
             router.peerMessageReceived(
                     now,
@@ -135,14 +144,14 @@
                     PeerMessageCodec.encode(new PeerMessage(0, now, 0, 16, 0.9, List.of(), List.of(), List.of()))
                             .get(0));
         }
-        assertTrue(tried(router, actions, 2_000) < 100, "spared once peers told of it");
+        assertTrue(fillsSentToOrigin(router, actions, 2_000) < 100, "few fills once peers reported the late origin");
         now += 3 * SECOND;
-        assertTrue(tried(router, actions, 3_000) > 390, "asked again once nobody told of it lately");
+        assertTrue(fillsSentToOrigin(router, actions, 3_000) > 390, "fills again once the reports have expired");
     }
 
     /**
-     * Seen on a herd's day of 100 fronts: each heard of the origin once in seconds, so that those which had seen it
-     * late refused an eighth of all requests for 10 s after it had come to itself.
+     * With 100 routers (simulation herd), each got a response from the origin only every few seconds. Those that had
+     * seen it late rejected an eighth of all requests for 10 s after it had recovered.
      */
     @Test
     void anOriginThatWasLateLongAgoIsTriedAgain() {
@@ -157,35 +166,36 @@
                             .firstByteUs(1_000_000)
                             .build());
         }
-        int before = 0;
-        int after = 0;
+        int beforeExpiry = 0;
+        int afterExpiry = 0;
         for (long id = 101; id <= 130; id++) {
-            before += submit(id, READ, id).plan().cachedOnly() ? 1 : 0;
+            beforeExpiry += submit(id, READ, id).plan().cachedOnly() ? 1 : 0;
             endAttempt(id, 0, AttemptResult.CANCELLED, CacheStatus.UNKNOWN);
         }
         now += 2 * SECOND;
         for (long id = 201; id <= 230; id++) {
-            after += submit(id, READ, id).plan().cachedOnly() ? 1 : 0;
+            afterExpiry += submit(id, READ, id).plan().cachedOnly() ? 1 : 0;
             endAttempt(id, 0, AttemptResult.CANCELLED, CacheStatus.UNKNOWN);
         }
-        assertTrue(before > 15, "in trouble: " + before);
-        assertEquals(0, after);
+        assertTrue(beforeExpiry > 15, "cached-only while the origin is degraded: " + beforeExpiry);
+        assertEquals(0, afterExpiry);
     }
 
     /**
-     * join+vast 913: with one parent draining and its successor cold, the one left was slow (1.0 to 1.3 s a fill, up to
-     * 29 time-outs a second over the fleet), while fills straight from the origin took 0.2 s.
+     * With one parent draining and its successor cold, the remaining parent was slow (1.0 to 1.3 s per fill, up to 29
+     * time-outs per second over all routers), while fills directly from the origin took 0.2 s (simulation join+vast
+     * 913).
      */
     @Test
-    void aLateParentGivesWayToAnOriginThatIsNot() {
+    void aLateParentIsReplacedByAnOriginInTime() {
         List<Long> sources = sources(1_400_000, 200_000, CacheStatus.FILLED, 1);
         assertEquals(PARENT_A, sources.get(0));
         assertEquals(List.of(ORIGIN), sources.subList(1, 20).stream().distinct().toList());
         now += 3 * SECOND;
-        assertEquals(PARENT_A, submit(100, READ, 100).plan().fillSource(), "not heard of lately, it is tried again");
+        assertEquals(PARENT_A, submit(100, READ, 100).plan().fillSource(), "used again once its latency has expired");
     }
 
-    /** A parent in time is asked first, whatever the origin could do: its bytes cost. */
+    /** A parent in time is preferred even to a faster origin, since transfers from the origin have a cost. */
     @Test
     void aParentThatMeetsTheObjectiveComesFirst() {
         assertEquals(
@@ -195,7 +205,7 @@
                         .toList());
     }
 
-    /** Late behind a late origin, or where the way to the caches is slow for all, the origin is no way out. */
+    /** The origin does not help if it is late itself, or if the link to the caches is slow for all sources. */
     @Test
     void aLateOriginDoesNotReplaceALateParent() {
         assertEquals(
@@ -207,12 +217,12 @@
         long atOrigin = sources(1_000_000, 1_200_000, CacheStatus.FILLED, 100).stream()
                 .filter(s -> s == ORIGIN)
                 .count();
-        assertTrue(atOrigin <= 2, "tried at an origin that was slower still: " + atOrigin);
+        assertTrue(atOrigin <= 2, "filled from an origin that was slower still: " + atOrigin);
     }
 
-    /** A parent with one bad spell is heard again: its latency is not remembered for good. */
+    /** A parent that was slow for a short time is used again, because its latency expires. */
     @Test
-    void aParentsHighLatencyIsForgotten() {
+    void theHighLatencyOfAParentExpires() {
         for (long id = 1; id <= 30; id++) {
             RecordingActions.StartedAttempt sent = submit(id, READ, id);
             boolean slow = sent.plan().fillSource() == PARENT_A;
@@ -225,8 +235,8 @@
                             .firstByteUs(slow ? 1_400_000 : 10_000)
                             .build());
         }
-        assertEquals(0, sourcedFromA(1_000));
+        assertEquals(0, fillsFromParentA(1_000));
         now += 3 * SECOND;
-        assertTrue(sourcedFromA(2_000) > 0);
+        assertTrue(fillsFromParentA(2_000) > 0);
     }
 }
--- a/src/test/java/magpiewheel/routing/HolderTableTest.java
+++ b/src/test/java/magpiewheel/routing/HolderTableTest.java
@@ -16,7 +16,7 @@
     private final RouterTopology topology = RouterTopology.builder(0, 1, 0).build();
 
     @BeforeEach
-    void aCacheHoldsTheObject() {
+    void reportHolder() {
         cache.update(EndpointInfo.builder(1, 0, 0).build(), topology);
         holders.reportedByPeer(NOW, cache, new HolderHint(OBJECT, 0, 1, GROUP, 0));
     }
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aHolderThatDrainsOrRestartedIsNone() {
+    void aHolderThatDrainsOrRestartedIsIgnored() {
         EndpointInfo.Builder info = EndpointInfo.builder(1, 0, 0);
         cache.update(info.state(EndpointState.DRAINING).build(), topology);
         assertNull(holders.holder(NOW, OBJECT));
--- a/src/test/java/magpiewheel/routing/LoadShedderTest.java
+++ b/src/test/java/magpiewheel/routing/LoadShedderTest.java
@@ -23,16 +23,16 @@
         return new InFlightRequest(request, classes.get(requestClass), NOW, NOW + 3_000_000, null);
     }
 
-    private void demand(int count, int requestClass, double sizeKb) {
+    private void recordDemand(int count, int requestClass, double sizeKb) {
         for (int i = 0; i < count; i++) {
             shedder.requested(request(requestClass, sizeKb));
         }
     }
 
     @Test
-    void requestsOfLittleValueForTheirTransferTimeAreShedFirst() {
-        demand(50, READ, 100);
-        demand(50, READ, 2_000);
+    void requestsOfLowValueForTheirTransferTimeAreShedFirst() {
+        recordDemand(50, READ, 100);
+        recordDemand(50, READ, 2_000);
         double small = shedder.limitFactor(request(READ, 100));
         double large = shedder.limitFactor(request(READ, 2_000));
         assertTrue(large < small, large + " and " + small);
@@ -41,20 +41,20 @@
 
     @Test
     void aHigherPriorityWeightIsShedLater() {
-        demand(50, READ, 500);
-        demand(50, VALUABLE, 500);
+        recordDemand(50, READ, 500);
+        recordDemand(50, VALUABLE, 500);
         assertTrue(shedder.limitFactor(request(READ, 500)) < shedder.limitFactor(request(VALUABLE, 500)));
     }
 
     @Test
     void equalRequestsAreShedAtTheLimitItself() {
-        demand(50, READ, 500);
+        recordDemand(50, READ, 500);
         assertEquals(1, shedder.limitFactor(request(READ, 500)), 1e-9);
     }
 
     @Test
     void writesAreShedLast() {
-        demand(50, READ, 1);
+        recordDemand(50, READ, 1);
         assertEquals(1.5, shedder.limitFactor(request(WRITE, 5_000)), 1e-9);
     }
 }
--- a/src/test/java/magpiewheel/routing/LoadSheddingTest.java
+++ b/src/test/java/magpiewheel/routing/LoadSheddingTest.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which requests get no fill under load. */
+/** Tests which requests get no fill under load. */
 class LoadSheddingTest extends RequestRouterFixture {
-    private boolean fills(long id, double kbytes) {
+    private boolean getsFill(long id, double sizeKb) {
         router.requestArrived(
                 now,
                 RoutingRequest.builder(id, READ, 1_000 + id)
                         .group(5)
-                        .sizeKb(kbytes)
+                        .sizeKb(sizeKb)
                         .timeBudgetUs(2 * SECOND)
                         .build());
         return actions.lastAttempt().request() == id
@@ -21,17 +21,20 @@
                         != actions.lastAttempt().node();
     }
 
-    /** Of what crowds the link the large go first: a class's mean says nothing of a request whose size is told. */
+    /**
+     * Under load, large requests are shed before small ones. A request of known size is judged by its size, not by the
+     * mean of its class.
+     */
     @Test
     void underLoadASmallRequestGetsAFillBeforeALargeOne() {
-        boolean apart = false;
-        for (int i = 0; i < 100 && !apart; i++) {
-            boolean largeFills = fills(2 * i + 1, 10_000);
-            boolean smallFills = fills(2 * i + 2, 100);
-            assertTrue(smallFills || !largeFills, "the small one goes first at " + i);
-            apart = smallFills && !largeFills;
+        boolean onlySmallFilled = false;
+        for (int i = 0; i < 100 && !onlySmallFilled; i++) {
+            boolean largeFills = getsFill(2 * i + 1, 10_000);
+            boolean smallFills = getsFill(2 * i + 2, 100);
+            assertTrue(smallFills || !largeFills, "the small request gets a fill if the large one does, at " + i);
+            onlySmallFilled = smallFills && !largeFills;
         }
-        assertTrue(apart, "sizes never made a difference");
+        assertTrue(onlySmallFilled, "small and large requests were never treated differently");
     }
 
     @Test
@@ -39,15 +42,18 @@
         for (long id = 1; id <= 60; id++) {
             router.requestArrived(now, request(id, READ, id));
         }
-        List<RecordingActions.StartedAttempt> looks = actions.attempts.stream()
+        List<RecordingActions.StartedAttempt> cachedOnlyAttempts = actions.attempts.stream()
                 .filter(s -> s.plan().fillSource() == s.node())
                 .toList();
-        // The link carries 10 transfers at a client's pace; 20 fills at first, of 0.4 an attempt, are 50.
-        assertTrue(looks.size() >= 5 && looks.get(0).request() >= 50, "without a fill " + looks);
+        // The link carries 10 transfers at a client's rate. The initial limit of 20 fills is 50 attempts of probability
+        // 0.4.
+        assertTrue(
+                cachedOnlyAttempts.size() >= 5 && cachedOnlyAttempts.get(0).request() >= 50,
+                "attempts without a fill: " + cachedOnlyAttempts);
         actions.rejected.clear();
-        endAttempt(looks.get(0).request(), 0, AttemptResult.MISS, CacheStatus.SOURCE_MISS);
-        assertEquals(List.of(looks.get(0).request()), actions.rejected);
-        endAttempt(looks.get(1).request(), 0, AttemptResult.OK, CacheStatus.HIT);
+        endAttempt(cachedOnlyAttempts.get(0).request(), 0, AttemptResult.MISS, CacheStatus.SOURCE_MISS);
+        assertEquals(List.of(cachedOnlyAttempts.get(0).request()), actions.rejected);
+        endAttempt(cachedOnlyAttempts.get(1).request(), 0, AttemptResult.OK, CacheStatus.HIT);
         assertEquals(1, actions.rejected.size());
     }
 }
--- a/src/test/java/magpiewheel/routing/LocalCopyTest.java
+++ b/src/test/java/magpiewheel/routing/LocalCopyTest.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When the router's own copy is served. */
+/** Tests when the router's local copy is served. */
 class LocalCopyTest extends RequestRouterFixture {
-    /** A copy of one's own serves what no cache is known to hold: a fill would cost more and come later. */
+    /** A local copy is served if no cache is known to hold the object: a fill costs more and takes longer. */
     @Test
     void aLocalCopyIsServedWhereNoCacheIsKnownToHoldOne() {
         submit(1, READ, 77, 60 * SECOND);
@@ -17,15 +17,15 @@
         submit(2, READ, 77);
         endAttempt(2, 0, AttemptResult.OK, CacheStatus.FILLED);
         submit(3, READ, 77, 60 * SECOND);
-        assertEquals(1, attemptCount(3), "now a cache is known to hold it");
+        assertEquals(1, attemptCount(3), "a cache is known to hold it now");
         endAttempt(3, 0, AttemptResult.REJECTED, CacheStatus.UNKNOWN);
         assertEquals(1, attemptCount(3));
-        assertTrue(actions.servedLocally.contains(3L), "and where that can't serve it, the own copy does");
+        assertTrue(actions.servedLocally.contains(3L), "the local copy is served if the cache rejects the request");
     }
 
-    /** Its age counts from the origin, and against every purge known: caches drop theirs in time, this one stays. */
+    /** The age counts from the origin, against purges of any age: unlike copies in caches, a local copy stays. */
     @Test
-    void aLocalCopyIsNeverStaleNorOlderThanAPurge() {
+    void aLocalCopyThatIsStaleOrOlderThanAPurgeIsNotServed() {
         submit(1, READ_WITH_FRESHNESS, 77, 9 * SECOND);
         assertEquals(1, attemptCount(1), "past its fresh time");
         submit(2, READ_WITH_FRESHNESS, 78, 7 * SECOND);
@@ -47,7 +47,7 @@
         assertEquals(1, attemptCount(5), "its group was purged");
     }
 
-    /** The own link carries few transfers at once: beyond what it gets through in time, requests go to the caches. */
+    /** The router's link carries few transfers at once: requests that it cannot serve in time go to the caches. */
     @Test
     void aLocalCopyIsServedOnlyWhileTheLinkCarriesItInTime() {
         for (long id = 1; id <= 100; id++) {
@@ -55,10 +55,10 @@
         }
         assertTrue(
                 actions.servedLocally.size() >= 15 && actions.servedLocally.size() < 60,
-                "served by itself: " + actions.servedLocally.size());
+                "served from local copies: " + actions.servedLocally.size());
         now += 5 * SECOND;
         submit(101, READ, 2_000, SECOND);
-        assertTrue(actions.servedLocally.contains(101L), "it is free again");
+        assertTrue(actions.servedLocally.contains(101L), "the link is free again");
     }
 
     @Test
@@ -68,7 +68,7 @@
         endAttempt(1, 0, AttemptResult.OK, CacheStatus.FILLED);
         router.objectsPurged(now, new Purge(0, 0, 5));
         long limit = submit(2, READ, 77).plan().maxAgeUs();
-        assertTrue(limit > 0 && limit <= 1_000, "0 would stand for any age");
+        assertTrue(limit > 0 && limit <= 1_000, "0 would mean no limit");
         assertTrue(submit(3, READ_WITH_FRESHNESS, 79).plan().maxAgeUs() <= 8 * SECOND);
         now += 60 * SECOND;
         assertEquals(0, submit(4, READ, 77).plan().maxAgeUs());
--- a/src/test/java/magpiewheel/routing/OriginHealthTest.java
+++ b/src/test/java/magpiewheel/routing/OriginHealthTest.java
@@ -17,7 +17,7 @@
                     null),
             new SplittableRandom(1));
 
-    private void fills(int count, boolean byOrigin, boolean late) {
+    private void endFills(int count, boolean byOrigin, boolean late) {
         for (int i = 0; i < count; i++) {
             health.fillEnded(NOW, byOrigin, late);
         }
@@ -26,34 +26,34 @@
     @Test
     void anOriginWhoseFillsAreLateIsDegraded() {
         assertFalse(health.isDegraded(NOW));
-        fills(20, true, true);
+        endFills(20, true, true);
         assertTrue(health.isDegraded(NOW));
-        assertFalse(health.isDegraded(NOW + Smoothing.LATENCY_MEMORY_US), "forgotten");
+        assertFalse(health.isDegraded(NOW + Smoothing.LATENCY_MEMORY_US), "the late fills have expired");
     }
 
     @Test
-    void whereFillsOfParentsAreLateAsWellTheLinkIsFull() {
-        fills(20, true, true);
-        fills(20, false, true);
+    void theOriginIsNotDegradedIfFillsFromParentsAreLateAsWell() {
+        endFills(20, true, true);
+        endFills(20, false, true);
         assertFalse(health.isDegraded(NOW));
     }
 
     @Test
-    void someFillsTryADegradedOriginAllTheSame() {
-        assertFalse(health.suppressesFill(NOW), "a healthy one is not spared");
-        fills(20, true, true);
-        int tried = 0;
+    void someFillsStillGoToADegradedOrigin() {
+        assertFalse(health.suppressesFill(NOW), "all fills go to a healthy origin");
+        endFills(20, true, true);
+        int sentToOrigin = 0;
         for (int i = 0; i < 1_000; i++) {
-            tried += health.suppressesFill(NOW) ? 0 : 1;
+            sentToOrigin += health.suppressesFill(NOW) ? 0 : 1;
         }
-        assertTrue(tried > 100 && tried < 200, "about 15%: " + tried);
+        assertTrue(sentToOrigin > 100 && sentToOrigin < 200, "about 15%: " + sentToOrigin);
     }
 
     @Test
-    void aFailureAndAReportOfAPeerCountAsLate() {
+    void failuresAndPeerReportsCountAsLateFills() {
         health.originFailed(NOW);
         assertTrue(health.isDegraded(NOW));
-        fills(100, true, false);
+        endFills(100, true, false);
         health.reportedByPeer(NOW, 0);
         double before = health.lateRatio(NOW);
         health.reportedByPeer(NOW, 1);
--- a/src/test/java/magpiewheel/routing/OutlierDetectionTest.java
+++ b/src/test/java/magpiewheel/routing/OutlierDetectionTest.java
@@ -7,89 +7,98 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints are ejected for their failures. */
+/** Tests which endpoints are ejected for failures, refused connections and silence. */
 class OutlierDetectionTest extends RequestRouterFixture {
     @Test
     void failingEndpointsAreEjectedButNeverMoreThanHalf() {
         for (long id = 1; id <= 300; id++) {
             router.requestArrived(now, request(id, READ, id));
             for (int i = 0; i < attemptCount(id); i++) {
-                boolean bad = actions.attempts.get(actions.attempts.size() - 1).node() <= 3;
+                boolean failing =
+                        actions.attempts.get(actions.attempts.size() - 1).node() <= 3;
                 endAttempt(
                         id,
                         i,
-                        bad ? AttemptResult.ERROR : AttemptResult.OK,
-                        bad ? CacheStatus.UNKNOWN : CacheStatus.HIT);
-                if (!bad) {
+                        failing ? AttemptResult.ERROR : AttemptResult.OK,
+                        failing ? CacheStatus.UNKNOWN : CacheStatus.HIT);
+                if (!failing) {
                     break;
                 }
             }
         }
-        long sound = 0;
+        long toHealthy = 0;
         int before = actions.attempts.size();
         for (long id = 1001; id <= 1100; id++) {
             router.requestArrived(now, request(id, READ, id));
             endAttempt(id, 0, AttemptResult.OK, CacheStatus.HIT);
         }
         for (RecordingActions.StartedAttempt sent : actions.attempts.subList(before, actions.attempts.size())) {
-            sound += sent.node() == 4 ? 1 : 0;
+            toHealthy += sent.node() == 4 ? 1 : 0;
         }
-        assertTrue(sound < actions.attempts.size() - before, "some of the others stay in use");
-        assertTrue(sound > 30, "the sound one carries more than its even share: " + sound);
+        assertTrue(toHealthy < actions.attempts.size() - before, "some failing caches stay in use");
+        assertTrue(toHealthy > 30, "the healthy cache gets more than an equal share: " + toHealthy);
     }
 
-    /** zone_loss, silent: the list told of it 9 s late, and attempts hung until their clients left. */
+    /**
+     * Caches vanished silently and discovery reported it 9 s late, so attempts hung until their clients disconnected
+     * (simulation zone_loss).
+     */
     @Test
     void anUnresponsiveCacheIsEjectedAndItsRequestsAreRetried() {
-        RecordingActions seen = new RecordingActions();
-        RequestRouter judging = startRouter(bypassSettings(), seen);
+        RecordingActions recorded = new RecordingActions();
+        RequestRouter bypassing = startRouter(bypassSettings(), recorded);
         for (long id = 1; id <= 3; id++) {
-            judging.requestArrived(now, request(id, READ, 77));
+            bypassing.requestArrived(now, request(id, READ, 77));
         }
-        long hashed = seen.lastAttempt().node();
-        judging.timerExpired(now + 300_000, 0);
-        assertFalse(seen.calls.contains("cancel 1 0"), "it may still speak");
-        judging.timerExpired(now + 2 * SECOND, 0);
+        long hashed = recorded.lastAttempt().node();
+        bypassing.timerExpired(now + 300_000, 0);
+        assertFalse(recorded.calls.contains("cancel 1 0"), "it may still respond");
+        bypassing.timerExpired(now + 2 * SECOND, 0);
         for (long id = 1; id <= 3; id++) {
-            assertTrue(seen.calls.contains("cancel " + id + " 0"));
+            assertTrue(recorded.calls.contains("cancel " + id + " 0"));
         }
-        judging.attemptEnded(
+        bypassing.attemptEnded(
                 now + 2 * SECOND - 1,
                 AttemptOutcome.builder(1, 0, hashed, AttemptResult.CANCELLED)
                         .durationUs(1)
                         .build());
-        assertNotEquals(hashed, seen.lastAttempt().node());
-        assertEquals(1, seen.lastAttempt().request());
+        assertNotEquals(hashed, recorded.lastAttempt().node());
+        assertEquals(1, recorded.lastAttempt().request());
     }
 
-    /** A dead process refuses at once: three refusals in a row are enough, however many of its like do the same. */
+    /**
+     * A host without a running process refuses connections at once. Three refusals in a row eject a cache, even if the
+     * whole tier is ejected.
+     */
     @Test
     void cachesThatRefuseConnectionsAreAllEjected() {
-        RecordingActions seen = new RecordingActions();
-        RequestRouter judging = startRouter(bypassSettings(), seen);
+        RecordingActions recorded = new RecordingActions();
+        RequestRouter bypassing = startRouter(bypassSettings(), recorded);
         for (long id = 1; id <= 40; id++) {
-            judging.requestArrived(now, request(id, READ, id));
+            bypassing.requestArrived(now, request(id, READ, id));
             for (int i = 0;
-                    seen.lastAttempt().request() == id && seen.lastAttempt().node() <= 4 && i < 6;
+                    recorded.lastAttempt().request() == id
+                            && recorded.lastAttempt().node() <= 4
+                            && i < 6;
                     i++) {
-                judging.attemptEnded(
+                bypassing.attemptEnded(
                         now,
-                        AttemptOutcome.builder(id, i, seen.lastAttempt().node(), AttemptResult.UNREACHABLE)
+                        AttemptOutcome.builder(id, i, recorded.lastAttempt().node(), AttemptResult.UNREACHABLE)
                                 .durationUs(400)
                                 .build());
             }
-            if (seen.lastAttempt().node() > 4) {
-                judging.attemptEnded(
+            if (recorded.lastAttempt().node() > 4) {
+                bypassing.attemptEnded(
                         now,
                         AttemptOutcome.builder(
                                         id,
-                                        (int) seen.attempts.stream()
+                                        (int) recorded.attempts.stream()
                                                         .filter(s -> s.request()
-                                                                == seen.lastAttempt()
+                                                                == recorded.lastAttempt()
                                                                         .request())
                                                         .count()
                                                 - 1,
-                                        seen.lastAttempt().node(),
+                                        recorded.lastAttempt().node(),
                                         AttemptResult.OK)
                                 .durationUs(400)
                                 .requestCompleted(true)
@@ -97,15 +106,18 @@
                                 .build());
             }
         }
-        judging.requestArrived(now, request(99, READ, 99));
+        bypassing.requestArrived(now, request(99, READ, 99));
         assertTrue(
-                seen.lastAttempt().request() == 99 && seen.lastAttempt().node() > 4,
-                "it goes past them: " + seen.lastAttempt());
+                recorded.lastAttempt().request() == 99 && recorded.lastAttempt().node() > 4,
+                "the request bypasses the ejected caches: " + recorded.lastAttempt());
     }
 
-    /** Seen with bad clients: what no node knows was tried 8 times in 10 ms, and sound nodes were ejected for it. */
+    /**
+     * Requests of faulty clients for objects that no endpoint knows got 8 attempts in 10 ms, and healthy endpoints were
+     * ejected for them.
+     */
     @Test
-    void aRequestWithTwoErrorsEndsAndNoEndpointIsAtFault() {
+    void aRequestWithTwoErrorsEndsWithoutEjectingEndpoints() {
         for (long id = 1; id <= 20; id++) {
             submit(id, READ, 1_000 + id);
             endAttempt(id, 0, AttemptResult.ERROR, CacheStatus.UNKNOWN);
@@ -117,18 +129,18 @@
         long first = submit(100, READ, 77).node();
         endAttempt(100, 0, AttemptResult.OK, CacheStatus.FILLED);
         assertEquals(first, submit(101, READ, 77).node());
-        assertTrue(first <= 4, "still a cache");
+        assertTrue(first <= 4, "the read still goes to a cache");
     }
 
-    /** Where another node serves the request, the one that rejected it was at fault, and is left out. */
+    /** If another endpoint serves the request, the error counts against the first one, which is ejected. */
     @Test
     void anEndpointIsAtFaultForAnErrorOnceAnotherServesTheRequest() {
-        long bad = submit(1, READ, 77).node();
+        long failing = submit(1, READ, 77).node();
         endAttempt(1, 0, AttemptResult.ERROR, CacheStatus.UNKNOWN);
-        assertNotEquals(bad, actions.lastAttempt().node());
+        assertNotEquals(failing, actions.lastAttempt().node());
         endAttempt(1, 1, AttemptResult.OK, CacheStatus.UNKNOWN);
         for (long id = 2; id <= 40; id++) {
-            assertNotEquals(bad, submit(id, READ, 1_000 + id).node(), "ejected");
+            assertNotEquals(failing, submit(id, READ, 1_000 + id).node(), "ejected");
             endAttempt(id, 0, AttemptResult.OK, CacheStatus.HIT);
         }
     }
--- a/src/test/java/magpiewheel/routing/PurgeLogTest.java
+++ b/src/test/java/magpiewheel/routing/PurgeLogTest.java
@@ -32,15 +32,18 @@
 
     @Test
     void theAgeLimitIsTheTimeSinceThePurgeLessAMargin() {
-        assertEquals(0, log.ageLimit(NOW, request(77, 0), RELEVANT_US), "no purge, no limit");
+        assertEquals(0, log.ageLimit(NOW, request(77, 0), RELEVANT_US), "no limit without a purge");
         log.add(NOW - 200_000, new Purge(0, 77, GROUP));
         assertEquals(199_000, log.ageLimit(NOW, request(77, 0), RELEVANT_US));
         assertEquals(100_000, log.ageLimit(NOW, request(77, 100_000), RELEVANT_US), "never above the fresh time");
-        assertEquals(0, log.ageLimit(NOW + RELEVANT_US, request(77, 0), RELEVANT_US), "every cache has purged it");
+        assertEquals(
+                0,
+                log.ageLimit(NOW + RELEVANT_US, request(77, 0), RELEVANT_US),
+                "the purge is complete at every cache");
     }
 
     @Test
-    void theAgeLimitIsNeverZeroWhichWouldMeanNone() {
+    void theAgeLimitAfterAPurgeIsAtLeastOne() {
         log.add(NOW, new Purge(0, 77, GROUP));
         assertEquals(1, log.ageLimit(NOW, request(77, 0), RELEVANT_US));
     }
--- a/src/test/java/magpiewheel/routing/RequestRouterTest.java
+++ b/src/test/java/magpiewheel/routing/RequestRouterTest.java
@@ -16,10 +16,12 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Events, their order and their errors. */
+/** Tests of events, their order and their errors, and of the list of policy files. */
 class RequestRouterTest extends RequestRouterFixture {
-    /** The contract and its values; state, averages and codecs; bridges to other packages. */
-    private static final Set<String> NOT_DECIDING = Set.of(
+    /**
+     * Classes without decisions: the contract and its values; state, averages and codecs; bridges to other packages.
+     */
+    private static final Set<String> NON_POLICY_CLASSES = Set.of(
             "AttemptOutcome",
             "AttemptPlan",
             "AttemptResult",
@@ -76,13 +78,13 @@
 
     @Test
     void sameEventsGiveTheSameActions() {
-        RecordingActions again = new RecordingActions();
-        RequestRouter twin = startRouter(settings(false, SiblingFills.OFF), again);
+        RecordingActions twinActions = new RecordingActions();
+        RequestRouter twin = startRouter(settings(false, SiblingFills.OFF), twinActions);
         for (long id = 1; id < 300; id++) {
             router.requestArrived(now, request(id, READ, id % 40));
             twin.requestArrived(now, request(id, READ, id % 40));
         }
-        assertEquals(actions.calls, again.calls);
+        assertEquals(actions.calls, twinActions.calls);
         assertFalse(actions.calls.isEmpty());
     }
 
@@ -104,25 +106,29 @@
 
     @Test
     void aFailedSubscriptionIsRetried() {
-        RoutingSettings s = settings(false, SiblingFills.OFF);
-        RecordingActions asked = new RecordingActions();
-        RequestRouter asking = startRouter(
-                RoutingSettings.builder(s.topology(), s.requestClasses(), s.limits(), s.safetyLimits())
-                        .tenants(s.tenants())
+        RoutingSettings settings = settings(false, SiblingFills.OFF);
+        RecordingActions recorded = new RecordingActions();
+        RequestRouter subscriber = startRouter(
+                RoutingSettings.builder(
+                                settings.topology(),
+                                settings.requestClasses(),
+                                settings.limits(),
+                                settings.safetyLimits())
+                        .tenants(settings.tenants())
                         .overQuotaPriorityWeight(0)
                         .mustSubscribe(true)
-                        .siblingFills(s.siblingFills())
+                        .siblingFills(settings.siblingFills())
                         .cachesJoinFills(true)
                         .detailedCacheStatus(true)
-                        .weightSource(s.weightSource())
-                        .loadMetrics(s.loadMetrics())
+                        .weightSource(settings.weightSource())
+                        .loadMetrics(settings.loadMetrics())
                         .build(),
-                asked);
-        assertEquals(1, asked.calls.stream().filter("subscribe true"::equals).count());
-        asking.endpointsChanged(now, EndpointListMode.FAILED, List.of());
-        String timer = asked.calls.get(asked.calls.size() - 1);
-        asking.timerExpired(now + SECOND, Long.parseLong(timer.split(" ")[2]));
-        assertEquals(2, asked.calls.stream().filter("subscribe true"::equals).count());
+                recorded);
+        assertEquals(1, recorded.calls.stream().filter("subscribe true"::equals).count());
+        subscriber.endpointsChanged(now, EndpointListMode.FAILED, List.of());
+        String timer = recorded.calls.get(recorded.calls.size() - 1);
+        subscriber.timerExpired(now + SECOND, Long.parseLong(timer.split(" ")[2]));
+        assertEquals(2, recorded.calls.stream().filter("subscribe true"::equals).count());
     }
 
     @Test
@@ -143,26 +149,26 @@
     }
 
     /**
-     * {@code policy} in the deploy file names just the files that hold decisions: all classes that the router is made
-     * of, but not its contract, nor what only stores, counts, encodes or forwards.
+     * {@code policy} in the deploy file lists exactly the files that make decisions: all classes of the router, without
+     * its contract and without classes that only store, count, encode or forward.
      */
     @Test
-    void theDeployFileNamesTheFilesThatDecide() throws IOException {
+    void theDeployFileListsAllPolicyFiles() throws IOException {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("policy = "))
                 .findFirst()
                 .orElseThrow();
-        Set<String> named = Pattern.compile("\"src/main/java/magpiewheel/routing/(\\w+)\\.java\"")
+        Set<String> listedClasses = Pattern.compile("\"src/main/java/magpiewheel/routing/(\\w+)\\.java\"")
                 .matcher(policy)
                 .results()
                 .map(match -> match.group(1))
                 .collect(Collectors.toSet());
-        Set<String> deciding = new TreeSet<>();
+        Set<String> policyClasses = new TreeSet<>();
         try (Stream<Path> files = Files.list(Path.of("src/main/java/magpiewheel/routing"))) {
             files.map(file -> file.getFileName().toString().replace(".java", ""))
-                    .filter(name -> !NOT_DECIDING.contains(name))
-                    .forEach(deciding::add);
+                    .filter(name -> !NON_POLICY_CLASSES.contains(name))
+                    .forEach(policyClasses::add);
         }
-        assertEquals(deciding, named);
+        assertEquals(policyClasses, listedClasses);
     }
 }
--- a/src/test/java/magpiewheel/routing/RetryBudgetTest.java
+++ b/src/test/java/magpiewheel/routing/RetryBudgetTest.java
@@ -8,9 +8,9 @@
 class RetryBudgetTest {
     private final RetryBudget budget = new RetryBudget();
 
-    private void spendAll() {
+    private void withdrawAll() {
         while (budget.tryWithdraw(1)) {
-            // Each call spends one.
+            // Each call withdraws one retry.
         }
     }
 
@@ -24,8 +24,8 @@
     }
 
     @Test
-    void fiveRequestsEarnOneRetry() {
-        spendAll();
+    void fiveRequestsDepositOneRetry() {
+        withdrawAll();
         for (int request = 0; request < 4; request++) {
             budget.deposit();
         }
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void noMoreThanTwentyAreSavedUp() {
+    void theBalanceNeverExceedsTwentyRetries() {
         for (int request = 0; request < 1_000; request++) {
             budget.deposit();
         }
--- a/src/test/java/magpiewheel/routing/RetryPolicyTest.java
+++ b/src/test/java/magpiewheel/routing/RetryPolicyTest.java
@@ -26,7 +26,7 @@
         return new InFlightRequest(request, requestClass, NOW, NOW + 3_000_000, null);
     }
 
-    private InFlightRequest after(Idempotency idempotency, IdempotencyKeyScope scope, AttemptResult result) {
+    private InFlightRequest requestAfter(Idempotency idempotency, IdempotencyKeyScope scope, AttemptResult result) {
         InFlightRequest request = request(idempotency, scope);
         Attempt attempt = new Attempt(cache, cache, NOW, 0, 0);
         request.attemptStarted(attempt, false);
@@ -46,27 +46,27 @@
 
     @ParameterizedTest
     @EnumSource(Idempotency.class)
-    void whatProvablyNeverRanMayBeRetriedAnywhere(Idempotency idempotency) {
-        InFlightRequest request = after(idempotency, IdempotencyKeyScope.ZONE, AttemptResult.UNREACHABLE);
+    void aRequestWhoseAttemptProvablyNeverRanMayBeRetriedAtAnyEndpoint(Idempotency idempotency) {
+        InFlightRequest request = requestAfter(idempotency, IdempotencyKeyScope.ZONE, AttemptResult.UNREACHABLE);
         RetryPolicy.Permit permit = policy.permit(NOW, request);
         assertTrue(permit.mayAttempt() && permit.mayReject());
         assertNull(permit.keyScopeEndpoint());
     }
 
     @Test
-    void whatMayHaveRunIsNeitherRetriedNorRejectedWithoutIdempotency() {
+    void aNonIdempotentRequestThatMayHaveRunIsNeitherRetriedNorRejected() {
         InFlightRequest request =
-                after(Idempotency.NOT_IDEMPOTENT, IdempotencyKeyScope.ALL, AttemptResult.CONNECTION_LOST);
+                requestAfter(Idempotency.NOT_IDEMPOTENT, IdempotencyKeyScope.ALL, AttemptResult.CONNECTION_LOST);
         RetryPolicy.Permit permit = policy.permit(NOW, request);
         assertFalse(permit.mayAttempt() || permit.mayReject());
     }
 
     @Test
     void aKeyedRequestIsRetriedWithinItsScopeAndWindow() {
-        InFlightRequest request = after(Idempotency.KEYED, IdempotencyKeyScope.ZONE, AttemptResult.TIMEOUT);
+        InFlightRequest request = requestAfter(Idempotency.KEYED, IdempotencyKeyScope.ZONE, AttemptResult.TIMEOUT);
         RetryPolicy.Permit permit = policy.permit(NOW, request);
         assertTrue(permit.mayAttempt());
-        assertFalse(permit.mayReject(), "its key is unknown elsewhere");
+        assertFalse(permit.mayReject(), "its key is unknown in other zones");
         assertSame(cache, permit.keyScopeEndpoint());
         assertEquals(NOW + WINDOW_US, policy.retryableUntil(request));
         assertFalse(policy.permit(NOW + WINDOW_US - RequestRouter.TICK_INTERVAL_US, request)
@@ -77,12 +77,12 @@
 
     @Test
     void twoAttemptsAreOpenAtOnceOnlyWhereHedgingIsAllowed() {
-        InFlightRequest request = after(Idempotency.IDEMPOTENT, IdempotencyKeyScope.ALL, null);
+        InFlightRequest request = requestAfter(Idempotency.IDEMPOTENT, IdempotencyKeyScope.ALL, null);
         assertFalse(policy.permit(NOW, request).mayAttempt());
         RetryPolicy hedging =
                 new RetryPolicy(RequestLimits.builder(8).mayHedge(true).build());
         assertTrue(hedging.permit(NOW, request).mayAttempt());
-        InFlightRequest keyed = after(Idempotency.KEYED, IdempotencyKeyScope.ALL, null);
-        assertFalse(hedging.permit(NOW, keyed).mayAttempt(), "what may run is not hedged with a key");
+        InFlightRequest keyed = requestAfter(Idempotency.KEYED, IdempotencyKeyScope.ALL, null);
+        assertFalse(hedging.permit(NOW, keyed).mayAttempt(), "a keyed request that may have run is not hedged");
     }
 }
--- a/src/test/java/magpiewheel/routing/RetryTest.java
+++ b/src/test/java/magpiewheel/routing/RetryTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which attempts may follow one that failed. */
+/** Tests which attempts may follow a failed one. */
 class RetryTest extends RequestRouterFixture {
     @Test
     void aNonIdempotentRequestThatMayHaveRunFailsAtOnce() {
@@ -36,7 +36,10 @@
         assertEquals(List.of(1L), actions.rejected);
     }
 
-    /** Its connection may come up late: the plan ends with the window, which counts from what may have run. */
+    /**
+     * The connection of a retry may be established late, so its plan expires with the idempotency window, which starts
+     * with the attempt that may have run.
+     */
     @Test
     void aRetryOfAKeyedRequestMayStartOnlyWithinItsWindow() {
         long sentAt = now;
@@ -47,14 +50,14 @@
         assertEquals(sentAt + 2 * SECOND, actions.lastAttempt().plan().startByUs());
     }
 
-    /** A first attempt that never ran began no window. */
+    /** A first attempt that never ran does not start the idempotency window. */
     @Test
-    void aRejectedKeyedRequestHasNoWindow() {
+    void aKeyedRequestThatNeverRanHasNoWindow() {
         submit(1, KEYED_WRITE, 77);
         now += 1_850_000;
         endAttempt(1, 0, AttemptResult.UNREACHABLE, CacheStatus.UNKNOWN);
         assertEquals(2, attemptCount(1));
-        assertTrue(actions.lastAttempt().plan().startByUs() > now + 150_000, "as any other plan");
+        assertTrue(actions.lastAttempt().plan().startByUs() > now + 150_000, "the start is limited as for any plan");
     }
 
     @Test
@@ -66,7 +69,7 @@
         assertEquals(List.of(1L), actions.rejected);
     }
 
-    /** A spoilt answer is asked for again where it is held, and a parent may be tried again: not once they drain. */
+    /** After a corrupt response, the holder and the parent are tried again, unless they began to drain. */
     @Test
     void aRetryAvoidsEndpointsThatBeganToDrain() {
         RecordingActions.StartedAttempt first = submit(1, READ, 77);
@@ -83,16 +86,16 @@
     }
 
     /**
-     * zone+brink 288554559052: connections came up 1.5 s late, and what had waited for them was written all the same,
-     * long after a drain (500 ms here) or a purge (300 ms) told meanwhile had forbidden it.
+     * Connections were established 1.5 s late, and the attempts that waited for them were sent although a drain (notice
+     * of 500 ms here) or a purge (300 ms) announced meanwhile forbade it (simulation zone+brink 288554559052).
      */
     @Test
     void aPlanExpiresBeforeADrainOrAPurgeForbidsIt() {
-        long beginBy = submit(1, READ, 77).plan().startByUs();
-        assertTrue(beginBy > now && beginBy < now + 300_000, "to begin within " + (beginBy - now));
+        long startBy = submit(1, READ, 77).plan().startByUs();
+        assertTrue(startBy > now && startBy < now + 300_000, "must start within " + (startBy - now));
     }
 
-    /** Spoilt answers come from all nodes alike: the holder is asked again once, and nobody is ejected. */
+    /** Any endpoint may return a corrupt response: the holder is tried once more, and no endpoint is ejected. */
     @Test
     void aCorruptResponseIsRetriedAtTheHolder() {
         for (long id = 1; id <= 20; id++) {
--- a/src/test/java/magpiewheel/routing/SlowStartTest.java
+++ b/src/test/java/magpiewheel/routing/SlowStartTest.java
@@ -6,47 +6,55 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What endpoints get that started lately. */
+/** Tests of the requests that recently started endpoints get. */
 class SlowStartTest extends RequestRouterFixture {
     @Test
-    void aCacheThatWarmsUpGetsNoMoreThanItsBudget() {
+    void aWarmingCacheGetsNoMoreThanItsBudget() {
         router.endpointsChanged(now, EndpointListMode.DELTA, List.of(endpoint(1, 0, 0, now, EndpointState.READY)));
-        long toCold = 0;
+        long requestsToCache = 0;
         for (long id = 1; id <= 200; id++) {
             router.requestArrived(now, request(id, READ, id * 31));
             if (attemptCount(id) == 1) {
-                toCold += actions.lastAttempt().node() == 1 ? 1 : 0;
+                requestsToCache += actions.lastAttempt().node() == 1 ? 1 : 0;
                 endAttempt(id, 0, AttemptResult.OK, CacheStatus.HIT);
             }
         }
-        // 2 x 0.2 x 3 transfers x 2 s over 2 directors are 1.2 s of work; hits of 50 ms are 24 of them.
-        assertTrue(toCold <= 24, "sent " + toCold);
+        // 2 x 0.2 x 3 transfers x 2 s over 2 routers is 1.2 s of work: 24 hits of 50 ms.
+        assertTrue(requestsToCache <= 24, "sent " + requestsToCache);
     }
 
-    /** With 40 directors a share of a cold parent is less than a request; the sum must hold in every window. */
+    /**
+     * With 40 routers each share of a cold parent is below one request; the sum must keep to the budget in every
+     * window.
+     */
     @Test
-    void manyRoutersTogetherKeepTheBudgetOfAParentThatWarmsUp() {
-        int directors = 40;
-        long window = 2 * SECOND;
-        List<Long> times = new ArrayList<>();
-        for (int me = 0; me < directors; me++) {
-            RecordingActions each = new RecordingActions();
-            RoutingSettings here = settings(me, directors, false, SiblingFills.OFF);
-            RequestRouter one = new RequestRouter(
-                    here, me, each, here.topology().membershipConfig(0, 400_000, 1, false), null, false);
-            List<EndpointInfo> members = new ArrayList<>(endpoints());
-            members.set(4, endpoint(PARENT_A, 1, 1, now, EndpointState.READY));
-            one.endpointsChanged(now, EndpointListMode.CACHED, members);
+    void manyRoutersTogetherKeepToTheBudgetOfAWarmingParent() {
+        int routers = 40;
+        long windowUs = 2 * SECOND;
+        List<Long> parentFillTimes = new ArrayList<>();
+        for (int routerId = 0; routerId < routers; routerId++) {
+            RecordingActions recorded = new RecordingActions();
+            RoutingSettings settings = settings(routerId, routers, false, SiblingFills.OFF);
+            RequestRouter requestRouter = new RequestRouter(
+                    settings,
+                    routerId,
+                    recorded,
+                    settings.topology().membershipConfig(0, 400_000, 1, false),
+                    null,
+                    false);
+            List<EndpointInfo> endpoints = new ArrayList<>(endpoints());
+            endpoints.set(4, endpoint(PARENT_A, 1, 1, now, EndpointState.READY));
+            requestRouter.endpointsChanged(now, EndpointListMode.CACHED, endpoints);
             for (long id = 1; id <= 250; id++) {
                 long at = now + id * 100_000;
-                one.requestArrived(at, request(id, READ, id * 31 + me));
-                if (each.lastAttempt().request() == id) {
-                    if (each.lastAttempt().plan().fillSource() == PARENT_A) {
-                        times.add(at);
+                requestRouter.requestArrived(at, request(id, READ, id * 31 + routerId));
+                if (recorded.lastAttempt().request() == id) {
+                    if (recorded.lastAttempt().plan().fillSource() == PARENT_A) {
+                        parentFillTimes.add(at);
                     }
-                    one.attemptEnded(
+                    requestRouter.attemptEnded(
                             at,
-                            AttemptOutcome.builder(id, 0, each.lastAttempt().node(), AttemptResult.OK)
+                            AttemptOutcome.builder(id, 0, recorded.lastAttempt().node(), AttemptResult.OK)
                                     .durationUs(50_000)
                                     .requestCompleted(true)
                                     .cacheStatus(CacheStatus.FILLED)
@@ -55,13 +63,15 @@
                 }
             }
         }
-        // At half its age the parent, sized for 0.6 x 10 transfers, bears 2 x 0.55 x 3 x 2 s of work; each is 0.5 s.
-        List<Long> early = times.stream().filter(at -> at < now + 10 * SECOND).toList();
+        // At half its warm-up the parent, sized for 0.6 x 10 transfers, tolerates 2 x 0.55 x 3 x 2 s of work; a fill is
+        // 0.5 s.
+        List<Long> early =
+                parentFillTimes.stream().filter(at -> at < now + 10 * SECOND).toList();
         for (long at : early) {
             long inWindow =
-                    early.stream().filter(t -> t > at - window && t <= at).count();
-            assertTrue(inWindow * 0.5 <= 2 * 0.55 * 3 * 2, inWindow + " in the window to " + (at - now));
+                    early.stream().filter(t -> t > at - windowUs && t <= at).count();
+            assertTrue(inWindow * 0.5 <= 2 * 0.55 * 3 * 2, inWindow + " fills in the window up to " + (at - now));
         }
-        assertTrue(times.size() > 3, "it is used once its shares reach a request: " + times.size());
+        assertTrue(parentFillTimes.size() > 3, "some shares admit a request: " + parentFillTimes.size());
     }
 }
