--- a/src/main/java/magpiewheel/routing/OutcomeProcessor.java
+++ b/src/main/java/magpiewheel/routing/OutcomeProcessor.java
@@ -41,7 +41,7 @@
     void process(long now, InFlightRequest request, Attempt attempt, AttemptOutcome outcome) {
         staleness.attemptEnded(now, request, attempt, outcome);
         if (outcome.result() != AttemptResult.TIMEOUT && outcome.result() != AttemptResult.CANCELLED) {
-            outliers.connectionEnded(now, attempt.target, outcome.result());
+            outliers.recordConnectionResult(now, attempt.target, outcome.result());
         }
         switch (outcome.result()) {
             case OK -> served(now, request, attempt, outcome);
@@ -124,14 +124,14 @@
         boolean coalesced = outcome.cacheStatus() == CacheStatus.COALESCED;
         boolean unacceptable = outcome.originTimeMs() != 0;
         attempt.sourceAtFault = !unacceptable || !outcome.cacheStatus().isHit();
-        boolean missingPart = attempt.source == attempt.target && !unacceptable;
-        boolean waits = cachedOnly.scheduleLookupAfterMiss(now, request, missingPart && coalesced);
+        boolean lacksPart = attempt.source == attempt.target && !unacceptable;
+        boolean waits = cachedOnly.scheduleLookupAfterMiss(now, request, lacksPart && coalesced);
         request.noMoreAttempts = !waits && (request.noMoreAttempts || unacceptable && request.boundUnproven);
         request.boundUnproven |= unacceptable;
         if (unacceptable || !coalesced) {
             // Requests for later parts go to the holder of the first part, which may not hold them yet.
             ObjectRecord object = holders.record(request.request.objectId());
-            boolean beyondCachedParts = missingPart && request.request.part() > object.highestPartCached;
+            boolean beyondCachedParts = lacksPart && request.request.part() > object.highestPartCached;
             object.holder = beyondCachedParts ? object.holder : null;
             fills.partMissing(request.request, attempt.target);
         }
--- a/src/main/java/magpiewheel/routing/OutlierDetector.java
+++ b/src/main/java/magpiewheel/routing/OutlierDetector.java
@@ -82,7 +82,7 @@
      * Records whether the connection of an attempt failed. Several failed connections in a row prove that the endpoint
      * does not run, and eject it.
      */
-    void connectionEnded(long now, Endpoint endpoint, AttemptResult result) {
+    void recordConnectionResult(long now, Endpoint endpoint, AttemptResult result) {
         boolean unreachable = result == AttemptResult.UNREACHABLE || result == AttemptResult.CONNECTION_LOST;
         endpoint.attemptEnded(now, !unreachable);
         if (endpoint.connectionFailures >= OVERDUE_ATTEMPTS) {
--- a/src/test/java/magpiewheel/routing/CachedOnlyAttemptTest.java
+++ b/src/test/java/magpiewheel/routing/CachedOnlyAttemptTest.java
@@ -11,7 +11,7 @@
 
 /** Tests of reads that start with a lookup: with a staleness bound, and in a region that a parent leads. */
 class CachedOnlyAttemptTest {
-    private static final int FRESH = 3;
+    private static final int READ_WITH_FRESHNESS = 3;
     private static final long ORIGIN = 9;
     private static final long OBJECT = 77;
     private static final long SESSION = 0xaa;
@@ -49,7 +49,7 @@
     private long read(ReadHint hint) {
         router.requestArrived(
                 now,
-                RoutingRequest.builder(++lastId, FRESH, OBJECT)
+                RoutingRequest.builder(++lastId, READ_WITH_FRESHNESS, OBJECT)
                         .group(5)
                         .timeBudgetUs(2 * SECOND)
                         .hint(hint)
--- a/src/test/java/magpiewheel/routing/FillCoalescingTest.java
+++ b/src/test/java/magpiewheel/routing/FillCoalescingTest.java
@@ -14,10 +14,10 @@
  * how long a request waits for it, and what ends the wait.
  */
 class FillCoalescingTest {
-    private static final int PURE = 0;
-    private static final int KEYED = 1;
-    private static final int UNSAFE = 2;
-    private static final int FRESH = 3;
+    private static final int READ = 0;
+    private static final int KEYED_WRITE = 1;
+    private static final int UNSAFE_WRITE = 2;
+    private static final int READ_WITH_FRESHNESS = 3;
     private static final int GROUP = 5;
     private static final long ORIGIN = 9;
     private static final long OBJECT = 77;
@@ -36,7 +36,7 @@
         RoutingSettings settings = settings(false);
         // A router without peer reports sends the request to the first cache in rendezvous order.
         RecordingActions hashedActions = new RecordingActions();
-        started(settings, hashedActions).requestArrived(now, request(1, PURE, 0));
+        started(settings, hashedActions).requestArrived(now, request(1, READ, 0));
         hashedCache = hashedActions.lastAttempt().node();
         otherCache = hashedCache % 4 + 1;
         router = started(settings, actions);
@@ -56,21 +56,21 @@
         return started;
     }
 
-    private static RoutingRequest request(long id, int profile, int part) {
-        return request(id, profile, part, OBJECT);
+    private static RoutingRequest request(long id, int requestClass, int part) {
+        return request(id, requestClass, part, OBJECT);
     }
 
-    private static RoutingRequest request(long id, int profile, int part, long object) {
-        return RoutingRequest.builder(id, profile, object)
+    private static RoutingRequest request(long id, int requestClass, int part, long object) {
+        return RoutingRequest.builder(id, requestClass, object)
                 .group(GROUP)
                 .timeBudgetUs(2 * SECOND)
                 .part(part)
-                .write(profile == KEYED || profile == UNSAFE)
+                .write(requestClass == KEYED_WRITE || requestClass == UNSAFE_WRITE)
                 .build();
     }
 
-    private long requestPart(int profile, int part) {
-        router.requestArrived(now, request(++lastId, profile, part));
+    private long requestPart(int requestClass, int part) {
+        router.requestArrived(now, request(++lastId, requestClass, part));
         return lastId;
     }
 
@@ -128,7 +128,7 @@
 
     /** Starts a request whose lookup reports a fill in flight, so that it waits; returns its identifier. */
     private long requestThatWaits() {
-        long id = requestPart(PURE, 0);
+        long id = requestPart(READ, 0);
         now += 2 * MS;
         endAttempt(id, AttemptResult.MISS, CacheStatus.COALESCED);
         return id;
@@ -164,13 +164,13 @@
     @Test
     void aPartIsLookedUpAtTheCacheWhereAPeerStartedItsFill() {
         reportPeerFill(0, otherCache, 50);
-        assertLookupAt(attemptsOf(requestPart(PURE, 0)).get(0), otherCache);
-        assertLookupThenFillAt(hashedCache, requestPart(PURE, 1));
+        assertLookupAt(attemptsOf(requestPart(READ, 0)).get(0), otherCache);
+        assertLookupThenFillAt(hashedCache, requestPart(READ, 1));
     }
 
     @Test
     void aLookupThatHitsIsNotAFill() {
-        long id = requestPart(PURE, 0);
+        long id = requestPart(READ, 0);
         assertLookupAt(attemptsOf(id).get(0), hashedCache);
         endAttempt(id, AttemptResult.OK, CacheStatus.HIT);
         assertEquals(1, attemptsOf(id).size());
@@ -212,13 +212,13 @@
         assertEquals(3, attemptsOf(id).size());
         assertFillAt(attemptsOf(id).get(2), hashedCache);
         // The next request makes its lookup at the cache of the new fill.
-        assertLookupAt(attemptsOf(requestPart(PURE, 0)).get(0), hashedCache);
+        assertLookupAt(attemptsOf(requestPart(READ, 0)).get(0), hashedCache);
     }
 
     @Test
     void aCacheWithoutTheReportedFillIsNotWaitedFor() {
         reportPeerFill(0, otherCache, 50);
-        long id = requestPart(PURE, 0);
+        long id = requestPart(READ, 0);
         endAttempt(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
         assertEquals(2, attemptsOf(id).size());
         assertFillAt(attemptsOf(id).get(1), hashedCache);
@@ -227,7 +227,7 @@
     @Test
     void aCacheWithoutTheReportedFillIsNotLookedUpAgain() {
         reportPeerFill(0, otherCache, 50);
-        long id = requestPart(PURE, 0);
+        long id = requestPart(READ, 0);
         // The request is completed, so that no new fill is started for it.
         router.attemptEnded(
                 now,
@@ -236,7 +236,7 @@
                         .requestCompleted(true)
                         .firstByteUs(MS)
                         .build());
-        assertLookupAt(attemptsOf(requestPart(PURE, 0)).get(0), hashedCache);
+        assertLookupAt(attemptsOf(requestPart(READ, 0)).get(0), hashedCache);
     }
 
     @Test
@@ -261,7 +261,7 @@
     @Test
     void aLateAnswerToTheFirstLookupIsNotFollowedByAnother() {
         reportPeerFill(0, otherCache, 50);
-        long id = requestPart(PURE, 0);
+        long id = requestPart(READ, 0);
         now += 1_100 * MS;
         endAttempt(id, AttemptResult.MISS, CacheStatus.COALESCED);
         assertFillAt(attemptsOf(id).get(1), hashedCache);
@@ -281,7 +281,7 @@
                 now,
                 EndpointListMode.DELTA,
                 List.of(RequestRouterFixture.endpoint(otherCache, 0, 0, 0, EndpointState.READY)));
-        assertLookupAt(attemptsOf(requestPart(PURE, 0)).get(0), hashedCache);
+        assertLookupAt(attemptsOf(requestPart(READ, 0)).get(0), hashedCache);
     }
 
     @Test
@@ -311,10 +311,10 @@
         reportPeerFill(0, otherCache, 50);
         router.objectsPurged(now, new Purge(0, 0, GROUP));
         now += MS;
-        assertLookupAt(attemptsOf(requestPart(FRESH, 0)).get(0), hashedCache);
+        assertLookupAt(attemptsOf(requestPart(READ_WITH_FRESHNESS, 0)).get(0), hashedCache);
         // A late report of a fill from before the purge is ignored as well.
         reportPeerFill(0, otherCache, 50);
-        assertLookupAt(attemptsOf(requestPart(FRESH, 0)).get(0), hashedCache);
+        assertLookupAt(attemptsOf(requestPart(READ_WITH_FRESHNESS, 0)).get(0), hashedCache);
     }
 
     @Test
@@ -329,7 +329,7 @@
 
     @Test
     void theEndOfAnOwnFillResumesWaitingRequestsAtOnce() {
-        long first = requestPart(PURE, 0);
+        long first = requestPart(READ, 0);
         endAttempt(first, AttemptResult.MISS, CacheStatus.UNKNOWN);
         now += 50 * MS;
         long second = requestThatWaits();
@@ -342,7 +342,7 @@
 
     @Test
     void theFailureOfAnOwnFillResumesWaitingRequestsAtOnce() {
-        long first = requestPart(PURE, 0);
+        long first = requestPart(READ, 0);
         endAttempt(first, AttemptResult.MISS, CacheStatus.UNKNOWN);
         now += 50 * MS;
         long second = requestThatWaits();
@@ -357,7 +357,7 @@
                 .toList();
         router.endpointsChanged(now, EndpointListMode.DELTA, more);
         for (int i = 0; i < MAX_WAITING + 10; i++) {
-            router.requestArrived(now, request(++lastId, PURE, 0, 1_000 + i));
+            router.requestArrived(now, request(++lastId, READ, 0, 1_000 + i));
             endAttempt(lastId, AttemptResult.MISS, CacheStatus.COALESCED);
             // Beyond the bound a request does not wait: it is filled, or rejected if the fill limit is reached.
             assertEquals(
@@ -370,7 +370,7 @@
     @Test
     void waitingRequestsUseTheConcurrencyLimitOfTheirCache() {
         for (int i = 0; i < 3 * MAX_WAITING; i++) {
-            router.requestArrived(now, request(++lastId, PURE, 0, 1_000 + i));
+            router.requestArrived(now, request(++lastId, READ, 0, 1_000 + i));
             if (attemptsOf(lastId).isEmpty()) {
                 // All caches are at their limit: the request is rejected at once.
                 assertTrue(actions.rejected.contains(lastId));
@@ -385,13 +385,13 @@
     void expiredReportsAreIgnoredAndTheNewestCounts() {
         reportPeerFill(0, otherCache, 50);
         now += 11 * SECOND;
-        assertLookupAt(attemptsOf(requestPart(PURE, 0)).get(0), hashedCache);
+        assertLookupAt(attemptsOf(requestPart(READ, 0)).get(0), hashedCache);
         long third = otherCache % 4 + 1;
         reportPeerFill(1, third, 50);
         reportPeerFill(1, otherCache, 900);
-        assertLookupAt(attemptsOf(requestPart(PURE, 1)).get(0), third);
+        assertLookupAt(attemptsOf(requestPart(READ, 1)).get(0), third);
         reportPeerFill(2, 4711, 50);
-        assertLookupAt(attemptsOf(requestPart(PURE, 2)).get(0), hashedCache);
+        assertLookupAt(attemptsOf(requestPart(READ, 2)).get(0), hashedCache);
     }
 
     @Test
@@ -399,7 +399,7 @@
         RecordingActions recorded = new RecordingActions();
         RequestRouter joining = started(settings(true), recorded);
         joining.peerMessageReceived(now, 1, message(0, otherCache, 50));
-        joining.requestArrived(now, request(1, PURE, 0));
+        joining.requestArrived(now, request(1, READ, 0));
         assertFillAt(recorded.lastAttempt(), hashedCache);
     }
 
@@ -435,20 +435,22 @@
                                 .loadMetrics(settings.loadMetrics())
                                 .build(),
                         recorded)
-                .requestArrived(now, request(1, PURE, 0));
+                .requestArrived(now, request(1, READ, 0));
         assertFillAt(recorded.lastAttempt(), hashedCache);
     }
 
     @Test
     void writesAreNotLookedUp() {
         reportPeerFill(0, otherCache, 50);
-        assertEquals(ORIGIN, attemptsOf(requestPart(KEYED, 0)).get(0).plan().fillSource());
-        assertEquals(ORIGIN, attemptsOf(requestPart(UNSAFE, 0)).get(0).plan().fillSource());
+        assertEquals(
+                ORIGIN, attemptsOf(requestPart(KEYED_WRITE, 0)).get(0).plan().fillSource());
+        assertEquals(
+                ORIGIN, attemptsOf(requestPart(UNSAFE_WRITE, 0)).get(0).plan().fillSource());
     }
 
     @Test
     void aFillIsReportedOnceWhileItIsInFlight() {
-        long id = requestPart(PURE, 3);
+        long id = requestPart(READ, 3);
         endAttempt(id, AttemptResult.MISS, CacheStatus.UNKNOWN);
         now += 100 * MS;
         router.timerExpired(now, 0);
@@ -461,7 +463,7 @@
                 PeerMessageCodec.decode(actions.peerMessages.get(actions.peerMessages.size() - 1))
                         .fillsStarted());
         endAttempt(id, AttemptResult.OK, CacheStatus.FILLED);
-        requestPart(PURE, 4);
+        requestPart(READ, 4);
         endAttempt(lastId, AttemptResult.MISS, CacheStatus.UNKNOWN);
         endAttempt(lastId, AttemptResult.OK, CacheStatus.FILLED);
         now += 100 * MS;
@@ -486,7 +488,7 @@
         long id = ++lastId;
         router.requestArrived(
                 now,
-                RoutingRequest.builder(id, PURE, OBJECT)
+                RoutingRequest.builder(id, READ, OBJECT)
                         .group(GROUP)
                         .sizeKb(largeKb)
                         .timeBudgetUs(deadline - now)
