--- a/src/test/java/magpiewheel/conformance/FleetPageTest.java
+++ b/src/test/java/magpiewheel/conformance/FleetPageTest.java
@@ -31,12 +31,12 @@
 
     /** The order counts: of one incarnation a later state beats an earlier one. */
     @Test
-    void theStatesAreThoseOfTheCodeInOrder() throws IOException {
+    void statesMatchMemberStatusInOrder() throws IOException {
         assertEquals(names(MemberStatus.values()), PageTable.column(table("## States"), "state"));
     }
 
     @Test
-    void everyStateIsEnteredAndLeftSomehow() throws IOException {
+    void everyStateRowIsComplete() throws IOException {
         for (Map<String, String> row : table("## States")) {
             assertEquals(
                     List.of(),
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void theVerdictsAreThoseOfTheCodeInOrder() throws IOException {
+    void verdictsMatchPartitionVerdictInOrder() throws IOException {
         String column = "verdict";
         assertEquals(names(PartitionVerdict.values()), PageTable.column(table("## Verdict on the own view"), column));
     }
@@ -57,15 +57,15 @@
      * Words in capitals between the quotes of code are states or verdicts of the code, wherever the tables use them.
      */
     @Test
-    void noTableUsesAStateThatIsNone() throws IOException {
+    void tablesUseOnlyKnownStatesAndVerdicts() throws IOException {
         Set<String> known = new HashSet<>(names(MemberStatus.values()));
         known.addAll(names(PartitionVerdict.values()));
         Pattern quoted = Pattern.compile("`([A-Z_]{2,})`");
         for (String heading : List.of("## Seams", "## States", "## Verdict on the own view", "## What follows")) {
-            String all = table(heading).stream()
+            String text = table(heading).stream()
                     .map(row -> String.join(" ", row.values()))
                     .collect(Collectors.joining(" "));
-            for (Matcher word = quoted.matcher(all); word.find(); ) {
+            for (Matcher word = quoted.matcher(text); word.find(); ) {
                 assertTrue(known.contains(word.group(1)), heading + " uses " + word.group(1));
             }
         }
@@ -73,14 +73,14 @@
 
     /** What is divided: each limit once, hard by those that may be running, soft by those that are heard. */
     @Test
-    void hardLimitsAreDividedByAllThatMayRun() throws IOException {
+    void hardLimitsAreDividedByRoutersThatMayRun() throws IOException {
         List<Map<String, String>> rows = table("## What follows");
         List<String> limits = PageTable.column(rows, "limit");
         assertEquals(limits.size(), new HashSet<>(limits).size(), "a limit comes twice: " + limits);
         assertEquals(Set.of("hard", "soft"), new HashSet<>(PageTable.column(rows, "kind")));
         for (Map<String, String> row : rows) {
-            String by = row.get("divided by");
-            assertTrue(by.endsWith(row.get("kind").equals("hard") ? "may be running" : "heard"), row.toString());
+            String divisor = row.get("divided by");
+            assertTrue(divisor.endsWith(row.get("kind").equals("hard") ? "may be running" : "heard"), row.toString());
         }
     }
 }
--- a/src/test/java/magpiewheel/conformance/PageTableTest.java
+++ b/src/test/java/magpiewheel/conformance/PageTableTest.java
@@ -38,29 +38,29 @@
             | --- |
             """;
 
-    private static List<Map<String, String>> under(String heading) {
+    private static List<Map<String, String>> tableUnder(String heading) {
         return PageTable.parse(PAGE.lines().toList(), heading);
     }
 
     @Test
-    void theFirstTableUnderAHeadingIsReadWhole() {
-        List<Map<String, String>> rows = under("## One");
+    void readsTheFirstTableUnderAHeading() {
+        List<Map<String, String>> rows = tableUnder("## One");
         assertEquals(List.of(Map.of("a", "`X`", "b", "1 | 2"), Map.of("a", "`y` and `z`", "b", "")), rows);
         assertEquals(List.of("a", "b"), List.copyOf(rows.get(0).keySet()), "columns in their order");
         assertEquals(List.of("X", "`y` and `z`"), PageTable.column(rows, "a"));
-        assertEquals(rows, under("### Deeper"));
-        assertEquals(List.of(), under("## Three"), "a table without rows");
+        assertEquals(rows, tableUnder("### Deeper"));
+        assertEquals(List.of(), tableUnder("## Three"), "a table without rows");
     }
 
     @Test
-    void whatIsNotThereIsNamed() {
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> under("## Four"))
+    void errorsNameTheMissingHeadingTableOrColumn() {
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> tableUnder("## Four"))
                 .getMessage()
                 .contains("## Four"));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> under("## Two"))
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> tableUnder("## Two"))
                 .getMessage()
                 .contains("no table"));
-        List<Map<String, String>> rows = under("## One");
+        List<Map<String, String>> rows = tableUnder("## One");
         assertTrue(assertThrows(IllegalArgumentException.class, () -> PageTable.column(rows, "c"))
                 .getMessage()
                 .contains("'c' among [a, b]"));
@@ -77,18 +77,18 @@
                 "| a | a |,| --- | --- |,| 1 | 2 |; line 2: a column comes twice",
                 "| a | b |; line 3: no line of dashes for 2 columns"
             })
-    void aTableThatIsOffIsAnErrorAndNeverFewerRows(String rows, String says) {
+    void malformedTableIsRejected(String rows, String message) {
         List<String> lines = new ArrayList<>(List.of("## T"));
         lines.addAll(List.of(rows.split(",")));
         assertEquals(
-                says,
+                message,
                 assertThrows(IllegalArgumentException.class, () -> PageTable.parse(lines, "## T"))
                         .getMessage());
     }
 
     /** What is written comes back, whatever is in the cells, but for white space. */
     @Property(tries = 300)
-    void writtenCellsComeBack(@ForAll @Size(min = 1, max = 5) List<String> cells) {
+    void escapedCellsRoundTrip(@ForAll @Size(min = 1, max = 5) List<String> cells) {
         List<String> lines = new ArrayList<>(List.of("## T"));
         StringBuilder head = new StringBuilder("|");
         StringBuilder row = new StringBuilder("|");
--- a/src/test/java/magpiewheel/conformance/RowsTest.java
+++ b/src/test/java/magpiewheel/conformance/RowsTest.java
@@ -34,25 +34,26 @@
                 PageTable.parse(table.lines().toList(), "## T"));
     }
 
-    private static Rows.RowResult judged(String row) {
+    private static Rows.RowResult run(String row) {
         return Rows.run(rows(row).get(0), steps(), () -> new int[1]);
     }
 
     @Test
-    void aRowIsRunAsItStands() {
-        Rows.RowResult kept = judged("| a | 1 | add 1; add 2 | add 3 | it is 6 | |");
+    void rowIsRunStepByStep() {
+        Rows.RowResult kept = run("| a | 1 | add 1; add 2 | add 3 | it is 6 | |");
         assertTrue(kept.kept());
         kept.check();
         assertEquals("1 In the", kept.row().paragraph());
-        Rows.RowResult not = judged("| a | 1 | | add 3 | it is 3; it is 4 | |");
-        assertEquals("it is 4", not.failedStep());
-        assertTrue(assertThrows(AssertionError.class, not::check).getMessage().contains("'it is 4'"));
+        Rows.RowResult failed = run("| a | 1 | | add 3 | it is 3; it is 4 | |");
+        assertEquals("it is 4", failed.failedStep());
+        assertTrue(
+                assertThrows(AssertionError.class, failed::check).getMessage().contains("'it is 4'"));
     }
 
     @Test
-    void aRowThatIsNotKeptMustNotBeKept() {
-        judged("| a | 1 | | add 3 | it is 4 | a reason |").check();
-        Rows.RowResult kept = judged("| a | 1 | | add 3 | it is 3 | a reason |");
+    void rowWithAReasonMustFail() {
+        run("| a | 1 | | add 3 | it is 4 | a reason |").check();
+        Rows.RowResult kept = run("| a | 1 | | add 3 | it is 3 | a reason |");
         assertTrue(assertThrows(AssertionError.class, kept::check).getMessage().contains("is kept now"));
     }
 
@@ -64,11 +65,11 @@
         "add 1,it was 1,0 phrases say",
         "add 1,it is broken,a fault"
     })
-    void aRowThatCannotBeRunIsAFault(String when, String then, String says) {
+    void rowThatCannotRunIsAnError(String when, String then, String message) {
         String row = "| a | 1 | | " + when + " | " + then + " | a reason |";
-        assertTrue(assertThrows(IllegalStateException.class, () -> judged(row))
+        assertTrue(assertThrows(IllegalStateException.class, () -> run(row))
                 .getMessage()
-                .contains(says));
+                .contains(message));
     }
 
     @ParameterizedTest
@@ -80,10 +81,10 @@
                 "| a | 1 | | | it is 1 | |; lacks",
                 "| a | 1 | | add 1 | | |; lacks"
             })
-    void aRowThatIsOffIsNamed(String row, String says) {
+    void malformedRowIsRejected(String row, String message) {
         assertTrue(assertThrows(IllegalArgumentException.class, () -> rows(row))
                 .getMessage()
-                .contains(says));
+                .contains(message));
         assertThrows(
                 IllegalArgumentException.class,
                 () -> rows("| a | 1 | | add 1 | it is 1 | |", "| a | 1 | | add 1 | it is 1 | |"),
@@ -91,11 +92,11 @@
     }
 
     @Test
-    void aPhraseThatTwoMeanOrNobodyUsesIsFound() {
-        Steps<int[]> twice = steps().act("add \\d", (w, m) -> {});
+    void ambiguousAndUnusedPhrasesAreFound() {
+        Steps<int[]> ambiguous = steps().act("add \\d", (w, m) -> {});
         assertTrue(assertThrows(
                         IllegalStateException.class,
-                        () -> Rows.run(rows("| a | 1 | | add 1 | it is 1 | |").get(0), twice, () -> new int[1]))
+                        () -> Rows.run(rows("| a | 1 | | add 1 | it is 1 | |").get(0), ambiguous, () -> new int[1]))
                 .getMessage()
                 .contains("2 phrases say"));
         assertEquals(
@@ -103,20 +104,24 @@
     }
 
     @Test
-    void theReportIsSortedAndItsOtherSectionsStay() {
+    void reportIsSortedAndKeepsOtherSections() {
         List<Rows.RowResult> rows =
-                List.of(judged("| b | 1 | | add 3 | it is 3 | |"), judged("| a | 1 | | add 3 | it is 4 | why |"));
+                List.of(run("| b | 1 | | add 3 | it is 3 | |"), run("| a | 1 | | add 3 | it is 4 | why |"));
         String section = Report.section("## From outside", rows);
         List<String> lines = section.lines().toList();
         assertEquals("1 of 2 rows are kept.", lines.get(2));
         assertEquals("| 1 In the | a | it is 4 | not kept (it is 4): why |", lines.get(6));
         assertEquals("| 1 In the | b | it is 3 | kept |", lines.get(7));
         String page = Report.replaceSection("", "## From outside", section);
-        String both = Report.replaceSection(page, "## In the module", Report.section("## In the module", rows));
-        assertTrue(both.indexOf("## In the module") < both.indexOf("## From outside") && both.endsWith("| kept |\n"));
-        assertEquals(both, Report.replaceSection(both, "## From outside", section), "made anew it is the same");
-        assertFalse(Report.replaceSection(both + "\nMore.\n", "## From outside", section)
+        String twoSections = Report.replaceSection(page, "## In the module", Report.section("## In the module", rows));
+        assertTrue(twoSections.indexOf("## In the module") < twoSections.indexOf("## From outside")
+                && twoSections.endsWith("| kept |\n"));
+        assertEquals(
+                twoSections,
+                Report.replaceSection(twoSections, "## From outside", section),
+                "made anew it is the same");
+        assertFalse(Report.replaceSection(twoSections + "\nMore.\n", "## From outside", section)
                 .contains("More."));
-        assertEquals(both, Report.replaceSection("Lies.\n" + both, "## From outside", section));
+        assertEquals(twoSections, Report.replaceSection("Lies.\n" + twoSections, "## From outside", section));
     }
 }
--- a/src/test/java/magpiewheel/membership/MutationsTest.java
+++ b/src/test/java/magpiewheel/membership/MutationsTest.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
-import magpiewheel.mistakes.SourceMutation;
+import magpiewheel.mutation.SourceMutation;
 import net.jqwik.engine.JqwikTestEngine;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
--- a/src/test/java/magpiewheel/mistakes/SourceMutation.java
+++ b/src/test/java/magpiewheel/mutation/SourceMutation.java
@@ -1,4 +1,4 @@
-package magpiewheel.mistakes;
+package magpiewheel.mutation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/magpiewheel/routing/DecisionFingerprintTest.java
+++ b/src/test/java/magpiewheel/routing/DecisionFingerprintTest.java
@@ -54,10 +54,11 @@
 
     @ParameterizedTest
     @CsvSource({"1, 20, 100435:dde8951db726986d", "101, 20, 100435:2165c63e2d7a0f74", "1, 30, 164080:969067aca9fb88bf"})
-    void fleetWithAWarmingEndpoint(long cold, int routers, String expected) {
-        WarmingFleet.Scenario plans =
-                WarmingFleet.Scenario.of(3, routers, cold).withRouterRestarts().withEndpointWeight(6);
-        WarmingFleet fleet = new WarmingFleet(plans).run(5 * SECOND, 10);
+    void fleetWithAWarmingEndpoint(long warmingEndpoint, int routers, String expected) {
+        WarmingFleet.Scenario scenario = WarmingFleet.Scenario.of(3, routers, warmingEndpoint)
+                .withRouterRestarts()
+                .withEndpointWeight(6);
+        WarmingFleet fleet = new WarmingFleet(scenario).run(5 * SECOND, 10);
         assertEquals(expected, fleet.actions.toString());
     }
 
--- a/src/test/java/magpiewheel/routing/DesignTest.java
+++ b/src/test/java/magpiewheel/routing/DesignTest.java
@@ -206,14 +206,16 @@
                         "only objects (from|to) cache (\\d+) moved",
                         (w, m) -> w.assertMoved(m.group(1), Long.parseLong(m.group(2))))
                 .check("parent (\\d+) fills (all|none|about a third|about two thirds)", (w, m) -> {
-                    double least = switch (m.group(2)) {
+                    double minShare = switch (m.group(2)) {
                         case "all" -> 1;
                         case "none" -> 0;
                         case "about a third" -> 0.25;
                         default -> 0.55;
                     };
                     w.assertFillShare(
-                            100 + Long.parseLong(m.group(1)), least, least == 0 || least == 1 ? least : least + 0.2);
+                            100 + Long.parseLong(m.group(1)),
+                            minShare,
+                            minShare == 0 || minShare == 1 ? minShare : minShare + 0.2);
                 })
                 .check("none goes to cache (\\d+)", (w, m) -> w.assertNoneTo(Long.parseLong(m.group(1))))
                 .check("at most (\\d+) fills are out", (w, m) -> w.assertFillsAtMost(Integer.parseInt(m.group(1))));
--- a/src/test/java/magpiewheel/routing/DesignWorld.java
+++ b/src/test/java/magpiewheel/routing/DesignWorld.java
@@ -282,11 +282,11 @@
     /**
      * Other objects are asked for once each and filled, a fifth of a millisecond apart; one object again in between.
      */
-    void scan(int count, long repeatedObject, int every) {
+    void scan(int count, long repeatedObject, int interval) {
         for (int i = 1; i <= count; i++) {
             submitWithoutAdvancing(++lastRequest, READ, 1_000_000 + i, 0, null);
             complete(lastRequest, AttemptResult.OK, CacheStatus.FILLED, 10 * MS);
-            if (every > 0 && i % every == 0) {
+            if (interval > 0 && i % interval == 0) {
                 submitWithoutAdvancing(++lastRequest, READ, repeatedObject, 0, null);
                 complete(lastRequest, AttemptResult.OK, CacheStatus.HIT, 10 * MS);
             }
@@ -445,12 +445,12 @@
     }
 
     void assertHintsOnlyTo(int recipient) {
-        List<Integer> others = sentPeerMessages(0).stream()
+        List<Integer> recipients = sentPeerMessages(0).stream()
                 .filter(t -> !t.getValue().holders().isEmpty())
                 .map(Map.Entry::getKey)
                 .distinct()
                 .toList();
-        assertEquals(List.of(recipient), others);
+        assertEquals(List.of(recipient), recipients);
     }
 
     void assertHintSent(int recipient, String name, long object) {
@@ -469,21 +469,23 @@
                 .noneMatch(h -> h.objectId() == object));
     }
 
-    void assertHintsPacked(int recipient, int holders, int messages) {
-        List<PeerMessage> with = sentPeerMessages(0).stream()
+    void assertHintsPacked(int recipient, int expectedHints, int maxMessages) {
+        List<PeerMessage> messagesWithHints = sentPeerMessages(0).stream()
                 .filter(t -> t.getKey() == recipient)
                 .map(Map.Entry::getValue)
                 .filter(m -> !m.holders().isEmpty())
                 .toList();
-        assertEquals(holders, with.stream().mapToInt(m -> m.holders().size()).sum());
-        assertTrue(with.size() <= messages, "in " + with.size() + " messages");
+        assertEquals(
+                expectedHints,
+                messagesWithHints.stream().mapToInt(m -> m.holders().size()).sum());
+        assertTrue(messagesWithHints.size() <= maxMessages, "in " + messagesWithHints.size() + " messages");
     }
 
     /** Of what went out while time passed last, the membership's left out. */
-    void assertMessagesPer100Ms(int least, int most) {
+    void assertMessagesPer100Ms(int min, int max) {
         double count = sentPeerMessages(messagesBeforeAdvance).size();
         double rate = count / (advancedUs / (100.0 * MS));
-        assertTrue(rate >= least && rate <= most, rate + " messages in a tenth of a second");
+        assertTrue(rate >= min && rate <= max, rate + " messages in a tenth of a second");
     }
 
     void assertCachesShareEvenly() {
@@ -510,15 +512,15 @@
      */
     private static void assertEvenShares(List<Long> endpoints, List<Long> selected) {
         double evenShare = (double) selected.size() / endpoints.size();
-        long sum = 0;
-        for (long each : endpoints) {
-            long count = selected.stream().filter(node -> node == each).count();
+        long total = 0;
+        for (long endpoint : endpoints) {
+            long count = selected.stream().filter(node -> node == endpoint).count();
             assertTrue(
                     count > evenShare * 2 / 3 && count < evenShare * 4 / 3,
-                    each + " has " + count + " of " + selected.size());
-            sum += count;
+                    endpoint + " has " + count + " of " + selected.size());
+            total += count;
         }
-        assertEquals(selected.size(), sum);
+        assertEquals(selected.size(), total);
     }
 
     /** Objects that moved from one pick to the next all left one cache, or all came to it. */
--- a/src/test/java/magpiewheel/staleness/StalenessMutationsTest.java
+++ b/src/test/java/magpiewheel/staleness/StalenessMutationsTest.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
-import magpiewheel.mistakes.SourceMutation;
+import magpiewheel.mutation.SourceMutation;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
