--- a/src/test/java/magpiewheel/routing/BoundedReadRoutingTest.java
+++ b/src/test/java/magpiewheel/routing/BoundedReadRoutingTest.java
@@ -141,7 +141,7 @@
         assertEquals(List.of(1L), actions.rejected);
         assertEquals(0, actions.attempts.size());
         assertTrue(
-                actions.calls.get(actions.calls.size() - 1).matches("refuse 1 [1-9][0-9]+"),
+                actions.calls.get(actions.calls.size() - 1).matches("reject 1 [1-9][0-9]+"),
                 "rejected with a retry-after time");
         submit(2, FRESH_CLASS, notOlderThan(nowMs() - 300, false));
         assertEquals(1, actions.attempts.size(), "a preferred read is attempted");
@@ -185,7 +185,7 @@
         assertEquals(1, actions.attempts.size());
         assertEquals(49, actions.rejected.size());
         assertTrue(
-                actions.calls.get(actions.calls.size() - 1).matches("refuse 50 300000"),
+                actions.calls.get(actions.calls.size() - 1).matches("reject 50 300000"),
                 actions.calls.get(actions.calls.size() - 1));
         assertTrue(router.boundedReads().isUnproven(1), "a rejection would be due to its hint");
         assertEquals(DeliveryDecision.WITHHELD, endAttempt(1, 0, CacheStatus.HIT, nowMs()));
--- a/src/test/java/magpiewheel/routing/CachedOnlyAttemptTest.java
+++ b/src/test/java/magpiewheel/routing/CachedOnlyAttemptTest.java
@@ -96,7 +96,7 @@
 
     private void expireLookupTimer() {
         now = actions.calls.stream()
-                .filter(line -> line.matches("timer [0-9]+ " + LOOKUP_TIMER))
+                .filter(line -> line.matches("setTimer [0-9]+ " + LOOKUP_TIMER))
                 .mapToLong(line -> Long.parseLong(line.split(" ")[1]))
                 .max()
                 .orElseThrow();
--- a/src/test/java/magpiewheel/routing/DecisionFingerprintTest.java
+++ b/src/test/java/magpiewheel/routing/DecisionFingerprintTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Fingerprints of every action of seeded simulations. They hold a change of names and shape to what it is: a change of
- * behaviour has new ones, and its commit says why.
+ * Fingerprints of every action of seeded simulations. Refactoring must not change them; a change of behaviour changes
+ * them, and its commit says why.
  */
 class DecisionFingerprintTest {
     private static final int EVENTS = 6_000;
--- a/src/test/java/magpiewheel/routing/DesignTest.java
+++ b/src/test/java/magpiewheel/routing/DesignTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The rows of the design that the module can show by itself. */
+/** Runs the rows of the design's conformance table that a single router can show without a network. */
 class DesignTest {
     private static final String HEADING = "## In the module";
     private static final String OBJECT = "object ([A-Z])(?: of another group)?";
--- a/src/test/java/magpiewheel/routing/DesignWorld.java
+++ b/src/test/java/magpiewheel/routing/DesignWorld.java
@@ -18,9 +18,9 @@
 import magpiewheel.support.Fingerprint;
 
 /**
- * One router's module with all that it meets, for rows of the design. Caches go by 1, 2, ..., parents by 101, 102, ...
- * (in rows by 1, 2, ...), the origin by 201; router 0 is this one. Timers are called when they are due, and each event
- * takes a millisecond.
+ * One router in virtual time with simulated endpoints and peers, for rows of the design. Cache ids are 1, 2, ...,
+ * parent ids 101, 102, ... (1, 2, ... in rows), the origin is 201. Router 0 is the router under test. Timers expire
+ * when they are due, and each event takes a millisecond.
  */
 final class DesignWorld {
     static final long ORIGIN = 201;
@@ -30,7 +30,7 @@
     private static final int READ = 0;
     private static final int WRITE = 1;
     private static final int UNSAFE_WRITE = 2;
-    /** Requests among which every parent that is chosen at all is chosen. */
+    /** Requests after which a parent that has not become a fill source counts as never selected. */
     private static final int MAX_TRIAL_REQUESTS = 10_000;
 
     final RecordingActions recordedActions = new RecordingActions();
@@ -43,11 +43,12 @@
     private int attemptsRead;
     private RequestRouter router;
     long nowUs = 100 * SECOND;
-    /** Settings. */
+    /** Whether routers may send requests to the origin themselves. Set before the first event. */
     boolean routersReachOrigin = true;
 
+    /** Routers in the zone of the router under test, itself included. Set before the first event. */
     int localRouters = 3;
-    /** The object spoken of, the last request, and the one before. */
+    /** The object that the steps of the row named last. */
     long currentObject;
 
     long lastRequest;
@@ -112,7 +113,7 @@
         return router;
     }
 
-    // ---------------------------------------------------------------- what is given and happens
+    // ---------------------------------------------------------------- preconditions and events
 
     void changeEndpoint(long node, EndpointState state, long startedUs) {
         int kind = node == ORIGIN ? 2 : node > PARENT_ID_OFFSET ? 1 : 0;
@@ -131,7 +132,7 @@
         }
     }
 
-    /** Time passes, and what is due is done at its time. */
+    /** Advances the time; each timer that becomes due expires at its time. */
     void advance(long durationUs) {
         router();
         long endUs = nowUs + durationUs;
@@ -148,13 +149,13 @@
     private void collectTimers() {
         for (; callsRead < recordedActions.calls.size(); callsRead++) {
             String[] words = recordedActions.calls.get(callsRead).split(" ");
-            if (words[0].equals("timer")) {
+            if (words[0].equals("setTimer")) {
                 timers.add(new long[] {Long.parseLong(words[1]), Long.parseLong(words[2])});
             }
         }
     }
 
-    /** An object by its letter; those of another group follow it. */
+    /** Returns the id of the object with this letter. Objects N to Z belong to another group than A to M. */
     static long object(String name) {
         return 1_000 + name.charAt(0);
     }
@@ -198,7 +199,7 @@
         submit(READ, object, 0, new LocalCopy(ageUs, 100 * MS, 25 * MS));
     }
 
-    /** The attempts of a request, in their order. */
+    /** Returns the attempts of a request in the order of their start. */
     List<RecordingActions.StartedAttempt> attempts(long id) {
         for (; attemptsRead < recordedActions.attempts.size(); attemptsRead++) {
             RecordingActions.StartedAttempt attempt = recordedActions.attempts.get(attemptsRead);
@@ -209,17 +210,17 @@
         return attemptsByRequest.getOrDefault(id, List.of());
     }
 
-    /** The last attempt of the last request; a request that was turned away has none. */
+    /** Returns the last attempt of the last request; fails if it has none, as when it was rejected. */
     RecordingActions.StartedAttempt lastAttempt() {
         List<RecordingActions.StartedAttempt> attempts = attempts(lastRequest);
-        assertTrue(!attempts.isEmpty(), "no attempt went out");
+        assertTrue(!attempts.isEmpty(), "request " + lastRequest + " has no attempt");
         return attempts.get(attempts.size() - 1);
     }
 
     void complete(long id, AttemptResult result, CacheStatus cacheStatus, long firstByteUs) {
         List<RecordingActions.StartedAttempt> attempts = attempts(id);
         if (attempts.isEmpty()) {
-            throw new IllegalStateException("nothing went out that could be answered");
+            throw new IllegalStateException("request " + id + " has no attempt to complete");
         }
         router().attemptEnded(
                         nowUs,
@@ -240,7 +241,7 @@
         advance(MS);
     }
 
-    /** Asks for objects one after another and takes each back, so that nothing is learnt of the answers. */
+    /** Requests {@code count} objects one after another; each client disconnects, so no response is recorded. */
     void select(int count) {
         previousSelections = selections;
         select(LongStream.rangeClosed(1, count).map(i -> 10_000 + i).toArray());
@@ -261,7 +262,10 @@
         complete(id, AttemptResult.CANCELLED, CacheStatus.UNKNOWN, 0);
     }
 
-    /** Asks until so many fills are out from a parent, takes the others back, and then answers those. */
+    /**
+     * Submits requests until {@code count} of them would be filled from this parent, disconnects the others, and then
+     * completes those after {@code firstByteUs}.
+     */
     void completeFills(int count, long parent, long firstByteUs) {
         List<Long> inFlight = new ArrayList<>();
         for (int i = 0; i < MAX_TRIAL_REQUESTS && inFlight.size() < count; i++) {
@@ -273,14 +277,16 @@
             }
         }
         if (inFlight.size() < count) {
-            throw new IllegalStateException("parent " + parent + " fills nothing");
+            throw new IllegalStateException(
+                    "parent " + parent + " is the fill source of " + inFlight.size() + " requests, expected " + count);
         }
         inFlight.forEach(id -> complete(id, AttemptResult.OK, CacheStatus.FILLED, firstByteUs));
         advance(MS);
     }
 
     /**
-     * Other objects are asked for once each and filled, a fifth of a millisecond apart; one object again in between.
+     * Requests {@code count} other objects once each, 200 us apart, and fills them; {@code repeatedObject} is requested
+     * after each {@code interval} of them, or never if that is 0.
      */
     void scan(int count, long repeatedObject, int interval) {
         for (int i = 1; i <= count; i++) {
@@ -294,7 +300,7 @@
         }
     }
 
-    /** Asks for all these objects before any is answered. */
+    /** Requests the objects of the last selection again, all before any response. */
     void requestSelectedAtOnce() {
         Map<Long, RecordingActions.StartedAttempt> selected = new LinkedHashMap<>();
         for (long object : List.copyOf(selections.keySet())) {
@@ -316,7 +322,7 @@
 
     // ---------------------------------------------------------------- other routers
 
-    /** From now on this router knows of another one. The one place that says how routers meet. */
+    /** Makes another router a running member in this router's view. Defined only here. */
     void discoverRouter(int sender) {
         router().peerMessageReceived(
                         nowUs,
@@ -326,7 +332,7 @@
         receivePeerMessage(sender, nowUs, List.of(), List.of());
     }
 
-    /** A message from another router, sent at a time; the last router is in another location. */
+    /** Receives a message that a router sent at {@code sentAtUs}; the router with the highest id is in another zone. */
     private void receivePeerMessage(int sender, long sentAtUs, List<EndpointLoad> loads, List<HolderHint> holders) {
         int zone = sender < localRouters ? 0 : 1;
         double limit = 20;
@@ -348,19 +354,19 @@
         receivePeerMessage(sender, nowUs, List.of(new EndpointLoad(node, inFlight, 16)), List.of());
     }
 
-    /** Messages that went out, from one of them on: to whom, and what. */
+    /** Returns the routing messages sent to peers, from index {@code from} on, each with its recipient. */
     private List<Map.Entry<Integer, PeerMessage>> sentPeerMessages(int from) {
         List<String> lines = recordedActions.calls.stream()
-                .filter(line -> line.startsWith("tell "))
+                .filter(line -> line.startsWith("sendToPeer "))
                 .toList();
         assertEquals(lines.size(), recordedActions.peerMessages.size());
         List<Map.Entry<Integer, PeerMessage>> messages = new ArrayList<>();
         for (int i = from; i < lines.size(); i++) {
             assertTrue(
                     recordedActions.peerMessages.get(i).length <= 256,
-                    "a message of " + recordedActions.peerMessages.get(i).length + " bytes");
+                    "peer message of " + recordedActions.peerMessages.get(i).length + " bytes, at most 256 expected");
             PeerMessage message = PeerMessageCodec.decode(recordedActions.peerMessages.get(i));
-            // The membership's messages are another matter.
+            // Membership messages are not routing messages: the codec returns null for them.
             if (message != null) {
                 messages.add(Map.entry(Integer.parseInt(lines.get(i).split(" ")[1]), message));
             }
@@ -368,9 +374,9 @@
         return messages;
     }
 
-    // ---------------------------------------------------------------- what must follow
+    // ---------------------------------------------------------------- assertions
 
-    /** Where another router that knows nothing sends an object. */
+    /** Returns the cache to which a router without holder hints sends requests for this object. */
     long hashedCache(long object) {
         RecordingActions actions = new RecordingActions();
         RequestRouter other = new RequestRouter(
@@ -382,7 +388,7 @@
         return actions.lastAttempt().node();
     }
 
-    /** A node by its name. */
+    /** Returns the id of the endpoint that a row names. */
     long endpoint(String name) {
         String[] words = name.split(" ");
         return switch (words[0] + (words.length > 1 ? " " + words[1] : "")) {
@@ -412,7 +418,7 @@
             case "a cache" ->
                 assertTrue(
                         lastAttempt().node() < PARENT_ID_OFFSET,
-                        "it went to " + lastAttempt().node());
+                        "sent to endpoint " + lastAttempt().node() + ", expected a cache");
             case "the cache of the request before" ->
                 assertEquals(
                         attempts(previousRequest).get(0).node(), lastAttempt().node());
@@ -423,7 +429,8 @@
     void assertFillSource(String name) {
         long source = lastAttempt().plan().fillSource();
         if (name.equals("a parent")) {
-            assertTrue(source > PARENT_ID_OFFSET && source < ORIGIN, "it is filled from " + source);
+            assertTrue(
+                    source > PARENT_ID_OFFSET && source < ORIGIN, "fill source is " + source + ", expected a parent");
         } else {
             assertEquals(endpoint(name), source);
         }
@@ -432,7 +439,9 @@
     void assertOnlyCopiesSincePurge() {
         long since = submittedAtUs.get(lastRequest) - purgedAtUs;
         long limit = lastAttempt().plan().maxAgeUs();
-        assertTrue(limit > 0 && limit <= since && limit > since - 5 * MS, "a limit of " + limit + " after " + since);
+        assertTrue(
+                limit > 0 && limit <= since && limit > since - 5 * MS,
+                "maximum age " + limit + " us, purge " + since + " us before the request");
     }
 
     void assertPassedThrough() {
@@ -460,7 +469,7 @@
                         .filter(t -> t.getKey() == recipient)
                         .flatMap(t -> t.getValue().holders().stream())
                         .anyMatch(h -> h.objectId() == object && h.endpointId() == node),
-                "never told router " + recipient);
+                "no hint sent to router " + recipient + " that endpoint " + node + " holds object " + object);
     }
 
     void assertNoHintSent(long object) {
@@ -478,14 +487,16 @@
         assertEquals(
                 expectedHints,
                 messagesWithHints.stream().mapToInt(m -> m.holders().size()).sum());
-        assertTrue(messagesWithHints.size() <= maxMessages, "in " + messagesWithHints.size() + " messages");
+        assertTrue(
+                messagesWithHints.size() <= maxMessages,
+                "hints sent in " + messagesWithHints.size() + " messages, expected at most " + maxMessages);
     }
 
-    /** Of what went out while time passed last, the membership's left out. */
+    /** Checks the rate of routing messages sent during the last {@link #advance}; membership messages do not count. */
     void assertMessagesPer100Ms(int min, int max) {
         double count = sentPeerMessages(messagesBeforeAdvance).size();
         double rate = count / (advancedUs / (100.0 * MS));
-        assertTrue(rate >= min && rate <= max, rate + " messages in a tenth of a second");
+        assertTrue(rate >= min && rate <= max, rate + " messages per 100 ms, expected " + min + " to " + max);
     }
 
     void assertCachesShareEvenly() {
@@ -506,10 +517,7 @@
                         .toList());
     }
 
-    /**
-     * Each of these has between two thirds and four thirds of what it would have of even parts, and nobody else has
-     * any.
-     */
+    /** Checks that each endpoint has between two thirds and four thirds of an even share, and no other has any. */
     private static void assertEvenShares(List<Long> endpoints, List<Long> selected) {
         double evenShare = (double) selected.size() / endpoints.size();
         long total = 0;
@@ -517,13 +525,16 @@
             long count = selected.stream().filter(node -> node == endpoint).count();
             assertTrue(
                     count > evenShare * 2 / 3 && count < evenShare * 4 / 3,
-                    endpoint + " has " + count + " of " + selected.size());
+                    "endpoint " + endpoint + " was selected " + count + " times of " + selected.size());
             total += count;
         }
         assertEquals(selected.size(), total);
     }
 
-    /** Objects that moved from one pick to the next all left one cache, or all came to it. */
+    /**
+     * Checks that all objects that moved between the last two selections moved from this cache, or to it if
+     * {@code direction} is not "from", and that more than a tenth of the objects moved.
+     */
     void assertMoved(String direction, long cache) {
         int moved = 0;
         for (Map.Entry<Long, RecordingActions.StartedAttempt> selection : selections.entrySet()) {
@@ -531,10 +542,11 @@
             long to = selection.getValue().node();
             moved += from != to ? 1 : 0;
             assertTrue(
-                    from == to || cache == (direction.equals("from") ? from : to), "moved from " + from + " to " + to);
+                    from == to || cache == (direction.equals("from") ? from : to),
+                    "an object moved from cache " + from + " to " + to);
             assertNotEquals(direction.equals("from") ? cache : -1, to);
         }
-        assertTrue(moved > selections.size() / 10, "only " + moved + " moved");
+        assertTrue(moved > selections.size() / 10, "only " + moved + " of " + selections.size() + " objects moved");
     }
 
     void assertFillShare(long parent, double minShare, double maxShare) {
@@ -542,15 +554,17 @@
                         .filter(sent -> sent.plan().fillSource() == parent)
                         .count()
                 / (double) selections.size();
-        assertTrue(share >= minShare && share <= maxShare, "a share of " + share);
+        assertTrue(
+                share >= minShare && share <= maxShare,
+                "parent " + parent + " fills a share of " + share + ", expected " + minShare + " to " + maxShare);
     }
 
-    /** Of requests out at once: those that a miss would start a fill for. */
+    /** Checks that of the selected requests some, but at most {@code maxFills}, have a fill source. */
     void assertFillsAtMost(int maxFills) {
         long fills = selections.values().stream()
                 .filter(sent -> sent.plan().fillSource() != sent.node())
                 .count();
-        assertTrue(fills > 0 && fills <= maxFills, fills + " fills");
+        assertTrue(fills > 0 && fills <= maxFills, fills + " fills, expected 1 to " + maxFills);
     }
 
     void assertNoneTo(long node) {
@@ -559,7 +573,7 @@
                         && selections.values().stream()
                                 .allMatch(sent ->
                                         sent.node() != node && sent.plan().fillSource() != node),
-                "some go to " + node);
+                "nothing was requested, or endpoint " + node + " was selected");
     }
 
     static long toUs(String number, String unit) {
--- a/src/test/java/magpiewheel/routing/FillCoalescingTest.java
+++ b/src/test/java/magpiewheel/routing/FillCoalescingTest.java
@@ -114,7 +114,7 @@
 
     private long lastLookupTimer() {
         return actions.calls.stream()
-                .filter(line -> line.startsWith("timer ") && line.endsWith(" " + LOOKUP_TIMER))
+                .filter(line -> line.startsWith("setTimer ") && line.endsWith(" " + LOOKUP_TIMER))
                 .mapToLong(line -> Long.parseLong(line.split(" ")[1]))
                 .reduce((first, second) -> second)
                 .orElse(-1);
--- a/src/test/java/magpiewheel/routing/FingerprintedActions.java
+++ b/src/test/java/magpiewheel/routing/FingerprintedActions.java
@@ -3,8 +3,9 @@
 import java.util.function.LongSupplier;
 import magpiewheel.support.Fingerprint;
 
-/** Passes actions of one instance on, and folds each with its time and all of its values into a fingerprint. */
+/** Adds each action of one router, with its time and all of its values, to a fingerprint, and then delegates it. */
 final class FingerprintedActions implements RoutingActions {
+    /** The actions; ordinals are part of the fingerprint, so the order stays. */
     private enum Call {
         START_ATTEMPT,
         CANCEL_ATTEMPT,
@@ -111,7 +112,7 @@
         delegate.fetchEndpointList();
     }
 
-    /** Log lines are wording: they are no part of the fingerprint. */
+    /** Delegates the line. Log texts are not part of the fingerprint, so their wording may change. */
     @Override
     public void log(String line) {
         delegate.log(line);
--- a/src/test/java/magpiewheel/routing/NoOpActions.java
+++ b/src/test/java/magpiewheel/routing/NoOpActions.java
@@ -1,6 +1,6 @@
 package magpiewheel.routing;
 
-/** A router for simulations that leaves undone whatever a test does not look at. */
+/** Ignores the actions that a simulation does not need; subclasses implement the others. */
 abstract class NoOpActions implements RoutingActions {
     @Override
     public void cancelAttempt(long request, int attempt) {}
--- a/src/test/java/magpiewheel/routing/ObjectSizes.java
+++ b/src/test/java/magpiewheel/routing/ObjectSizes.java
@@ -2,14 +2,14 @@
 
 import java.util.SplittableRandom;
 
-/** Sizes of objects as simulations draw them. */
+/** Random object sizes for simulations. */
 final class ObjectSizes {
-    /** Even draws whose sum, less half of their number, is close to a normal one of deviation 1. */
+    /** Uniform draws per sample: the sum of twelve, less six, is close to a standard normal value. */
     private static final int DRAWS = 12;
 
     private ObjectSizes() {}
 
-    /** One from a lognormal distribution of this mean. */
+    /** Draws from a lognormal distribution with this mean; {@code sigma} is the deviation of the logarithm. */
     static double lognormal(SplittableRandom random, double mean, double sigma) {
         double normal = -DRAWS / 2.0;
         for (int i = 0; i < DRAWS; i++) {
--- a/src/test/java/magpiewheel/routing/OutlierDetectionTest.java
+++ b/src/test/java/magpiewheel/routing/OutlierDetectionTest.java
@@ -52,10 +52,10 @@
         }
         long hashed = recorded.lastAttempt().node();
         bypassing.timerExpired(now + 300_000, 0);
-        assertFalse(recorded.calls.contains("cancel 1 0"), "it may still respond");
+        assertFalse(recorded.calls.contains("cancelAttempt 1 0"), "it may still respond");
         bypassing.timerExpired(now + 2 * SECOND, 0);
         for (long id = 1; id <= 3; id++) {
-            assertTrue(recorded.calls.contains("cancel " + id + " 0"));
+            assertTrue(recorded.calls.contains("cancelAttempt " + id + " 0"));
         }
         bypassing.attemptEnded(
                 now + 2 * SECOND - 1,
--- a/src/test/java/magpiewheel/routing/OverloadedLocation.java
+++ b/src/test/java/magpiewheel/routing/OverloadedLocation.java
@@ -11,8 +11,8 @@
 import magpiewheel.region.SlowStartProfile;
 
 /**
- * One location's fronts with the real module, in virtual time, whose caches and link carry only so many transfers at
- * once: beyond that each takes longer. What becomes of every request is written down with its size.
+ * The real routers of one zone in virtual time. Above a number of concurrent transfers at a cache or on the zone's link
+ * each transfer takes longer. Records for every request its size and whether it was answered.
  */
 final class OverloadedLocation {
     static final long MS = 1_000;
@@ -23,23 +23,25 @@
     private static final long ORIGIN = 201;
     private static final long START_US = 1_800_000_000_000_000L;
     private static final double TRANSFER_KB_PER_S = 1_000;
-    /** Transfers at a client's pace that one cache carries, and those that the location's link does. */
+    /** Concurrent transfers at a client's pace that one cache can carry. */
     private static final double CACHE_TRANSFERS = 8;
 
+    /** Concurrent transfers at a client's pace that the zone's link can carry. */
     private static final double LINK_TRANSFERS = 20;
+
     private static final int OBJECTS = 3_000;
-    /** Objects of low numbers are asked for more often, by a power of a number that is drawn evenly. */
+    /** The rank of a requested object is a uniform draw to this power, so that low ranks are more frequent. */
     private static final double POPULARITY_EXPONENT = 3;
-    /** Share of the objects that a cache holds at the start. */
+    /** Share of the objects of which one random cache has a copy at the start. */
     private static final double INITIALLY_CACHED_SHARE = 0.7;
 
     private static final double SIZE_SIGMA = 1;
 
-    /** A class of requests: share of the requests, mean sending time, aim, deadline, worth. */
+    /** A request class, its share of all requests and the mean transfer time of its objects. */
     record TrafficClass(
             double share, long meanTransferUs, long latencyObjectiveUs, long deadlineUs, double priorityWeight) {}
 
-    /** What became of a request. */
+    /** The final answer to a request: whether it was served or else rejected or failed. */
     private record FinalAnswer(int trafficClass, double transferUs, boolean answered) {}
 
     private final class SimulatedRouter extends NoOpActions {
@@ -177,10 +179,10 @@
         }
     }
 
-    /** Asks for so many times what the caches carry, until then. */
+    /** Runs until {@code endUs} with a request rate of {@code load} times the caches' capacity. */
     OverloadedLocation run(long endUs, double load) {
         double meanTransferUs = trafficClasses.stream()
-                .mapToDouble(kind -> kind.share() * kind.meanTransferUs())
+                .mapToDouble(traffic -> traffic.share() * traffic.meanTransferUs())
                 .sum();
         long intervalUs = (long) (meanTransferUs / (load * CACHES * CACHE_TRANSFERS));
         net.every(0, intervalUs, this::submitRandomRequest);
@@ -218,10 +220,10 @@
         return request.sizeKb() / TRANSFER_KB_PER_S * SECOND;
     }
 
-    /** Share of a class's requests that were answered, of the part between two ranks by size, 0 the smallest. */
+    /** Returns the share of answered requests of a class between two quantiles of size, from 0 (smallest) to 1. */
     double answeredShare(int trafficClass, double fromRank, double toRank) {
         List<FinalAnswer> bySize = finalAnswers.stream()
-                .filter(end -> end.trafficClass() == trafficClass)
+                .filter(answer -> answer.trafficClass() == trafficClass)
                 .sorted(Comparator.comparingDouble(FinalAnswer::transferUs))
                 .toList();
         List<FinalAnswer> part = bySize.subList((int) (fromRank * bySize.size()), (int) (toRank * bySize.size()));
@@ -245,9 +247,9 @@
 
     private RoutingSettings settings(int routerId) {
         List<RequestClass> requestClasses = trafficClasses.stream()
-                .map(kind -> RequestClass.builder(kind.latencyObjectiveUs(), kind.deadlineUs())
+                .map(traffic -> RequestClass.builder(traffic.latencyObjectiveUs(), traffic.deadlineUs())
                         .transferTimeFactor(2)
-                        .priorityWeight(kind.priorityWeight())
+                        .priorityWeight(traffic.priorityWeight())
                         .latePriorityWeight(0.2)
                         .stalePriorityWeight(0.5)
                         .build())
--- a/src/test/java/magpiewheel/routing/PeerReportTest.java
+++ b/src/test/java/magpiewheel/routing/PeerReportTest.java
@@ -40,10 +40,10 @@
         endAttempt(1, 0, AttemptResult.OK, CacheStatus.FILLED);
         router.timerExpired(now + 100_000, 0);
         List<String> reports = actions.calls.subList(callsBefore, actions.calls.size()).stream()
-                .filter(line -> line.startsWith("tell"))
+                .filter(line -> line.startsWith("sendToPeer"))
                 .toList();
         assertEquals(1, reports.size());
-        assertTrue(reports.get(0).startsWith("tell 1 "));
+        assertTrue(reports.get(0).startsWith("sendToPeer 1 "));
         PeerMessage message = PeerMessageCodec.decode(actions.peerMessages.get(actions.peerMessages.size() - 1));
         assertEquals(77, message.holders().get(0).objectId());
         assertEquals(0, message.zone());
--- a/src/test/java/magpiewheel/routing/RandomEvents.java
+++ b/src/test/java/magpiewheel/routing/RandomEvents.java
@@ -14,8 +14,8 @@
 import magpiewheel.support.Fingerprint;
 
 /**
- * One instance under events drawn at random, in settings drawn at random: every kind of event, outcome and note, with
- * regions and bounded reads on. Nothing is judged; all actions and answers make a fingerprint.
+ * One router with random settings under random events: every kind of event, attempt result and cache status, with
+ * regions and bounded-staleness reads enabled. Checks nothing itself; all actions and results go into a fingerprint.
  */
 final class RandomEvents extends NoOpActions {
     private static final long MS = 1_000;
@@ -37,7 +37,7 @@
     private final Map<Long, Integer> attemptCounts = new HashMap<>();
     private final Map<Long, RoutingRequest> requests = new LinkedHashMap<>();
     private final Map<Long, EndpointInfo> endpoints = new LinkedHashMap<>();
-    /** Ends of attempts that were called off during an event. */
+    /** Ends of attempts that the router cancelled during an event; they are delivered after it. */
     private final List<Runnable> pendingCancellations = new ArrayList<>();
 
     private final RequestRouter router;
@@ -180,7 +180,7 @@
 
     // ---------------------------------------------------------------- events
 
-    /** Plays so many events; returns what came of them. */
+    /** Runs this number of random events and returns the fingerprint of their effects. */
     Fingerprint run(int events) {
         for (int i = 0; i < events; i++) {
             advance(random.nextLong(withChance(2) ? 300 * MS : 4 * MS));
--- a/src/test/java/magpiewheel/routing/RecordingActions.java
+++ b/src/test/java/magpiewheel/routing/RecordingActions.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A router for tests: it writes down what the module asks for. */
+/** Records the actions that the router under test requests, and performs none of them. */
 final class RecordingActions implements RoutingActions {
     record StartedAttempt(long request, long node, AttemptPlan plan) {}
 
@@ -17,24 +17,24 @@
     @Override
     public void startAttempt(long request, long node, AttemptPlan plan) {
         attempts.add(new StartedAttempt(request, node, plan));
-        calls.add("attempt " + request + " " + node + " " + plan);
+        calls.add("startAttempt " + request + " " + node + " " + plan);
     }
 
     @Override
     public void cancelAttempt(long request, int attempt) {
-        calls.add("cancel " + request + " " + attempt);
+        calls.add("cancelAttempt " + request + " " + attempt);
     }
 
     @Override
     public void serveLocalCopy(long request) {
         servedLocally.add(request);
-        calls.add("own " + request);
+        calls.add("serveLocalCopy " + request);
     }
 
     @Override
     public void reject(long request, long backoffUs) {
         rejected.add(request);
-        calls.add("refuse " + request + " " + backoffUs);
+        calls.add("reject " + request + " " + backoffUs);
     }
 
     @Override
@@ -45,18 +45,18 @@
 
     @Override
     public void setTimer(long atUs, long handle) {
-        calls.add("timer " + atUs + " " + handle);
+        calls.add("setTimer " + atUs + " " + handle);
     }
 
     @Override
     public void checkHealth(long node) {
-        calls.add("probe " + node);
+        calls.add("checkHealth " + node);
     }
 
     @Override
     public void sendToPeer(int recipient, byte[] message) {
         peerMessages.add(message);
-        calls.add("tell " + recipient + " " + message.length);
+        calls.add("sendToPeer " + recipient + " " + message.length);
     }
 
     @Override
@@ -66,7 +66,7 @@
 
     @Override
     public void fetchEndpointList() {
-        calls.add("fetchList");
+        calls.add("fetchEndpointList");
     }
 
     @Override
--- a/src/test/java/magpiewheel/routing/RegionalFleetTest.java
+++ b/src/test/java/magpiewheel/routing/RegionalFleetTest.java
@@ -16,13 +16,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Elected parents as the module asks them: several routers in virtual time, judged by what stand-ins and clients saw.
+ * Fills through the elected leader of a region's parents: several routers in virtual time, checked by what the
+ * simulated endpoints and clients observe.
  */
 class RegionalFleetTest {
+    /** A time by which the routers have elected a leader. */
     private static final long LEADER_ELECTED_US = 10 * SECOND;
+
     private static final long REQUEST_INTERVAL_US = 50 * MS;
 
-    /** Mean origin fetches a part over some seeds, led or as now, with an origin that is now quick and now slow. */
+    /**
+     * Returns the mean number of origin fetches per requested object over some seeds, with or without regions. The
+     * origin's response time varies by an exponentially distributed time of this mean, us.
+     */
     private static double meanOriginFetchesPerObject(boolean regionsEnabled, long meanExtraOriginUs, int seeds) {
         double mean = 0;
         for (int seed = 2; seed < 2 + seeds; seed++) {
@@ -44,7 +50,10 @@
         return mean;
     }
 
-    /** With parents alike the pick of two is the same at all fronts, since it is drawn by object; else it is not. */
+    /**
+     * Without regions each router chooses the better of two parents that are drawn by object: with equal parents all
+     * routers choose the same one, with unequal response times they do not, and the origin is asked more than once.
+     */
     @Test
     void leaderReducesOriginFetchesToOnePerObject() {
         double withoutRegionsSteadyOrigin = meanOriginFetchesPerObject(false, 0, 1);
@@ -60,7 +69,7 @@
         RegionalFleetWorld world = new RegionalFleetWorld(seed, true, 4, 0);
         world.scheduleRequests(0, untilUs, REQUEST_INTERVAL_US, 20 * MS);
         world.runTo(LEADER_ELECTED_US);
-        assertTrue(world.agreedLeader() > RegionalFleetWorld.PARENT_ID_OFFSET, "seed " + seed + ": nobody leads");
+        assertTrue(world.agreedLeader() > RegionalFleetWorld.PARENT_ID_OFFSET, "seed " + seed + ": no agreed leader");
         return world;
     }
 
@@ -111,7 +120,7 @@
                                 : replacedAtUs[0];
             });
             world.runTo(LEADER_ELECTED_US + 4 * SECOND);
-            // The first that was asked so late that it may lack its answer: its cache asks a millisecond later.
+            // The first request that can be left unanswered: a cache contacts its fill source 1 ms after the attempt.
             long firstRequestUs = world.attempts.stream()
                     .filter(s -> s.fillSource() == hungLeader && s.atUs() >= LEADER_ELECTED_US - MS)
                     .findFirst()
@@ -162,8 +171,8 @@
     }
 
     /**
-     * Four hundred objects that nobody holds are wanted in one branch in a second, and twice more; the origin bears one
-     * transfer at once.
+     * Returns a world in which one zone requested 400 objects that are in no cache within a second, and again in each
+     * of the next two seconds. The origin can carry one transfer at a time.
      */
     private static RegionalFleetWorld worldWithEmptyZone(boolean regionsEnabled) {
         RegionalFleetWorld world = new RegionalFleetWorld(1, regionsEnabled, 4, 1);
@@ -184,19 +193,19 @@
     @Test
     void emptyZoneIsFilledAtOriginPaceAndExcessIsRejectedAtOnce() {
         RegionalFleetWorld world = worldWithEmptyZone(true);
-        // A hundred a second for all routers, and a fifth of that saved up.
+        // The routers together may start 100 origin fetches per second, with a burst of a fifth of that.
         long maxFetchesPerSecond = 120;
         assertTrue(
                 peakOriginFetchesPerSecond(world) <= maxFetchesPerSecond && world.originFetchesByObject.size() > 60,
                 peakOriginFetchesPerSecond(world) + " of " + world.originFetchesByObject.size());
         assertEquals(
                 world.requestCount,
-                world.answers("served", 0, Long.MAX_VALUE) + world.answers("refused", 0, Long.MAX_VALUE));
-        assertTrue(world.answers("refused", 0, Long.MAX_VALUE) > 250);
+                world.answers("served", 0, Long.MAX_VALUE) + world.answers("rejected", 0, Long.MAX_VALUE));
+        assertTrue(world.answers("rejected", 0, Long.MAX_VALUE) > 250);
         assertEquals(
                 0,
                 world.answers.stream()
-                        .filter(a -> a.outcome().equals("refused") && a.durationUs() > 10 * MS)
+                        .filter(a -> a.outcome().equals("rejected") && a.durationUs() > 10 * MS)
                         .count());
         assertTrue(world.statistic(0, "region_paced") > 0);
         assertTrue(peakOriginFetchesPerSecond(worldWithEmptyZone(false)) > 2 * maxFetchesPerSecond);
@@ -211,7 +220,7 @@
                 .orElse(0);
     }
 
-    // ---------------------------------------------------------------- off means off
+    // ---------------------------------------------------------------- regions off, or no peers
 
     private static List<EndpointInfo> threeCachesThreeParentsAndOrigin() {
         List<EndpointInfo> list = new ArrayList<>();
@@ -226,7 +235,9 @@
     }
 
     /**
-     * What a router does that is asked the same for a while, with each answer taken as it comes; it hears of nobody.
+     * Returns the actions of a router without peers that gets a fixed sequence of requests, each attempt of which
+     * succeeds at once. With {@code withRegionMessages} it also receives region messages of all types that are filled
+     * with zeros.
      */
     private static List<String> callsOfIsolatedRouter(
             RoutingSettings settings, boolean regionsEnabled, boolean withRegionMessages) {
@@ -248,7 +259,7 @@
             nowUs += 20 * MS;
             for (; callsRead < actions.calls.size(); callsRead++) {
                 String[] words = actions.calls.get(callsRead).split(" ");
-                if (words[0].equals("timer")) {
+                if (words[0].equals("setTimer")) {
                     timers.add(new long[] {Long.parseLong(words[1]), Long.parseLong(words[2])});
                 }
             }
@@ -284,7 +295,8 @@
     }
 
     /**
-     * Seen with processes: a front that nobody hears wanted to propose at once, again and again, and did nothing else.
+     * Guards against a fault seen with real processes: a router without peers proposed itself again at once whenever
+     * its timer expired, and did nothing else.
      */
     @Test
     void isolatedRouterDoesNotSpinOnItsTimers() {
@@ -312,20 +324,20 @@
         while (nowUs < startUs + 5 * SECOND) {
             for (; callsRead < actions.calls.size(); callsRead++) {
                 String[] words = actions.calls.get(callsRead).split(" ");
-                if (words[0].equals("timer")) {
+                if (words[0].equals("setTimer")) {
                     timers.add(new long[] {Long.parseLong(words[1]), Long.parseLong(words[2])});
                 }
             }
             nowUs = Math.max(nowUs, timers.peek()[0]);
             router.timerExpired(nowUs, timers.poll()[1]);
-            assertTrue(++expirations < 4_000, "woken " + expirations + " times in " + (nowUs - startUs) + " us");
+            assertTrue(++expirations < 4_000, expirations + " timers expired in " + (nowUs - startUs) + " us");
         }
         assertEquals(RouteReason.ISOLATED.ordinal(), router.statistics(nowUs).get("region_verdict"));
     }
 
     private static List<String> withoutTimersAndPeerMessages(List<String> calls) {
         return calls.stream()
-                .filter(line -> !line.startsWith("timer") && !line.startsWith("tell"))
+                .filter(line -> !line.startsWith("setTimer") && !line.startsWith("sendToPeer"))
                 .toList();
     }
 
--- a/src/test/java/magpiewheel/routing/RegionalFleetWorld.java
+++ b/src/test/java/magpiewheel/routing/RegionalFleetWorld.java
@@ -13,9 +13,9 @@
 import magpiewheel.support.Fingerprint;
 
 /**
- * Four branches of two routers with the real module, in virtual time: their datagrams pass between them late, doubled
- * and with losses. Caches, parents and the origin are stand-ins: both kinds of caches join fetches, parents hang, the
- * origin counts fetches of each part. What is judged is what these, and the clients, saw.
+ * Four zones of two real routers each, in virtual time, on a network that delays, duplicates and loses datagrams.
+ * Caches, parents and the origin are simulated: caches and parents join fills in progress, any of them can hang, and
+ * the origin counts the fetches of each object. Tests check what these and the clients observe.
  */
 final class RegionalFleetWorld {
     static final int ROUTERS = 8;
@@ -25,14 +25,16 @@
     static final long SECOND = 1_000 * MS;
     static final long ORIGIN = 201;
     static final long PARENT_ID_OFFSET = 100;
-    /** us; what a request's object takes at a client's pace, and when an answer for it is overdue. */
+    /** Transfer time of each object at the pace of a client. */
     static final long TRANSFER_US = 10 * MS;
 
+    /** Time after which routers take a response of a parent as overdue. */
     static final long RESPONSE_OVERDUE_US = 400 * MS + 2 * TRANSFER_US;
+
     private static final long START_US = 1_800_000_000_000_000L;
     private static final int CACHES_PER_ZONE = 3;
 
-    /** A stand-in cache, or parent. */
+    /** A simulated cache or parent. */
     private final class SimulatedCache {
         final long id;
         final Set<Long> cachedObjects = new HashSet<>();
@@ -43,7 +45,10 @@
             this.id = id;
         }
 
-        /** Says how it came by the object; with no source it says so, and one that hangs never does. */
+        /**
+         * Requests an object, and reports the cache status of the response to the callback. If {@code source} is this
+         * cache, a missing object is not filled but reported as a miss. A hung cache never responds.
+         */
         void request(long object, long source, Consumer<CacheStatus> callback) {
             if (hung) {
                 return;
@@ -87,7 +92,7 @@
         }
     }
 
-    /** One router. */
+    /** A real router whose actions act on the simulated endpoints and network. */
     private final class SimulatedRouter extends NoOpActions {
         final int routerId;
         final RequestRouter router;
@@ -168,7 +173,7 @@
 
         @Override
         public void reject(long request, long backoffUs) {
-            recordAnswer(request, backoffUs > 0 ? "refused" : "refused without a pause");
+            recordAnswer(request, backoffUs > 0 ? "rejected" : "rejected without a retry-after time");
         }
 
         @Override
@@ -191,10 +196,10 @@
         }
     }
 
-    /** An attempt, as it went out. */
+    /** An attempt that a router started, with the fill source that it chose. */
     record StartedAttempt(long atUs, int router, long node, long fillSource) {}
 
-    /** A final answer: of a request of a time, after so long. */
+    /** The final answer to a request: when the request arrived, how long it took, which router, and the outcome. */
     record Answer(long requestedAtUs, long durationUs, int router, String outcome) {}
 
     final SimulatedNetwork net;
@@ -204,7 +209,7 @@
     final Map<Long, Integer> originFetchesByObject = new HashMap<>();
     final List<Long> originFetchTimesUs = new ArrayList<>();
     long requestCount;
-    /** us; the origin takes so much longer in the mean, now little and now much. */
+    /** Mean of the exponentially distributed extra response time of the origin. */
     long meanExtraOriginUs;
 
     private final boolean regionsEnabled;
@@ -215,12 +220,15 @@
     private final Map<Long, EndpointInfo> endpoints = new TreeMap<>();
     private long lastRequest;
 
-    /** Routers that start together, with regions or without. */
+    /** Starts all routers at once, with regions or without; caches join fills in progress. */
     RegionalFleetWorld(long seed, boolean regionsEnabled, int parents, int originTransfers) {
         this(seed, regionsEnabled, parents, originTransfers, true);
     }
 
-    /** Likewise; what does not join is asked first for what it holds, and says what is on its way. */
+    /**
+     * Starts all routers at once. If caches do not join fills, routers first request cached copies only, and a miss
+     * reports whether a fill of the object is in progress.
+     */
     RegionalFleetWorld(long seed, boolean regionsEnabled, int parents, int originTransfers, boolean cachesJoinFills) {
         this.cachesJoinFills = cachesJoinFills;
         this.net = new SimulatedNetwork(seed, ROUTERS, 0.05, 0);
@@ -284,9 +292,9 @@
         return START_US + net.now;
     }
 
-    // ---------------------------------------------------------------- what happens
+    // ---------------------------------------------------------------- events
 
-    /** One new object after another, each wanted in all branches within some time. */
+    /** Schedules requests for a new object each {@code intervalUs}, one in every zone within {@code spreadUs}. */
     void scheduleRequests(long fromUs, long toUs, long intervalUs, long spreadUs) {
         for (long atUs = fromUs; atUs < toUs; atUs += intervalUs) {
             long object = objectRequestedAt(atUs);
@@ -314,7 +322,11 @@
                         .build());
     }
 
-    /** The list changes; each router hears of it some time later, which is returned by router. */
+    /**
+     * Changes an endpoint's state; each router learns of it up to 200 ms later.
+     *
+     * @return the time at which each router learns of it, by router
+     */
     long[] changeState(long node, EndpointState state) {
         EndpointInfo previous = endpoints.get(node);
         EndpointInfo changed = EndpointInfo.builder(node, previous.kind(), previous.zone())
@@ -335,14 +347,14 @@
         caches.get(node).hung = true;
     }
 
-    /** All caches of a branch lose what they hold. */
+    /** Removes all copies from the caches of a zone. */
     void emptyCaches(int zone) {
         endpoints.values().stream()
                 .filter(m -> m.zone() == zone)
                 .forEach(m -> caches.get(m.id()).cachedObjects.clear());
     }
 
-    /** Cuts the routers into two halves of the same size. */
+    /** Cuts the network between the first and the second half of the routers, or restores it. */
     void partition(boolean partitioned) {
         for (int sender = 0; sender < ROUTERS; sender++) {
             for (int recipient = 0; recipient < ROUTERS; recipient++) {
@@ -359,13 +371,13 @@
         net.runUntil(endUs, check);
     }
 
-    // ---------------------------------------------------------------- what was seen
+    // ---------------------------------------------------------------- observations
 
     long statistic(int routerId, String name) {
         return routers.get(routerId).router.statistics(clock()).getOrDefault(name, -1L);
     }
 
-    /** The parent that all routers hold to lead; 0 if they differ, or none does. */
+    /** Returns the leader on which all routers agree; 0 if they differ or none is elected, -1 without regions. */
     long agreedLeader() {
         long first = statistic(0, "region_leader");
         for (int i = 1; i < ROUTERS; i++) {
@@ -376,7 +388,7 @@
         return first;
     }
 
-    /** Origin fetches for each part of those wanted. */
+    /** Returns the mean number of origin fetches per object of those that {@link #scheduleRequests} requested. */
     double originFetchesPerObject(long fromUs, long toUs, long intervalUs) {
         double sum = 0;
         int objects = 0;
--- a/src/test/java/magpiewheel/routing/RequestRouterFixture.java
+++ b/src/test/java/magpiewheel/routing/RequestRouterFixture.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import magpiewheel.region.SlowStartProfile;
 
-/** One router with a small fleet, whose actions are recorded: the fixture of tests on single decisions. */
+/**
+ * Fixture for tests of single decisions: one router with four caches in its zone and two parents and the origin in
+ * another zone. The router's actions are recorded.
+ */
 abstract class RequestRouterFixture {
     static final int READ = 0;
 
@@ -71,7 +74,7 @@
                 .build();
     }
 
-    /** The same site, where caches join fills or not, or notes tell all or only hits. */
+    /** Returns the same settings with these values for joined fills and detailed cache status. */
     static RoutingSettings withFeatures(
             RoutingSettings settings, boolean cachesJoinFills, boolean detailedCacheStatus) {
         return RoutingSettings.builder(
--- a/src/test/java/magpiewheel/routing/SimulatedSite.java
+++ b/src/test/java/magpiewheel/routing/SimulatedSite.java
@@ -2,7 +2,7 @@
 
 import magpiewheel.region.SlowStartProfile;
 
-/** What the simulated sites have in common: limits, and the rules' notice times. */
+/** Request limits and safety limits that the simulated sites share. */
 final class SimulatedSite {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000 * MS;
@@ -10,7 +10,7 @@
 
     private SimulatedSite() {}
 
-    /** Routers may cancel attempts, message their peers and advise clients how long to wait. */
+    /** Returns limits under which routers may cancel attempts, send peer messages and set retry-after times. */
     static RequestLimits.Builder limits(int maxAttempts) {
         return RequestLimits.builder(maxAttempts)
                 .mayCancel(true)
@@ -21,7 +21,7 @@
                 .connectTimeoutUs(400 * MS);
     }
 
-    /** A drain binds after 500 ms, a purge after 300 ms, and is complete after 6 s. */
+    /** Returns limits with drain notice 500 ms, purge notice 300 ms and purge completion 6 s. */
     static SafetyLimits safetyLimits(SlowStartProfile cache, SlowStartProfile parent) {
         return new SafetyLimits(500 * MS, 300 * MS, 6 * SECOND, cache, parent);
     }
--- a/src/test/java/magpiewheel/routing/WarmingFleet.java
+++ b/src/test/java/magpiewheel/routing/WarmingFleet.java
@@ -10,8 +10,8 @@
 import magpiewheel.support.Fingerprint;
 
 /**
- * Many fronts with the real module, in virtual time, and one node that started a moment ago. Everything that reaches
- * that node is written down, whoever sent it, and is held against what the settings let a cold node bear.
+ * Many real routers in virtual time, and one endpoint that has just started. Records all requests that reach this
+ * endpoint from any router, and compares them with the load that the settings permit for a warming endpoint.
  */
 final class WarmingFleet {
     static final long MS = 1_000;
@@ -25,16 +25,24 @@
     private static final double CACHE_INITIAL_SHARE = 0.2;
     private static final double PARENT_INITIAL_SHARE = 0.1;
     private static final long WARM_UP_US = 12 * SECOND;
-    private static final double CACHE_LOAD_MULTIPLE = 3;
-    private static final double PARENT_LOAD_MULTIPLE = 2;
-    private static final long LOAD_WINDOW_US = 3 * SECOND;
-    /** us; mean sending times of the two classes, and how often each is asked for. */
+    private static final double CACHE_OVERLOAD_MULTIPLE = 3;
+    private static final double PARENT_OVERLOAD_MULTIPLE = 2;
+    private static final long OVERLOAD_WINDOW_US = 3 * SECOND;
+    /** Mean transfer times of the two request classes, which are equally frequent. */
     private static final double[] MEAN_TRANSFER_US = {300 * MS, 60 * MS};
 
-    /** Spread of sizes within a class, that of a lognormal distribution. */
+    /** Sigma of the lognormal distribution of sizes within a class. */
     private static final double SIZE_SIGMA = 1.2;
 
-    /** How a run goes. */
+    /**
+     * The conditions of a run.
+     *
+     * @param warmingEndpoint the id of the endpoint that starts as the run begins
+     * @param sizesKnown whether requests carry the size of their object
+     * @param otherCachesFail whether attempts at all other caches fail
+     * @param routersRestart whether each router restarts once, in one of ten steps that begin after a second
+     * @param endpointListFlaps whether the endpoint is missing from the endpoint list for a moment, five times a second
+     */
     record Scenario(
             long seed,
             int routers,
@@ -102,7 +110,7 @@
         }
     }
 
-    /** Something of a class reaches the cold node. */
+    /** The arrival of a request at the warming endpoint, as an attempt or as a fill. */
     record Arrival(long atUs, int requestClass) {}
 
     private final class SimulatedRouter extends NoOpActions {
@@ -185,7 +193,7 @@
     private final Map<Long, Long> transferUsByRequest = new HashMap<>();
     private long lastRequest;
 
-    /** A fleet whose cold node started as the run begins; one in ten of its datagrams is lost. */
+    /** Creates a fleet whose warming endpoint starts as the run begins; a tenth of the peer datagrams are lost. */
     WarmingFleet(Scenario scenario) {
         this.scenario = scenario;
         net = new SimulatedNetwork(scenario.seed(), scenario.routers(), 0.1, 0.02);
@@ -218,7 +226,7 @@
                 .build();
     }
 
-    /** Asks at every front so many times a second until then; the objects are few, and are everybody's. */
+    /** Runs until {@code endUs} with this request rate at each router; all routers request the same few objects. */
     WarmingFleet run(long endUs, int requestsPerSecond) {
         long intervalUs = SECOND / requestsPerSecond;
         for (int index = 0; index < scenario.routers(); index++) {
@@ -231,10 +239,10 @@
         }
         if (scenario.endpointListFlaps) {
             net.every(SECOND, SECOND / 5, () -> {
-                routers.forEach(
-                        front -> front.router.endpointsChanged(clock(), EndpointListMode.FULL, endpoints(false)));
-                routers.forEach(
-                        front -> front.router.endpointsChanged(clock(), EndpointListMode.FULL, endpoints(true)));
+                routers.forEach(simulated ->
+                        simulated.router.endpointsChanged(clock(), EndpointListMode.FULL, endpoints(false)));
+                routers.forEach(simulated ->
+                        simulated.router.endpointsChanged(clock(), EndpointListMode.FULL, endpoints(true)));
             });
         }
         net.runUntil(endUs, () -> {});
@@ -265,7 +273,10 @@
         return transferUsByRequest.get(request.id());
     }
 
-    /** The window that holds most beyond what the node bears then, N + 2 x root of N + 2: by how many requests. */
+    /**
+     * Returns by how many requests of mean size the worst overload window exceeds the permitted N + 2 sqrt(N) + 2,
+     * where N are the requests that the endpoint tolerates in that window. Negative if no window exceeds it.
+     */
     double worstExcessRequests() {
         double meanTransferUs = (MEAN_TRANSFER_US[0] + MEAN_TRANSFER_US[1]) / 2;
         double worst = Double.NEGATIVE_INFINITY;
@@ -275,7 +286,7 @@
         int windowStart = 0;
         for (Arrival last : sortedArrivals) {
             requests += MEAN_TRANSFER_US[last.requestClass()] / meanTransferUs;
-            while (sortedArrivals.get(windowStart).atUs() <= last.atUs() - LOAD_WINDOW_US) {
+            while (sortedArrivals.get(windowStart).atUs() <= last.atUs() - OVERLOAD_WINDOW_US) {
                 requests -= MEAN_TRANSFER_US[sortedArrivals.get(windowStart++).requestClass()] / meanTransferUs;
             }
             double permittedRequests = permittedWorkUs(last.atUs()) / meanTransferUs;
@@ -288,15 +299,18 @@
         return worst;
     }
 
-    /** Work that the node bears in a window that ends then: it is as it was at the window's start. */
+    /**
+     * Returns the work, us of transfer time, that the endpoint tolerates in the window that ends at {@code endUs}; the
+     * capacity at the beginning of the window counts.
+     */
     private double permittedWorkUs(long endUs) {
         boolean parent = scenario.warmingEndpoint == PARENT;
         double initialShare = parent ? PARENT_INITIAL_SHARE : CACHE_INITIAL_SHARE;
-        double currentShare = initialShare + (1 - initialShare) * Math.max(0, endUs - LOAD_WINDOW_US) / WARM_UP_US;
-        return (parent ? PARENT_LOAD_MULTIPLE : CACHE_LOAD_MULTIPLE)
+        double currentShare = initialShare + (1 - initialShare) * Math.max(0, endUs - OVERLOAD_WINDOW_US) / WARM_UP_US;
+        return (parent ? PARENT_OVERLOAD_MULTIPLE : CACHE_OVERLOAD_MULTIPLE)
                 * currentShare
                 * scenario.endpointWeight
-                * LOAD_WINDOW_US;
+                * OVERLOAD_WINDOW_US;
     }
 
     private RoutingSettings settings(int routerId) {
@@ -313,9 +327,12 @@
                         SimulatedSite.limits(8).build(),
                         SimulatedSite.safetyLimits(
                                 new SlowStartProfile(
-                                        CACHE_INITIAL_SHARE, WARM_UP_US, CACHE_LOAD_MULTIPLE, LOAD_WINDOW_US),
+                                        CACHE_INITIAL_SHARE, WARM_UP_US, CACHE_OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_US),
                                 new SlowStartProfile(
-                                        PARENT_INITIAL_SHARE, WARM_UP_US, PARENT_LOAD_MULTIPLE, LOAD_WINDOW_US)))
+                                        PARENT_INITIAL_SHARE,
+                                        WARM_UP_US,
+                                        PARENT_OVERLOAD_MULTIPLE,
+                                        OVERLOAD_WINDOW_US)))
                 .overQuotaPriorityWeight(0)
                 .cachesJoinFills(true)
                 .mayBypassCaches(true)
--- a/src/test/java/magpiewheel/routing/WarmingFleetTest.java
+++ b/src/test/java/magpiewheel/routing/WarmingFleetTest.java
@@ -8,15 +8,15 @@
 import magpiewheel.routing.WarmingFleet.Scenario;
 import org.junit.jupiter.api.Test;
 
-/** What all fronts together send to a node that started lately stays under what the settings let it bear. */
+/** The load that all routers together send to an endpoint after its start stays within the slow-start settings. */
 class WarmingFleetTest {
     private static final int[] ROUTER_COUNTS = {1, 20, 30, 100};
     private static final int SEEDS = 3;
-    /** Fleets from this size on are tried with one seed: their messages take longer than what is looked at. */
+    /** Fleets of this size and above run with one seed: most of their run time goes into peer messages. */
     private static final int SINGLE_SEED_ROUTERS = 30;
 
     private static final long END_US = 8 * WarmingFleet.SECOND;
-    /** Requests a second that the whole fleet is asked for: far more than a cold node bears. */
+    /** Request rate of the whole fleet: far more than a warming endpoint can take. */
     private static final int FLEET_REQUESTS_PER_SECOND = 300;
 
     private static void assertWithinBudget(long warmingEndpoint, UnaryOperator<Scenario> scenarioChange) {
@@ -26,7 +26,7 @@
                 double excess = new WarmingFleet(scenario)
                         .run(END_US, Math.max(2, FLEET_REQUESTS_PER_SECOND / routers))
                         .worstExcessRequests();
-                assertTrue(excess <= 0, excess + " requests too many, " + scenario);
+                assertTrue(excess <= 0, excess + " requests over the slow-start budget in " + scenario);
             }
         }
     }
@@ -43,7 +43,7 @@
                 .run(END_US, FLEET_REQUESTS_PER_SECOND / 100)
                 .arrivals
                 .size();
-        assertTrue(arrivals > 0, "requests that reached it: " + arrivals);
+        assertTrue(arrivals > 0, "requests that reached the warming cache: " + arrivals);
     }
 
     @Test
@@ -84,7 +84,10 @@
                 WarmingFleet.CACHE, plans -> plans.withOtherCachesFailing().withEndpointWeight(1));
     }
 
-    /** Its own fronts divide its budget: one that clients of another location ask would use a part that nobody has. */
+    /**
+     * The routers of the cache's own zone divide its slow-start budget among them. A router of another zone that named
+     * the cache to its clients would use a share that is not assigned to it.
+     */
     @Test
     void selectCacheSkipsWarmingCachesOfAnotherZone() {
         RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
@@ -105,7 +108,10 @@
         assertEquals(remoteCache, router.selectCache(now + 60 * WarmingFleet.SECOND, 1, 77));
     }
 
-    /** Of a front that just started the one before may have used its part already, whether refusals are told or not. */
+    /**
+     * The process that ran before a restarted router may have used its share already, so the router starts with a
+     * smaller one. This holds for the fleet's quota and for the zone's, whether or not silent routers are probed.
+     */
     @Test
     void startedRouterBeginsWithAReducedQuota() {
         RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
@@ -122,9 +128,11 @@
         assertEquals(2, router.membership().quotaDivisor(now + 6 * WarmingFleet.SECOND));
     }
 
-    /** Those that end first are the short ones: a limit kept with their mean would be passed many times over. */
+    /**
+     * The transfers that end first are the short ones: a limit computed from their mean would be exceeded many times.
+     */
     @Test
-    void cautiousTransferTimeIgnoresTheFirstFewTransfers() {
+    void conservativeTransferTimeIgnoresTheFirstFewTransfers() {
         RoutingSettings settings = RequestRouterFixture.settings(false, SiblingFills.OFF);
         TransferTimes transfers = new TransferTimes(settings.requestClasses(), 10_000);
         assertEquals(500_000, transfers.conservativeUs(0));
@@ -132,7 +140,9 @@
             transfers.add(0, 5_000, true);
         }
         assertEquals(5_000, transfers.meanUs(0));
-        assertTrue(transfers.conservativeUs(0) > 300_000, "careful: " + transfers.conservativeUs(0));
+        assertTrue(
+                transfers.conservativeUs(0) > 300_000,
+                "conservative transfer time in us: " + transfers.conservativeUs(0));
         for (int i = 0; i < 100; i++) {
             transfers.add(0, 5_000, true);
         }
