--- a/src/test/java/magpiewheel/conformance/FleetPageTest.java
+++ b/src/test/java/magpiewheel/conformance/FleetPageTest.java
@@ -17,7 +17,7 @@
 import magpiewheel.membership.PartitionVerdict;
 import org.junit.jupiter.api.Test;
 
-/** The tables of the page on the fleet name what the code has, neither more nor less, in the same order. */
+/** The tables of the fleet page name exactly the states and verdicts of the code, in the same order. */
 class FleetPageTest {
     private static final Path PAGE = Path.of("docs/design/fleet-as-one.md");
 
@@ -29,7 +29,7 @@
         return Arrays.stream(values).map(Enum::name).toList();
     }
 
-    /** The order counts: of one incarnation a later state beats an earlier one. */
+    /** The order matters: within one incarnation a later state overrides an earlier one. */
     @Test
     void statesMatchMemberStatusInOrder() throws IOException {
         assertEquals(names(MemberStatus.values()), PageTable.column(table("## States"), "state"));
@@ -53,9 +53,7 @@
         assertEquals(names(PartitionVerdict.values()), PageTable.column(table("## Verdict on the own view"), column));
     }
 
-    /**
-     * Words in capitals between the quotes of code are states or verdicts of the code, wherever the tables use them.
-     */
+    /** Upper-case words in code quotes must be states or verdicts of the code in all tables. */
     @Test
     void tablesUseOnlyKnownStatesAndVerdicts() throws IOException {
         Set<String> known = new HashSet<>(names(MemberStatus.values()));
@@ -66,17 +64,21 @@
                     .map(row -> String.join(" ", row.values()))
                     .collect(Collectors.joining(" "));
             for (Matcher word = quoted.matcher(text); word.find(); ) {
-                assertTrue(known.contains(word.group(1)), heading + " uses " + word.group(1));
+                assertTrue(
+                        known.contains(word.group(1)), heading + " uses the unknown state or verdict " + word.group(1));
             }
         }
     }
 
-    /** What is divided: each limit once, hard by those that may be running, soft by those that are heard. */
+    /**
+     * Each limit is listed once. Hard limits are divided by the routers that may be running, soft limits by those that
+     * are heard.
+     */
     @Test
     void hardLimitsAreDividedByRoutersThatMayRun() throws IOException {
         List<Map<String, String>> rows = table("## What follows");
         List<String> limits = PageTable.column(rows, "limit");
-        assertEquals(limits.size(), new HashSet<>(limits).size(), "a limit comes twice: " + limits);
+        assertEquals(limits.size(), new HashSet<>(limits).size(), "duplicate limit in " + limits);
         assertEquals(Set.of("hard", "soft"), new HashSet<>(PageTable.column(rows, "kind")));
         for (Map<String, String> row : rows) {
             String divisor = row.get("divided by");
--- a/src/test/java/magpiewheel/conformance/PageTable.java
+++ b/src/test/java/magpiewheel/conformance/PageTable.java
@@ -11,20 +11,23 @@
 import java.util.Map;
 
 /**
- * The first table under a heading of a page, as rows by the names of their columns: what a page says and what a test
- * checks come from the same cases. A table that can't be read whole is an error that names the line, never fewer rows.
+ * Reads the first table under a heading of a Markdown page, so that the page and the tests share the same cases. Each
+ * row maps column names to cells. A malformed table is an error that names the line; no row is skipped.
  */
 public final class PageTable {
     private PageTable() {}
 
     /**
-     * The rows of the first table between this heading, as it stands on its line, and the next of its level or above.
+     * Returns the rows of the first table between this heading and the next heading of the same or a higher level.
+     *
+     * @param heading the whole line of the heading, with its number signs
+     * @throws IllegalArgumentException if the heading or the table is missing, or the table is malformed
      */
     public static List<Map<String, String>> read(Path page, String heading) throws IOException {
         return parse(Files.readAllLines(page), heading);
     }
 
-    /** Likewise of the lines of a page. */
+    /** Like {@link #read}, for the lines of a page. */
     public static List<Map<String, String>> parse(List<String> lines, String heading) {
         int headingLine = findHeading(lines, heading);
         int endLine = findSectionEnd(lines, headingLine);
@@ -37,18 +40,18 @@
         }
         List<String> names = parseCells(lines.get(tableLine), tableLine);
         if (new HashSet<>(names).size() < names.size()) {
-            throw parseError(tableLine, "a column comes twice");
+            throw parseError(tableLine, "duplicate column in " + names);
         }
         if (tableLine + 1 == endLine
                 || !isDelimiterRow(lines.get(tableLine + 1))
                 || parseCells(lines.get(tableLine + 1), tableLine + 1).size() != names.size()) {
-            throw parseError(tableLine + 1, "no line of dashes for " + names.size() + " columns");
+            throw parseError(tableLine + 1, "expected a delimiter row with " + names.size() + " columns");
         }
         List<Map<String, String>> rows = new ArrayList<>();
         for (int i = tableLine + 2; i < endLine && isRow(lines, i); i++) {
             List<String> cells = parseCells(lines.get(i), i);
             if (cells.size() != names.size()) {
-                throw parseError(i, cells.size() + " cells under " + names.size() + " columns");
+                throw parseError(i, "row has " + cells.size() + " cells, expected " + names.size());
             }
             Map<String, String> row = new LinkedHashMap<>();
             for (int column = 0; column < cells.size(); column++) {
@@ -59,7 +62,7 @@
         return rows;
     }
 
-    /** One column of rows, without the quotes of code. */
+    /** Returns the cells of one column, without code quotes. */
     public static List<String> column(List<Map<String, String>> rows, String name) {
         return rows.stream()
                 .map(row -> {
@@ -71,7 +74,7 @@
                 .toList();
     }
 
-    /** A cell without the quotes of code around it. */
+    /** Returns a cell without code quotes, if a single pair of them encloses the whole cell. */
     public static String stripCodeQuotes(String cell) {
         boolean quoted = cell.length() > 1
                 && cell.startsWith("`")
@@ -80,7 +83,7 @@
         return quoted ? cell.substring(1, cell.length() - 1) : cell;
     }
 
-    /** A cell for a table that is written: what would end it is escaped, what would end its line is a space. */
+    /** Returns the text as a cell for writing: vertical bars are escaped, white space becomes single spaces. */
     public static String escapeCell(String text) {
         return text.replace("|", "\\|").replaceAll("\\s+", " ").strip();
     }
@@ -110,7 +113,7 @@
         return lines.size();
     }
 
-    /** How deep a heading is; 0 for another line. */
+    /** Returns the level of a heading, or 0 if the line is not a heading. */
     private static int headingLevel(String line) {
         int level = 0;
         while (level < line.length() && line.charAt(level) == '#') {
@@ -131,11 +134,11 @@
         return line.strip().matches("\\|(\\s*:?-+:?\\s*\\|)+");
     }
 
-    /** The cells of a line; an escaped bar is a bar. */
+    /** Returns the cells of a row, with escaped vertical bars unescaped. */
     private static List<String> parseCells(String line, int lineIndex) {
         String row = line.strip();
         if (row.length() < 2 || !row.endsWith("|") || row.endsWith("\\|")) {
-            throw parseError(lineIndex, "the row does not end with a bar");
+            throw parseError(lineIndex, "row does not end with a vertical bar");
         }
         List<String> cells = new ArrayList<>();
         StringBuilder cell = new StringBuilder();
--- a/src/test/java/magpiewheel/conformance/PageTableTest.java
+++ b/src/test/java/magpiewheel/conformance/PageTableTest.java
@@ -70,12 +70,12 @@
     @CsvSource(
             delimiter = ';',
             value = {
-                "| a | b |,| x |,| 1 | 2 |; line 3: no line of dashes for 2 columns",
-                "| a | b |,| --- |,| 1 | 2 |; line 3: no line of dashes for 2 columns",
-                "| a | b |,| --- | --- |,| 1 |; line 4: 1 cells under 2 columns",
-                "| a | b |,| --- | --- |,| 1 | 2; line 4: the row does not end with a bar",
-                "| a | a |,| --- | --- |,| 1 | 2 |; line 2: a column comes twice",
-                "| a | b |; line 3: no line of dashes for 2 columns"
+                "| a | b |,| x |,| 1 | 2 |; line 3: expected a delimiter row with 2 columns",
+                "| a | b |,| --- |,| 1 | 2 |; line 3: expected a delimiter row with 2 columns",
+                "| a | b |,| --- | --- |,| 1 |; line 4: row has 1 cells, expected 2",
+                "| a | b |,| --- | --- |,| 1 | 2; line 4: row does not end with a vertical bar",
+                "| a | a |,| --- | --- |,| 1 | 2 |; line 2: duplicate column in [a, a]",
+                "| a | b |; line 3: expected a delimiter row with 2 columns"
             })
     void malformedTableIsRejected(String rows, String message) {
         List<String> lines = new ArrayList<>(List.of("## T"));
@@ -86,7 +86,7 @@
                         .getMessage());
     }
 
-    /** What is written comes back, whatever is in the cells, but for white space. */
+    /** Any text that is written as a cell is read back the same, apart from white space. */
     @Property(tries = 300)
     void escapedCellsRoundTrip(@ForAll @Size(min = 1, max = 5) List<String> cells) {
         List<String> lines = new ArrayList<>(List.of("## T"));
--- a/src/test/java/magpiewheel/conformance/Report.java
+++ b/src/test/java/magpiewheel/conformance/Report.java
@@ -10,8 +10,8 @@
 import java.util.stream.Collectors;
 
 /**
- * The page that says which rows the program keeps. Each suite makes its own section anew from what its rows came to and
- * holds it against the page; with {@code -Dconformance.write=true} it writes it instead.
+ * The page that lists which rows the program keeps. Each suite generates its section from the results of its rows and
+ * compares it with the page; with {@code -Dconformance.write=true} it rewrites the section instead.
  */
 public final class Report {
     private static final Path PAGE = Path.of("docs/CONFORMANCE.md");
@@ -27,12 +27,12 @@
             its number and first words. The section on pinned reads is made likewise, \
             by `staleness.CasesTest` from `docs/design/pins.md`.
             """;
-    /** The sections in their order. */
+    /** Headings of the sections, in the order of the page. */
     static final List<String> SECTIONS = List.of("## In the module", "## From outside", "## Pinned reads");
 
     private Report() {}
 
-    /** A section, sorted by paragraph and name. */
+    /** Returns a section with a table of the results, sorted by paragraph and row name. */
     static String section(String heading, List<Rows.RowResult> rows) {
         StringBuilder text = new StringBuilder(heading)
                 .append("\n\n")
@@ -42,26 +42,27 @@
                 .append(" rows are kept.\n\n")
                 .append("| paragraph | row | what must follow | kept |\n| --- | --- | --- | --- |\n");
         rows.stream()
-                .sorted(Comparator.comparing((Rows.RowResult j) -> j.row().paragraph())
-                        .thenComparing(j -> j.row().name()))
-                .forEach(judged -> text.append("| ")
-                        .append(PageTable.escapeCell(judged.row().paragraph()))
+                .sorted(Comparator.comparing(
+                                (Rows.RowResult result) -> result.row().paragraph())
+                        .thenComparing(result -> result.row().name()))
+                .forEach(result -> text.append("| ")
+                        .append(PageTable.escapeCell(result.row().paragraph()))
                         .append(" | ")
-                        .append(PageTable.escapeCell(judged.row().name()))
+                        .append(PageTable.escapeCell(result.row().name()))
                         .append(" | ")
                         .append(PageTable.escapeCell(
-                                String.join("; ", judged.row().then())))
+                                String.join("; ", result.row().then())))
                         .append(" | ")
                         .append(
-                                judged.kept()
+                                result.kept()
                                         ? "kept"
-                                        : PageTable.escapeCell("not kept (" + judged.failedStep() + "): "
-                                                + judged.row().notKeptReason()))
+                                        : PageTable.escapeCell("not kept (" + result.failedStep() + "): "
+                                                + result.row().notKeptReason()))
                         .append(" |\n"));
         return text.toString();
     }
 
-    /** A page with one of its sections put in; the others stay, and what is in no section goes. */
+    /** Returns the page with one section replaced. Other sections stay; text outside the sections is dropped. */
     static String replaceSection(String page, String heading, String section) {
         Map<String, String> sections =
                 SECTIONS.stream().collect(Collectors.toMap(s -> s, s -> existingSection(page, s)));
@@ -77,10 +78,14 @@
         return from < 0 ? "" : page.substring(from, next < 0 ? page.length() : next);
     }
 
-    /** Fails where the page is not what it would be with this section, or writes it. */
+    /**
+     * Checks that the page has this section, or writes it if {@code conformance.write} is set.
+     *
+     * @throws AssertionError if the page differs, with the first line that does
+     */
     public static synchronized void check(String heading, List<Rows.RowResult> rows) throws IOException {
         if (!SECTIONS.contains(heading)) {
-            throw new IllegalArgumentException("no section '" + heading + "'");
+            throw new IllegalArgumentException("unknown section '" + heading + "', expected one of " + SECTIONS);
         }
         String page = Files.exists(PAGE) ? Files.readString(PAGE) : "";
         String expected = replaceSection(page, heading, section(heading, rows));
@@ -88,21 +93,21 @@
             Files.writeString(PAGE, expected);
         } else if (!expected.equals(page)) {
             throw new AssertionError(
-                    PAGE + " is not what the rows say; -Dconformance.write=true writes it anew. First line "
-                            + "that differs: " + firstDifference(page, expected));
+                    PAGE + " does not match the results of the rows; -Dconformance.write=true rewrites it. "
+                            + "First difference: " + firstDifference(page, expected));
         }
     }
 
-    private static String firstDifference(String page, String made) {
-        List<String> actual = page.lines().toList();
-        List<String> expected = made.lines().toList();
+    private static String firstDifference(String actualPage, String expectedPage) {
+        List<String> actual = actualPage.lines().toList();
+        List<String> expected = expectedPage.lines().toList();
         for (int i = 0; i < Math.max(actual.size(), expected.size()); i++) {
             String actualLine = i < actual.size() ? actual.get(i) : "(end)";
             String expectedLine = i < expected.size() ? expected.get(i) : "(end)";
             if (!actualLine.equals(expectedLine)) {
-                return (i + 1) + ", '" + actualLine + "' instead of '" + expectedLine + "'";
+                return "line " + (i + 1) + ", '" + actualLine + "' instead of '" + expectedLine + "'";
             }
         }
-        return "none but for ends of lines";
+        return "line endings only";
     }
 }
--- a/src/test/java/magpiewheel/conformance/Rows.java
+++ b/src/test/java/magpiewheel/conformance/Rows.java
@@ -12,12 +12,12 @@
 import java.util.function.Supplier;
 
 /**
- * Rows of a table of conformance: each names the paragraph of the page it holds to, and says in steps what is given,
- * what happens and what must follow. The steps are run as they stand ({@link Steps}). A row that the program does not
- * keep says why, and must then really not be kept: a change is noticed either way.
+ * Rows of a conformance table. Each names the paragraph of the page that it tests, and has steps for what is given,
+ * what happens and what must follow, which {@link Steps} runs as they are written. A row that the program does not keep
+ * gives a reason, and the test fails if the program does keep it, so that a change is noticed either way.
  */
 public final class Rows {
-    /** The tables of the page of the design. */
+    /** The conformance tables of the design page. */
     public static final Path DESIGN = Path.of("src/test/resources/conformance/design.md");
 
     private static final List<String> COLUMNS =
@@ -25,7 +25,7 @@
 
     private Rows() {}
 
-    /** One row; {@code why} is empty unless the program does not keep it. */
+    /** One row. {@code notKeptReason} is empty if the program should keep the row. */
     public record Row(
             String name,
             String paragraph,
@@ -39,14 +39,21 @@
         }
     }
 
-    /** What became of a row: {@code broken} is the first step that did not follow, null where the row is kept. */
+    /**
+     * The result of a row. {@code failedStep} is the first step under "then" that did not hold, and {@code failure} the
+     * message of its assertion; both are null if the row is kept.
+     */
     public record RowResult(Row row, String failedStep, String failure) {
-        /** Whether every step of the row followed. */
+        /** Whether all steps under "then" held. */
         public boolean kept() {
             return failedStep == null;
         }
 
-        /** Fails where the program and the table disagree. */
+        /**
+         * Checks that the result is the one that the table states.
+         *
+         * @throws AssertionError if the row is kept and has a reason, or is not kept and has none
+         */
         public void check() {
             if (kept() && !row.notKeptReason().isEmpty()) {
                 throw new AssertionError(
@@ -59,17 +66,17 @@
         }
     }
 
-    /** The rows of the table under a heading of {@link #DESIGN}, checked for their form. */
+    /** Returns the rows of the table under a heading of {@link #DESIGN}; malformed rows are an error. */
     public static List<Row> read(String heading) throws IOException {
         return parse(PageTable.read(DESIGN, "## Paragraphs"), PageTable.read(DESIGN, heading));
     }
 
-    /** The rows of another page, whose rules one of its own tables numbers. */
+    /** Returns the rows of another page; its table under the heading {@code rules} lists the paragraphs. */
     public static List<Row> read(Path page, String rules, String heading) throws IOException {
         return parse(PageTable.read(page, rules), PageTable.read(page, heading));
     }
 
-    /** Rows of a table, whose paragraphs another table numbers. */
+    /** Returns the rows of a table; another table lists the numbers and first words of the paragraphs. */
     static List<Row> parse(List<Map<String, String>> paragraphs, List<Map<String, String>> table) {
         Map<String, String> numbered = new HashMap<>();
         paragraphs.forEach(paragraph -> numbered.put(paragraph.get("number"), paragraph.get("first words")));
@@ -77,12 +84,12 @@
         List<Row> rows = new ArrayList<>();
         for (Map<String, String> cells : table) {
             if (!List.copyOf(cells.keySet()).equals(COLUMNS)) {
-                throw new IllegalArgumentException("columns are " + cells.keySet() + " and not " + COLUMNS);
+                throw new IllegalArgumentException("columns are " + cells.keySet() + ", expected " + COLUMNS);
             }
             String name = cells.get("row");
             String number = cells.get("paragraph");
             if (name.isEmpty() || !names.add(name)) {
-                throw new IllegalArgumentException("row '" + name + "' has no name of its own");
+                throw new IllegalArgumentException("row name '" + name + "' is empty or not unique");
             }
             if (!numbered.containsKey(number)) {
                 throw new IllegalArgumentException("row '" + name + "' names the unknown paragraph '" + number + "'");
@@ -95,7 +102,7 @@
                     steps(cells.get("then")),
                     cells.get("not kept because"));
             if (row.when().isEmpty() || row.then().isEmpty()) {
-                throw new IllegalArgumentException("row '" + name + "' lacks what happens or what follows");
+                throw new IllegalArgumentException("row '" + name + "' has no step under 'when' or under 'then'");
             }
             rows.add(row);
         }
@@ -110,8 +117,10 @@
     }
 
     /**
-     * Runs a row in a world of its own. Only what must follow may fail; a step before that which can't be done, or one
-     * that nobody understands, is a fault of the table and not a row that is not kept.
+     * Runs a row in a new world. Only the steps under "then" may fail.
+     *
+     * @throws IllegalStateException if an earlier step fails or a step matches no phrase: then the table is faulty, and
+     *     the row does not count as one that is not kept
      */
     public static <W> RowResult run(Row row, Steps<W> steps, Supplier<W> world) {
         W ownWorld = world.get();
@@ -142,7 +151,7 @@
         try {
             closeable.close();
         } catch (Exception e) {
-            throw new IllegalStateException("a world that can't be closed", e);
+            throw new IllegalStateException("cannot close the world of a row", e);
         }
     }
 }
--- a/src/test/java/magpiewheel/conformance/RowsTest.java
+++ b/src/test/java/magpiewheel/conformance/RowsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The form of the rows themselves, in a world that is a number. */
+/** Tests of reading and running rows, in a world that consists of one number. */
 class RowsTest {
     private static final String HEAD = "| row | paragraph | given | when | then | not kept because |";
 
@@ -57,12 +57,12 @@
         assertTrue(assertThrows(AssertionError.class, kept::check).getMessage().contains("is kept now"));
     }
 
-    /** Else a row that can't even be run would pass for one that is not kept. */
+    /** Otherwise a row that cannot be run would count as one that is not kept. */
     @ParameterizedTest
     @CsvSource({
-        "subtract 1,it is 0,0 phrases say",
+        "subtract 1,it is 0,0 phrases match",
         "add a,it is 0,can't",
-        "add 1,it was 1,0 phrases say",
+        "add 1,it was 1,0 phrases match",
         "add 1,it is broken,a fault"
     })
     void rowThatCannotRunIsAnError(String when, String then, String message) {
@@ -76,10 +76,10 @@
     @CsvSource(
             delimiter = ';',
             value = {
-                "| | 1 | | add 1 | it is 1 | |; no name",
+                "| | 1 | | add 1 | it is 1 | |; is empty or not unique",
                 "| a | 2 | | add 1 | it is 1 | |; unknown paragraph '2'",
-                "| a | 1 | | | it is 1 | |; lacks",
-                "| a | 1 | | add 1 | | |; lacks"
+                "| a | 1 | | | it is 1 | |; has no step under",
+                "| a | 1 | | add 1 | | |; has no step under"
             })
     void malformedRowIsRejected(String row, String message) {
         assertTrue(assertThrows(IllegalArgumentException.class, () -> rows(row))
@@ -88,7 +88,7 @@
         assertThrows(
                 IllegalArgumentException.class,
                 () -> rows("| a | 1 | | add 1 | it is 1 | |", "| a | 1 | | add 1 | it is 1 | |"),
-                "one name twice");
+                "duplicate row name");
     }
 
     @Test
@@ -98,7 +98,7 @@
                         IllegalStateException.class,
                         () -> Rows.run(rows("| a | 1 | | add 1 | it is 1 | |").get(0), ambiguous, () -> new int[1]))
                 .getMessage()
-                .contains("2 phrases say"));
+                .contains("2 phrases match"));
         assertEquals(
                 List.of("add a(n?)", "it is broken"), steps().unusedPhrases(rows("| a | 1 | | add 1 | it is 1 | |")));
     }
@@ -119,9 +119,11 @@
         assertEquals(
                 twoSections,
                 Report.replaceSection(twoSections, "## From outside", section),
-                "made anew it is the same");
+                "replacing a section with the same one changes nothing");
         assertFalse(Report.replaceSection(twoSections + "\nMore.\n", "## From outside", section)
                 .contains("More."));
-        assertEquals(twoSections, Report.replaceSection("Lies.\n" + twoSections, "## From outside", section));
+        assertEquals(
+                twoSections,
+                Report.replaceSection("Text outside the sections.\n" + twoSections, "## From outside", section));
     }
 }
--- a/src/test/java/magpiewheel/conformance/Steps.java
+++ b/src/test/java/magpiewheel/conformance/Steps.java
@@ -6,11 +6,11 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The phrases that the rows of a table may use, and what each does in a world. */
+/** The phrases that the rows of a table may use, and the action or check that each runs in a world. */
 public final class Steps<W> {
-    /** What a phrase does; the groups of its pattern are its arguments. */
+    /** The action or check of a phrase; the groups of the phrase's pattern are its arguments. */
     public interface Step<W> {
-        /** Does it in this world; the words are the matched text and its groups. */
+        /** Runs in this world, with the match of the phrase's pattern. */
         void run(W world, MatchResult match) throws Exception;
     }
 
@@ -19,13 +19,13 @@
     private final List<Phrase<W>> actions = new ArrayList<>();
     private final List<Phrase<W>> checks = new ArrayList<>();
 
-    /** A phrase for what is given or happens. */
+    /** Adds a phrase for a step under "given" or "when". */
     public Steps<W> act(String pattern, Step<W> step) {
         actions.add(new Phrase<>(Pattern.compile(pattern), step));
         return this;
     }
 
-    /** A phrase for what must follow; it throws an AssertionError where it does not. */
+    /** Adds a phrase for a step under "then"; its step throws an AssertionError if the check fails. */
     public Steps<W> check(String pattern, Step<W> step) {
         checks.add(new Phrase<>(Pattern.compile(pattern), step));
         return this;
@@ -39,19 +39,19 @@
         run(checks, world, phrase);
     }
 
-    private static <W> void run(List<Phrase<W>> phrases, W world, String text) throws Exception {
+    private static <W> void run(List<Phrase<W>> phrases, W world, String step) throws Exception {
         List<Phrase<W>> matching = phrases.stream()
-                .filter(phrase -> phrase.pattern().matcher(text).matches())
+                .filter(phrase -> phrase.pattern().matcher(step).matches())
                 .toList();
         if (matching.size() != 1) {
-            throw new IllegalArgumentException(matching.size() + " phrases say '" + text + "'");
+            throw new IllegalArgumentException(matching.size() + " phrases match step '" + step + "'");
         }
-        Matcher match = matching.get(0).pattern().matcher(text);
+        Matcher match = matching.get(0).pattern().matcher(step);
         match.matches();
         matching.get(0).step().run(world, match);
     }
 
-    /** Phrases that no row uses: a table that says less than it can is found out. */
+    /** Returns the patterns of phrases that no row uses, so that tests find missing rows and stale phrases. */
     public List<String> unusedPhrases(List<Rows.Row> rows) {
         List<String> unused = new ArrayList<>();
         for (Phrase<W> phrase : actions) {
--- a/src/test/java/magpiewheel/conformance/package-info.java
+++ b/src/test/java/magpiewheel/conformance/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tables of documentation pages as test cases: reading them, running their rows step by step, and holding
- * {@code docs/CONFORMANCE.md} against what the rows came to.
+ * Tables of documentation pages as test cases: reads them, runs their rows step by step, and compares the results with
+ * {@code docs/CONFORMANCE.md}.
  */
 package magpiewheel.conformance;
--- a/src/test/java/magpiewheel/mutation/SourceMutation.java
+++ b/src/test/java/magpiewheel/mutation/SourceMutation.java
@@ -15,27 +15,36 @@
 import org.junit.jupiter.api.DynamicTest;
 
 /**
- * A deliberate one: in a file, instead of a piece of code that is there once, another one; and a test that has to
- * notice.
+ * A mutation of one source file, for testing that a test detects the fault.
+ *
+ * @param description the fault that the mutation introduces
+ * @param file the name of the source file, without {@code .java}
+ * @param original a piece of code that occurs exactly once in the file
+ * @param replacement the code that replaces it
+ * @param detectingTest the name of the test that must fail with the mutation
  */
 public record SourceMutation(
         String description, String file, String original, String replacement, String detectingTest) {
     /**
-     * Makes it in a copy of a package's sources, which are compiled apart, and has the player play the test that has to
-     * notice in a process of its own. The player's main method writes a line {@code FAILED NAME} for each test that
-     * fails.
+     * Returns a test that applies the mutation to a copy of a package's sources, compiles the copy, and runs the
+     * detecting test with it in a separate process.
+     *
+     * @param folder the directory for the copies
+     * @param sources the directory of the package's sources
+     * @param testRunner a class whose main method runs the test of this name, and prints a line {@code FAILED NAME} for
+     *     each test that fails
      */
     public DynamicTest detectionTest(Path folder, Path sources, Class<?> testRunner) {
         return DynamicTest.dynamicTest(description, () -> {
             Set<String> failed = failedTests(folder, sources, testRunner);
             System.out.println("| " + description + " | `" + String.join("`, `", failed) + "` |");
-            assertTrue(failed.contains(detectingTest), () -> detectingTest + " does not fail, only " + failed);
+            assertTrue(failed.contains(detectingTest), () -> detectingTest + " did not fail; failed tests: " + failed);
         });
     }
 
     private Set<String> failedTests(Path folder, Path sources, Class<?> testRunner)
             throws IOException, InterruptedException {
-        Path directory = Files.createTempDirectory(folder, "mistake");
+        Path directory = Files.createTempDirectory(folder, "mutation");
         String classes = System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
         List<String> compile = new ArrayList<>(List.of("-d", directory.toString(), "--release", "17", "-cp", classes));
         try (Stream<Path> files = Files.list(sources)) {
@@ -43,8 +52,11 @@
                 String code = Files.readString(sourceFile);
                 if (sourceFile.getFileName().toString().equals(file + ".java")) {
                     int at = code.indexOf(original);
-                    assertTrue(at >= 0, () -> file + " has no \"" + original + '"');
-                    assertEquals(-1, code.indexOf(original, at + 1), () -> "more than once: " + original);
+                    assertTrue(at >= 0, () -> file + ".java does not contain \"" + original + '"');
+                    assertEquals(
+                            -1,
+                            code.indexOf(original, at + 1),
+                            () -> file + ".java contains more than once: " + original);
                     code = code.replace(original, replacement);
                 }
                 compile.add(Files.writeString(directory.resolve(sourceFile.getFileName()), code)
@@ -59,15 +71,15 @@
                         "-XX:+UseSerialGC",
                         testRunner.getName(),
                         detectingTest)
-                .redirectError(
-                        ProcessBuilder.Redirect.to(directory.resolve("said").toFile()))
+                .redirectError(ProcessBuilder.Redirect.to(
+                        directory.resolve("stderr.txt").toFile()))
                 .start();
         Set<String> failed = new TreeSet<>();
         try (Stream<String> lines = process.inputReader().lines()) {
             lines.filter(line -> line.startsWith("FAILED ")).forEach(line -> failed.add(line.substring(7)));
         }
         int exitCode = process.waitFor();
-        assertEquals(0, exitCode, Files.readString(directory.resolve("said")));
+        assertEquals(0, exitCode, Files.readString(directory.resolve("stderr.txt")));
         return failed;
     }
 }
--- a/src/test/java/magpiewheel/mutation/package-info.java
+++ b/src/test/java/magpiewheel/mutation/package-info.java
@@ -1,2 +1,2 @@
-/** Deliberate mistakes: a change to one place of the sources, compiled apart, that a named test has to notice. */
+/** Mutation tests: a named test must fail when one place of the main sources is changed to a faulty version. */
 package magpiewheel.mutation;
--- a/src/test/java/magpiewheel/support/Fingerprint.java
+++ b/src/test/java/magpiewheel/support/Fingerprint.java
@@ -1,8 +1,8 @@
 package magpiewheel.support;
 
 /**
- * A 64-bit hash (FNV-1a) over everything that a seeded simulation sends and decides, in order. A test keeps its value
- * as a literal: two versions of the program with the same fingerprint acted alike, event for event.
+ * A 64-bit FNV-1a hash over the messages and decisions of a seeded simulation, in order. Tests compare it with a
+ * literal: two versions of the program with the same fingerprint behaved the same, event for event.
  */
 public final class Fingerprint {
     private static final long OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -19,7 +19,7 @@
         return this;
     }
 
-    /** Adds a number to the last bit. */
+    /** Adds a number with all of its bits, so that rounding differences show. */
     public Fingerprint add(double value) {
         return add(Double.doubleToLongBits(value));
     }
@@ -42,7 +42,7 @@
         hash = (hash ^ value & 0xff) * PRIME;
     }
 
-    /** How many values were added, and their hash: {@code COUNT:HASH}. */
+    /** Returns the number of added values and their hash, as {@code COUNT:HASH}; a message counts as one value. */
     @Override
     public String toString() {
         return String.format("%d:%016x", values, hash);
