--- a/src/test/java/magpiewheel/conformance/Rows.java
+++ b/src/test/java/magpiewheel/conformance/Rows.java
@@ -57,11 +57,11 @@
         public void check() {
             if (kept() && !row.notKeptReason().isEmpty()) {
                 throw new AssertionError(
-                        "'" + row + "' is kept now, but the table says that it is not: " + row.notKeptReason());
+                        "'" + row + "' is kept now, but the table has a reason why it is not: " + row.notKeptReason());
             }
             if (!kept() && row.notKeptReason().isEmpty()) {
-                throw new AssertionError("'" + row + "' is not kept, though given " + row.given() + ", when "
-                        + row.when() + ": not so that '" + failedStep + "': " + failure);
+                throw new AssertionError("'" + row + "' is not kept: given " + row.given() + ", when " + row.when()
+                        + ", this does not follow: '" + failedStep + "': " + failure);
             }
         }
     }
--- a/src/test/java/magpiewheel/routing/RandomEvents.java
+++ b/src/test/java/magpiewheel/routing/RandomEvents.java
@@ -134,10 +134,11 @@
     private EndpointInfo putEndpoint(long id, EndpointState state) {
         int kind = id == ORIGIN ? 2 : id > PARENT_ID_OFFSET ? 1 : 0;
         int zone = kind != 0 || id > 6 ? 1 : 0;
-        EndpointInfo old = endpoints.get(id);
-        boolean restarts = old == null || withChance(40);
-        long startedUs =
-                !restarts ? old.startedUs() : withChance(50) ? 0 : Math.max(1, nowUs - random.nextLong(6 * SECOND));
+        EndpointInfo previous = endpoints.get(id);
+        boolean restarts = previous == null || withChance(40);
+        long startedUs = !restarts
+                ? previous.startedUs()
+                : withChance(50) ? 0 : Math.max(1, nowUs - random.nextLong(6 * SECOND));
         EndpointInfo endpoint = EndpointInfo.builder(id, kind, zone)
                 .startedUs(startedUs)
                 .weight(1 + random.nextInt(8))
--- a/src/test/java/magpiewheel/routing/RegionalFleetTest.java
+++ b/src/test/java/magpiewheel/routing/RegionalFleetTest.java
@@ -39,13 +39,14 @@
             double fetches = world.originFetchesPerObject(
                     LEADER_ELECTED_US, LEADER_ELECTED_US + 3 * SECOND, REQUEST_INTERVAL_US);
             mean += fetches / seeds;
-            assertTrue(!regionsEnabled || fetches <= 1.05, "seed " + seed + ": " + fetches);
+            assertTrue(
+                    !regionsEnabled || fetches <= 1.05, "seed " + seed + ": " + fetches + " origin fetches per object");
             assertEquals(world.requestCount, world.answers.size());
             assertTrue(
                     regionsEnabled
                             ? world.agreedLeader() > RegionalFleetWorld.PARENT_ID_OFFSET
                             : world.agreedLeader() == -1,
-                    "seed " + seed);
+                    "seed " + seed + ": leader " + world.agreedLeader());
         }
         return mean;
     }
@@ -62,7 +63,7 @@
         System.out.printf(
                 "at the module: origin fetches a part: led %.3f, as now %.3f (%.3f with an even origin)%n",
                 withRegions, withoutRegions, withoutRegionsSteadyOrigin);
-        assertTrue(withoutRegions > 1.05, "as now " + withoutRegions);
+        assertTrue(withoutRegions > 1.05, "origin fetches per object without regions: " + withoutRegions);
     }
 
     private static RegionalFleetWorld worldWithLeader(long seed, long untilUs) {
@@ -129,7 +130,7 @@
             long delayUs = replacedAtUs[0] - firstRequestUs - RESPONSE_OVERDUE_US;
             assertTrue(
                     replacedAtUs[0] > 0 && delayUs <= SECOND,
-                    "seed " + seed + ": " + hungLeader + " replaced after " + delayUs);
+                    "seed " + seed + ": " + hungLeader + " replaced after " + delayUs + " us");
             worstUs = Math.max(worstUs, delayUs);
             world.runTo(LEADER_ELECTED_US + 8 * SECOND);
             assertAllServedOrRejected(world);
@@ -140,7 +141,7 @@
     }
 
     @Test
-    void withoutMajorityThereIsNoLeaderAndFillsUseAllParents() {
+    void withoutMajorityThereIsNoLeaderAndFillsUseSeveralParents() {
         RegionalFleetWorld world = worldWithLeader(3, LEADER_ELECTED_US + 6 * SECOND);
         world.partition(true);
         world.runTo(LEADER_ELECTED_US + 2 * SECOND);
--- a/src/test/java/magpiewheel/routing/RequestRouterFixture.java
+++ b/src/test/java/magpiewheel/routing/RequestRouterFixture.java
@@ -9,6 +9,7 @@
  * another zone. The router's actions are recorded.
  */
 abstract class RequestRouterFixture {
+    /** Indexes of the request classes in {@link #settings}. */
     static final int READ = 0;
 
     static final int KEYED_WRITE = 1;
@@ -123,11 +124,13 @@
                 .build();
     }
 
+    /** Submits a request, and returns the last attempt that the router has started so far. */
     RecordingActions.StartedAttempt submit(long id, int requestClass, long object) {
         router.requestArrived(now, request(id, requestClass, object));
         return actions.lastAttempt();
     }
 
+    /** Ends the attempt with this index of a request after 50 ms, with its first byte after 10 ms. */
     void endAttempt(long id, int attempt, AttemptResult result, CacheStatus cacheStatus) {
         RecordingActions.StartedAttempt started = actions.attempts.stream()
                 .filter(s -> s.request() == id)
@@ -144,8 +147,9 @@
                         .build());
     }
 
-    static byte[] encodeHolderHint(int zone, long clock, HolderHint holder) {
-        return PeerMessageCodec.encode(new PeerMessage(zone, clock, 0, 16, 0, List.of(), List.of(), List.of(holder)))
+    /** Returns an encoded peer message of a router in this zone that carries only the holder hint. */
+    static byte[] encodeHolderHint(int zone, long sentAtUs, HolderHint holder) {
+        return PeerMessageCodec.encode(new PeerMessage(zone, sentAtUs, 0, 16, 0, List.of(), List.of(), List.of(holder)))
                 .get(0);
     }
 
@@ -153,6 +157,7 @@
         return actions.attempts.stream().filter(s -> s.request() == id).count();
     }
 
+    /** Returns settings under which routers may bypass caches. */
     static RoutingSettings bypassSettings() {
         RoutingSettings settings = settings(false, SiblingFills.OFF);
         return RoutingSettings.builder(
@@ -168,6 +173,7 @@
                 .build();
     }
 
+    /** Submits a request of which the router has a local copy of this age. */
     void submit(long id, int requestClass, long object, long copyAgeUs) {
         router.requestArrived(now, request(id, requestClass, object), new LocalCopy(copyAgeUs, 100_000, 25_000));
     }
