--- a/src/test/java/magpiewheel/membership/FleetFigures.java
+++ b/src/test/java/magpiewheel/membership/FleetFigures.java
@@ -188,9 +188,9 @@
                             + (result.othersIsolated() ? 100_000L : 0)
                             + (result.othersComplete() ? 0 : 10_000_000_000L));
                 });
-                String what = (inbound ? "deaf" : "mute") + " front of " + memberCount;
+                String label = (inbound ? "deaf" : "mute") + " front of " + memberCount;
                 printTimes(
-                        what + " ALONE",
+                        label + " ALONE",
                         play(
                                 seeds,
                                 seed -> List.of(PartitionScenarios.oneWayCut(seed, memberCount, inbound)
@@ -199,7 +199,7 @@
                 System.out.printf(
                         "%s: runs with a false death of another %d, with another ALONE %d, with another "
                                 + "not WHOLE after all %d%n",
-                        what, all % 100_000, all / 100_000 % 100_000, all / 10_000_000_000L);
+                        label, all % 100_000, all / 100_000 % 100_000, all / 10_000_000_000L);
             }
         }
     }
@@ -272,7 +272,7 @@
                             .max()
                             .orElseThrow(),
                     all.stream()
-                            .mapToDouble(QuotaScenarios.MassFailure::after)
+                            .mapToDouble(QuotaScenarios.MassFailure::finalQuotaSum)
                             .min()
                             .orElseThrow());
         }
@@ -320,26 +320,27 @@
 
     /** Suspicions in 20 s while 5% of all datagrams are lost. */
     private void suspicions() {
-        List<Long> got =
+        List<Long> counts =
                 play(seeds, seed -> List.of((long) FailureDetectionScenarios.suspicions(seed, 20, 0.05, 20 * SECOND)));
         System.out.printf(
                 "loss 5%%, 20 fronts, 20 s: %d runs, p50 %d suspicions, most %d%n",
-                seeds, SimulationHelpers.percentile(got, 0.5), got.get(got.size() - 1));
+                seeds, SimulationHelpers.percentile(counts, 0.5), counts.get(counts.size() - 1));
     }
 
     /** Messages that a returning member receives until it knows all others. */
     private void rejoins() {
         for (int memberCount : List.of(10, 100)) {
-            List<Long> got = play(seeds, seed -> List.of(TrafficScenarios.messagesUntilRejoined(seed, memberCount)));
+            List<Long> messageCounts =
+                    play(seeds, seed -> List.of(TrafficScenarios.messagesUntilRejoined(seed, memberCount)));
             System.out.printf(
                     "returning front of %d knows all after %d to %d messages, p50 %d, %d allowed, "
                             + "%d of %d runs need more%n",
                     memberCount,
-                    got.get(0),
-                    got.get(got.size() - 1),
-                    SimulationHelpers.percentile(got, 0.5),
+                    messageCounts.get(0),
+                    messageCounts.get(messageCounts.size() - 1),
+                    SimulationHelpers.percentile(messageCounts, 0.5),
                     (memberCount + 13) / 14 + 8,
-                    got.stream()
+                    messageCounts.stream()
                             .filter(each -> each > (memberCount + 13) / 14 + 8)
                             .count(),
                     seeds);
@@ -398,16 +399,16 @@
         }
     }
 
-    private static void printFilters(String what, List<FailureDetectionScenarios.ForgedRefusals> all) {
+    private static void printFilters(String label, List<FailureDetectionScenarios.ForgedRefusals> all) {
         printTimes(
-                what + ", all well",
+                label + ", all well",
                 all.stream()
                         .map(FailureDetectionScenarios.ForgedRefusals::recoveryUs)
                         .sorted()
                         .toList());
         System.out.printf(
                 "%s: %d runs, %d with a death said, sum at most %.9f, knocks %d at most%n",
-                what,
+                label,
                 all.size(),
                 all.stream().filter(each -> each.deaths() > 0).count(),
                 all.stream()
@@ -448,10 +449,10 @@
                 .collect(Collectors.toList());
     }
 
-    private static void printTimes(String what, List<Long> sorted) {
+    private static void printTimes(String label, List<Long> sorted) {
         System.out.printf(
                 "%s: %d, p50 %.0f ms, p99 %.0f ms, most %.0f ms%s%n",
-                what,
+                label,
                 sorted.size(),
                 SimulationHelpers.percentile(sorted, 0.5) / 1e3,
                 SimulationHelpers.percentile(sorted, 0.99) / 1e3,
--- a/src/test/java/magpiewheel/membership/FleetProperties.java
+++ b/src/test/java/magpiewheel/membership/FleetProperties.java
@@ -74,9 +74,9 @@
             rates.add(TrafficScenarios.rate(1, memberCount, memberCount == 1_000 ? SECOND : 4 * SECOND));
             for (ToDoubleFunction<TrafficScenarios.Rate> metric : List.<ToDoubleFunction<TrafficScenarios.Rate>>of(
                     TrafficScenarios.Rate::messages, TrafficScenarios.Rate::bytes)) {
-                double most = rates.stream().mapToDouble(metric).max().orElseThrow();
-                double least = rates.stream().mapToDouble(metric).min().orElseThrow();
-                assertTrue(least > 1 && most <= 1.1 * least, () -> rates.toString());
+                double highest = rates.stream().mapToDouble(metric).max().orElseThrow();
+                double lowest = rates.stream().mapToDouble(metric).min().orElseThrow();
+                assertTrue(lowest > 1 && highest <= 1.1 * lowest, () -> rates.toString());
             }
         }
     }
@@ -312,7 +312,7 @@
             String description = result + ", seed " + each;
             assertTrue(result.highestQuotaSum() <= 1 + ROUNDING_TOLERANCE, description);
             assertTrue(result.growth() >= 2, description);
-            assertEquals(1, result.after(), 1e-6, description);
+            assertEquals(1, result.finalQuotaSum(), 1e-6, description);
         }
     }
 
--- a/src/test/java/magpiewheel/membership/MembershipFingerprintTest.java
+++ b/src/test/java/magpiewheel/membership/MembershipFingerprintTest.java
@@ -39,22 +39,22 @@
         fleet.kill(5);
         for (int i = 0; i < 20; i++) {
             fleet.run(SECOND / 4);
-            views(fleet);
+            addViews(fleet);
         }
         assertEquals(fingerprint, fleet.actions.toString());
     }
 
-    private static void views(SimulatedFleet fleet) {
-        Fingerprint all = fleet.actions;
+    private static void addViews(SimulatedFleet fleet) {
+        Fingerprint fingerprint = fleet.actions;
         fleet.running().forEach(process -> {
             MembershipProtocol view = process.membership;
-            all.add((long) view.verdict().ordinal()).add((long) view.digest());
-            all.add(view.quotaDivisor(process.clock()));
-            all.add(view.quotaDivisorIn(process.clock(), fleet.zone(process.memberId)));
+            fingerprint.add((long) view.verdict().ordinal()).add((long) view.digest());
+            fingerprint.add(view.quotaDivisor(process.clock()));
+            fingerprint.add(view.quotaDivisorIn(process.clock(), fleet.zone(process.memberId)));
             view.runningMembers()
-                    .forEach(member -> all.add((long) member)
-                            .add((long) view.status(member).ordinal()));
-            view.servingAddresses(fleet.zone(process.memberId)).forEach(address -> all.add((long) address));
+                    .forEach(member -> fingerprint.add((long) member).add((long)
+                            view.status(member).ordinal()));
+            view.servingAddresses(fleet.zone(process.memberId)).forEach(address -> fingerprint.add((long) address));
         });
     }
 }
--- a/src/test/java/magpiewheel/membership/PartitionScenarios.java
+++ b/src/test/java/magpiewheel/membership/PartitionScenarios.java
@@ -22,35 +22,36 @@
     static OneWayCut oneWayCut(long seed, int memberCount, boolean inbound) {
         SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(2 * SECOND + fleet.random().nextLong(SECOND));
-        int cut = fleet.random().nextInt(memberCount);
+        int cutMember = fleet.random().nextInt(memberCount);
         int[] deaths = {0};
         boolean[] othersIsolated = {false};
         boolean[][] reportedDead = new boolean[memberCount][memberCount];
         fleet.onEvent = process -> {
-            if (process.memberId != cut) {
-                reportedDead[process.memberId][cut] = true;
+            if (process.memberId != cutMember) {
+                reportedDead[process.memberId][cutMember] = true;
                 boolean[] before = reportedDead[process.memberId].clone();
                 SimulationHelpers.countNewlyDead(process, reportedDead[process.memberId]);
                 for (int member = 0; member < memberCount; member++) {
-                    deaths[0] += member != cut && reportedDead[process.memberId][member] && !before[member] ? 1 : 0;
+                    deaths[0] +=
+                            member != cutMember && reportedDead[process.memberId][member] && !before[member] ? 1 : 0;
                 }
                 othersIsolated[0] |= process.membership.verdict() == PartitionVerdict.ISOLATED;
             }
         };
         if (inbound) {
-            fleet.links().setInboundCut(cut, true);
+            fleet.links().setInboundCut(cutMember, true);
         } else {
-            fleet.links().setOutboundCut(cut, true);
+            fleet.links().setOutboundCut(cutMember, true);
         }
         long elapsedUs = fleet.runUntil(
-                5 * SECOND, () -> fleet.processOf(cut).membership.verdict() == PartitionVerdict.ISOLATED);
+                5 * SECOND, () -> fleet.processOf(cutMember).membership.verdict() == PartitionVerdict.ISOLATED);
         fleet.run(5 * SECOND);
         boolean othersComplete = fleet.running().stream()
                 .allMatch(process ->
-                        process.memberId == cut || process.membership.verdict() == PartitionVerdict.COMPLETE);
-        boolean stays = fleet.processOf(cut).membership.verdict() == PartitionVerdict.ISOLATED;
+                        process.memberId == cutMember || process.membership.verdict() == PartitionVerdict.COMPLETE);
+        boolean stillIsolated = fleet.processOf(cutMember).membership.verdict() == PartitionVerdict.ISOLATED;
         return new OneWayCut(
-                elapsedUs < 0 || !stays ? SimulationHelpers.NEVER : elapsedUs,
+                elapsedUs < 0 || !stillIsolated ? SimulationHelpers.NEVER : elapsedUs,
                 deaths[0],
                 othersIsolated[0],
                 othersComplete);
@@ -76,8 +77,8 @@
                 boolean[] before = reportedDead[process.memberId].clone();
                 SimulationHelpers.countNewlyDead(process, reportedDead[process.memberId]);
                 for (int member = 0; member < memberCount; member++) {
-                    boolean fresh = reportedDead[process.memberId][member] && !before[member];
-                    deaths[0] += fresh && side[member] == side[process.memberId] ? 1 : 0;
+                    boolean newlyReported = reportedDead[process.memberId][member] && !before[member];
+                    deaths[0] += newlyReported && side[member] == side[process.memberId] ? 1 : 0;
                 }
             };
         }
@@ -141,7 +142,7 @@
             last[process.memberId] = process.membership.verdict();
             changes.add(new ArrayDeque<>());
         }
-        int[] most = {0};
+        int[] maxChanges = {0};
         fleet.onEvent = process -> {
             PartitionVerdict verdict = process.membership.verdict();
             if (verdict != last[process.memberId]) {
@@ -151,19 +152,19 @@
                 while (times.peek() <= fleet.now - 2 * SECOND) {
                     times.poll();
                 }
-                most[0] = Math.max(most[0], times.size());
+                maxChanges[0] = Math.max(maxChanges[0], times.size());
             }
         };
-        int cut = fleet.random().nextInt(memberCount);
-        int way = fleet.random().nextInt(3);
+        int cutMember = fleet.random().nextInt(memberCount);
+        int direction = fleet.random().nextInt(3);
         for (int i = 0; i < 12; i++) {
-            boolean on = i % 2 == 0;
-            fleet.links().setInboundCut(cut, on && way != 1);
-            fleet.links().setOutboundCut(cut, on && way != 0);
+            boolean blocked = i % 2 == 0;
+            fleet.links().setInboundCut(cutMember, blocked && direction != 1);
+            fleet.links().setOutboundCut(cutMember, blocked && direction != 0);
             fleet.run(fleet.random().nextLong(250 * MS, 950 * MS));
         }
         fleet.links().heal();
         fleet.run(4 * SECOND);
-        return most[0];
+        return maxChanges[0];
     }
 }
--- a/src/test/java/magpiewheel/membership/SimulatedFleet.java
+++ b/src/test/java/magpiewheel/membership/SimulatedFleet.java
@@ -392,11 +392,11 @@
             if (zone >= 0 && zone != zone(member)) {
                 continue;
             }
-            double most = 0;
+            double largestShare = 0;
             for (Process process : processes.get(member)) {
-                most = Math.max(most, zone < 0 ? process.quota() : process.zoneQuota());
+                largestShare = Math.max(largestShare, zone < 0 ? process.quota() : process.zoneQuota());
             }
-            sum += most;
+            sum += largestShare;
         }
         return sum;
     }
--- a/src/test/java/magpiewheel/membership/TrafficScenarios.java
+++ b/src/test/java/magpiewheel/membership/TrafficScenarios.java
@@ -87,24 +87,24 @@
     static long messagesUntilRejoined(long seed, int memberCount) {
         SimulatedFleet fleet = SimulationHelpers.convergedFleet(Plan.of(seed, memberCount));
         fleet.run(SECOND + fleet.random().nextLong(SECOND));
-        int departed = fleet.random().nextInt(memberCount);
-        fleet.kill(departed);
+        int memberId = fleet.random().nextInt(memberCount);
+        fleet.kill(memberId);
         fleet.run(3 * SECOND);
-        Process back = fleet.start(departed, 50 * MS);
-        long[] got = {-1};
+        Process rejoined = fleet.start(memberId, 50 * MS);
+        long[] messagesReceived = {-1};
         fleet.onEvent = process -> {
-            if (process == back && got[0] < 0) {
+            if (process == rejoined && messagesReceived[0] < 0) {
                 for (Process other : fleet.running()) {
-                    if (other != back
-                            && (back.statusOf(other.memberId) == MemberStatus.UNKNOWN
-                                    || back.membership.zone(other.memberId) != fleet.zone(other.memberId))) {
+                    if (other != rejoined
+                            && (rejoined.statusOf(other.memberId) == MemberStatus.UNKNOWN
+                                    || rejoined.membership.zone(other.memberId) != fleet.zone(other.memberId))) {
                         return;
                     }
                 }
-                got[0] = back.received;
+                messagesReceived[0] = rejoined.received;
             }
         };
         fleet.run(5 * SECOND);
-        return got[0] < 0 ? SimulationHelpers.NEVER : got[0];
+        return messagesReceived[0] < 0 ? SimulationHelpers.NEVER : messagesReceived[0];
     }
 }
