--- a/src/main/java/magpiewheel/membership/AntiEntropy.java
+++ b/src/main/java/magpiewheel/membership/AntiEntropy.java
@@ -57,8 +57,9 @@
     }
 
     /**
-     * Requests the table of one neighbour after another, not of all at once, until this member has settled after its
-     * start. Returns the neighbour asked, or null.
+     * Until this member has settled after its start, requests the table of one neighbour at a time, not of all at once:
+     * of any while no member was heard, later of those heard whose digests differ. Returns the neighbour asked, or
+     * null.
      */
     Member requestAfterStart(long now, List<Member> neighbours) {
         if (monitor.hasSettled(now)) {
--- a/src/main/java/magpiewheel/membership/HeartbeatMonitor.java
+++ b/src/main/java/magpiewheel/membership/HeartbeatMonitor.java
@@ -73,7 +73,7 @@
         return SUSPECT_AFTER_HEARTBEATS * heartbeatUs(member) + MAX_DELAY_US;
     }
 
-    /** Whether a member's last heartbeat is more recent than the silence after which it is suspected. */
+    /** Whether a member's last heartbeat is recent enough for it not to be suspected. */
     boolean isHeard(long now, Member member) {
         return member.isFresh(now, silenceUs(member));
     }
--- a/src/main/java/magpiewheel/membership/LocalMember.java
+++ b/src/main/java/magpiewheel/membership/LocalMember.java
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Ends the superseded state if a datagram arrives later than {@link #MAX_LATE_DATAGRAM_US}: a younger process would
-     * have received it, so that process has ended.
+     * Ends the superseded state if a datagram arrives more than {@link #MAX_LATE_DATAGRAM_US} after it began: a younger
+     * process, if it still ran, would have received that datagram.
      */
     void datagramReceived(long now) {
         if (superseded && now - supersededAt > MAX_LATE_DATAGRAM_US) {
