--- a/src/main/java/magpiewheel/routing/StalenessBridge.java
+++ b/src/main/java/magpiewheel/routing/StalenessBridge.java
@@ -174,7 +174,7 @@
             return DeliveryDecision.WITHHELD;
         }
         // A copy that only a later purge made unacceptable satisfies the bound as it was set.
-        long ageMs = reads.ageMsBeyond(now, request.bound, originTimeUs);
+        long ageMs = reads.violatingAgeMs(now, request.bound, originTimeUs);
         return new DeliveryDecision(true, mark, ageMs == 0 ? UNKNOWN_AGE : ageMs);
     }
 
--- a/src/main/java/magpiewheel/staleness/DiscoveryFreshness.java
+++ b/src/main/java/magpiewheel/staleness/DiscoveryFreshness.java
@@ -3,14 +3,14 @@
 /** How long discovery has been silent, and what strict reads may still prove. */
 final class DiscoveryFreshness {
     /** The board speaks each second; past this its connection counts as lost, and purges may be missed. */
-    static final long SILENT_US = 2_300_000;
+    static final long SILENT_AFTER_US = 2_300_000;
     /** Past this a purge counts as told to every front. */
-    static final long CUT_OFF_US = 7_000_000;
+    static final long CUT_OFF_AFTER_US = 7_000_000;
     /** So long it must have been heard again before purges count as caught up: one empty frame more. */
-    static final long CAUGHT_UP_US = 1_200_000;
+    static final long CATCH_UP_US = 1_200_000;
 
     private long heard;
-    private long heardAgainSince;
+    private long heardSince;
 
     /** What a front may still prove. */
     enum State {
@@ -23,22 +23,22 @@
     }
 
     DiscoveryFreshness(long now) {
-        heard = now - SILENT_US - 1;
-        heardAgainSince = now;
+        heard = now - SILENT_AFTER_US - 1;
+        heardSince = now;
     }
 
     void heard(long now) {
-        if (now - heard > SILENT_US) {
-            heardAgainSince = now;
+        if (now - heard > SILENT_AFTER_US) {
+            heardSince = now;
         }
         heard = Math.max(heard, now);
     }
 
     State state(long now) {
-        long silent = now - heard;
-        if (silent > CUT_OFF_US) {
+        long silenceUs = now - heard;
+        if (silenceUs > CUT_OFF_AFTER_US) {
             return State.CUT_OFF;
         }
-        return silent > SILENT_US || now - heardAgainSince < CAUGHT_UP_US ? State.SILENT : State.HEARD;
+        return silenceUs > SILENT_AFTER_US || now - heardSince < CATCH_UP_US ? State.SILENT : State.HEARD;
     }
 }
--- a/src/main/java/magpiewheel/staleness/OriginClock.java
+++ b/src/main/java/magpiewheel/staleness/OriginClock.java
@@ -8,7 +8,7 @@
     /** Both clocks may be slewed by 500 ppm, the most that kernels allow, and be wrong by 100 ppm besides. */
     static final long DRIFT_PPM = 1_200;
     /** Marks are whole ms, rounded down. */
-    static final long MARK_STEP_US = 1_000;
+    static final long ORIGIN_TIME_RESOLUTION_US = 1_000;
     /** An upper bound this far above the lower one is as good as none. */
     static final long MAX_WIDTH_US = 2_000_000;
 
@@ -19,10 +19,10 @@
     private long clockSteps;
 
     /** A copy minted at a time of the origin's was here at a time of the own clock. */
-    void raiseLowerBound(long now, long originUs) {
-        long seen = originUs - now;
-        if (lowerOffsetUs == Long.MIN_VALUE || seen > lowerOffsetAt(now)) {
-            lowerOffsetUs = seen;
+    void raiseLowerBound(long now, long originTimeUs) {
+        long offsetUs = originTimeUs - now;
+        if (lowerOffsetUs == Long.MIN_VALUE || offsetUs > lowerOffsetAt(now)) {
+            lowerOffsetUs = offsetUs;
             lowerMeasuredAt = now;
             if (upperOffsetUs != Long.MAX_VALUE && lowerOffsetUs > upperOffsetAt(now)) {
                 upperOffsetUs = Long.MAX_VALUE;
@@ -32,12 +32,12 @@
     }
 
     /** The origin's clock had not passed a time when the own one showed another. */
-    void lowerUpperBound(long then, long originUs) {
-        long seen = originUs - then;
-        if (upperOffsetUs == Long.MAX_VALUE || seen < upperOffsetAt(then)) {
-            upperOffsetUs = seen;
-            upperMeasuredAt = then;
-            if (lowerOffsetUs != Long.MIN_VALUE && upperOffsetUs < lowerOffsetAt(then)) {
+    void lowerUpperBound(long at, long originTimeUs) {
+        long offsetUs = originTimeUs - at;
+        if (upperOffsetUs == Long.MAX_VALUE || offsetUs < upperOffsetAt(at)) {
+            upperOffsetUs = offsetUs;
+            upperMeasuredAt = at;
+            if (lowerOffsetUs != Long.MIN_VALUE && upperOffsetUs < lowerOffsetAt(at)) {
                 lowerOffsetUs = Long.MIN_VALUE;
                 clockSteps++;
             }
@@ -73,14 +73,14 @@
     }
 
     private long upperOffsetAt(long time) {
-        return upperOffsetUs + drift(time - upperMeasuredAt);
+        return upperOffsetUs + driftUs(time - upperMeasuredAt);
     }
 
     private long lowerOffsetAt(long time) {
-        return lowerOffsetUs - drift(time - lowerMeasuredAt);
+        return lowerOffsetUs - driftUs(time - lowerMeasuredAt);
     }
 
-    private static long drift(long us) {
-        return Math.abs(us) * DRIFT_PPM / 1_000_000;
+    private static long driftUs(long elapsedUs) {
+        return Math.abs(elapsedUs) * DRIFT_PPM / 1_000_000;
     }
 }
--- a/src/main/java/magpiewheel/staleness/ReadHint.java
+++ b/src/main/java/magpiewheel/staleness/ReadHint.java
@@ -35,13 +35,13 @@
             String name = colon < 0 ? word : word.substring(0, colon);
             String value = colon < 0 ? null : word.substring(colon + 1);
             switch (name) {
-                case "at_most" -> atMost = number(name, value, atMost, MAX_STALENESS_MS);
-                case "after" -> after = number(name, value, after, MAX_MARK_MS);
-                case "pin" -> session = session(value, session);
-                case "strict" -> strict = bare(name, value, strict);
-                case "prefer" -> prefer = bare(name, value, prefer);
+                case "at_most" -> atMost = parseMillis(name, value, atMost, MAX_STALENESS_MS);
+                case "after" -> after = parseMillis(name, value, after, MAX_MARK_MS);
+                case "pin" -> session = parseSession(value, session);
+                case "strict" -> strict = parseFlag(name, value, strict);
+                case "prefer" -> prefer = parseFlag(name, value, prefer);
                 default ->
-                    throw new InvalidHintException("The hint has a word that is not known: " + shown(name) + ".");
+                    throw new InvalidHintException("The hint has a word that is not known: " + printable(name) + ".");
             }
         }
         if (strict && prefer) {
@@ -58,20 +58,20 @@
         return atMostUs > 0 || afterMs > 0;
     }
 
-    private static long number(String name, String value, long before, long most) throws InvalidHintException {
-        once(name, before != 0);
+    private static long parseMillis(String name, String value, long previous, long max) throws InvalidHintException {
+        requireFirst(name, previous != 0);
         if (value == null || !value.matches("[0-9]{1,15}")) {
             throw new InvalidHintException("The hint's " + name + " needs a whole number of ms behind a colon.");
         }
         long number = Long.parseLong(value);
-        if (number < 1 || number > most) {
-            throw new InvalidHintException("The hint's " + name + " is out of range: 1 to " + most + " ms.");
+        if (number < 1 || number > max) {
+            throw new InvalidHintException("The hint's " + name + " is out of range: 1 to " + max + " ms.");
         }
         return number;
     }
 
-    private static long session(String value, long before) throws InvalidHintException {
-        once("pin", before != 0);
+    private static long parseSession(String value, long previous) throws InvalidHintException {
+        requireFirst("pin", previous != 0);
         if (value == null || !value.matches("[0-9a-f]{16}")) {
             throw new InvalidHintException("The hint's pin needs a session of 16 hex digits behind a colon.");
         }
@@ -82,23 +82,23 @@
         return session;
     }
 
-    private static boolean bare(String name, String value, boolean before) throws InvalidHintException {
-        once(name, before);
+    private static boolean parseFlag(String name, String value, boolean previous) throws InvalidHintException {
+        requireFirst(name, previous);
         if (value != null) {
             throw new InvalidHintException("The hint's " + name + " takes no value.");
         }
         return true;
     }
 
-    private static void once(String name, boolean before) throws InvalidHintException {
-        if (before) {
+    private static void requireFirst(String name, boolean previous) throws InvalidHintException {
+        if (previous) {
             throw new InvalidHintException("The hint has " + name + " twice.");
         }
     }
 
     /** What a client sent, fit for one line of an answer. */
-    private static String shown(String name) {
-        String clean = name.replaceAll("[^a-zA-Z0-9_-]", "?");
-        return clean.isEmpty() ? "an empty one" : clean.length() > 20 ? clean.substring(0, 20) : clean;
+    private static String printable(String name) {
+        String replaced = name.replaceAll("[^a-zA-Z0-9_-]", "?");
+        return replaced.isEmpty() ? "an empty one" : replaced.length() > 20 ? replaced.substring(0, 20) : replaced;
     }
 }
--- a/src/main/java/magpiewheel/staleness/ReplicaGossip.java
+++ b/src/main/java/magpiewheel/staleness/ReplicaGossip.java
@@ -24,12 +24,12 @@
     private static final byte CLOCK_REQUEST = 3;
     private static final byte CLOCK_ANSWER = 4;
     /** Pins from before, for a front that started: what it knows by itself is newer. */
-    private static final byte OLD_STICKY_REPLICAS = 5;
+    private static final byte REMEMBERED_STICKY_REPLICAS = 5;
     /** From one tick to the next; fronts told in one; datagrams in one. */
     static final long TICK_US = 250_000;
 
-    static final int RECEIVERS = 4;
-    static final int MAX_DATAGRAMS = 8;
+    static final int RECEIVERS_PER_MESSAGE = 4;
+    static final int MAX_DATAGRAMS_PER_TICK = 8;
     /** Words in a datagram: three of eight bytes, and for a copy two more of its part. */
     private static final int HEADER_BYTES = 4;
 
@@ -40,18 +40,18 @@
 
     private static final int MAX_REMEMBERED = 1_024;
     /** A clock that is known worse than this is asked about, one front each time; an answer counts so long. */
-    private static final long PRECISE_ENOUGH_US = 25_000;
+    private static final long PRECISE_CLOCK_WIDTH_US = 25_000;
 
     private static final long REQUEST_INTERVAL_US = 500_000;
     private static final long MAX_ANSWER_AGE_US = 3_000_000;
     /** So many fronts are asked for all they have at the start. */
-    private static final int FULL_REQUESTS = 2;
+    private static final int FULL_STATE_REQUESTS = 2;
 
     private final int routerId;
     private final int zone;
     private final MembershipView membership;
     private final GossipSender sender;
-    private final OriginClock origin;
+    private final OriginClock originClock;
     private final ReplicaIndex replicas;
     private final StickyReplicaTable stickyReplicas;
     private final EntryQueue replicaEntries = new EntryQueue();
@@ -59,14 +59,14 @@
     private final ArrayDeque<byte[]> pendingMessages = new ArrayDeque<>();
     private final ArrayDeque<Integer> pendingReceivers = new ArrayDeque<>();
     private final Map<Integer, Long> requestsSent = new HashMap<>();
-    private int fullRequestsLeft = FULL_REQUESTS;
+    private int fullStateRequestsLeft = FULL_STATE_REQUESTS;
     private long due;
     private long nextRequestAt;
     private int nextReceiver;
     private long malformed;
 
     /** A copy that a node holds, or with a session a pin. */
-    private record Entry(long session, long object, int part, long endpoint, long mintedUs) {}
+    private record Entry(long session, long object, int part, long endpoint, long originTimeUs) {}
 
     /** Words of one kind: those that wait, and the last ones. */
     private static final class EntryQueue {
@@ -90,26 +90,26 @@
             int zone,
             MembershipView membership,
             GossipSender sender,
-            OriginClock origin,
-            ReplicaIndex copies,
-            StickyReplicaTable pins) {
+            OriginClock originClock,
+            ReplicaIndex replicas,
+            StickyReplicaTable stickyReplicas) {
         this.routerId = routerId;
         this.zone = zone;
         this.membership = membership;
         this.sender = sender;
-        this.origin = origin;
-        this.replicas = copies;
-        this.stickyReplicas = pins;
+        this.originClock = originClock;
+        this.replicas = replicas;
+        this.stickyReplicas = stickyReplicas;
         this.due = now;
         this.nextReceiver = routerId;
     }
 
-    void replicaObserved(long object, int part, long node, long mintedUs) {
-        replicaEntries.add(new Entry(0, object, part, node, mintedUs));
+    void replicaObserved(long object, int part, long endpoint, long originTimeUs) {
+        replicaEntries.add(new Entry(0, object, part, endpoint, originTimeUs));
     }
 
-    void stickyReplicaAssigned(long session, long object, long node) {
-        stickyEntries.add(new Entry(session, object, 0, node, 0));
+    void stickyReplicaAssigned(long session, long object, long endpoint) {
+        stickyEntries.add(new Entry(session, object, 0, endpoint, 0));
     }
 
     long due() {
@@ -132,12 +132,12 @@
             return;
         }
         requestClock(now, routers);
-        int messagesLeft = MAX_DATAGRAMS;
+        int messagesLeft = MAX_DATAGRAMS_PER_TICK;
         while (messagesLeft > 0 && !pendingMessages.isEmpty()) {
             sender.send(pendingReceivers.remove(), pendingMessages.remove());
             messagesLeft--;
         }
-        int to = Math.min(RECEIVERS, routers.size());
+        int to = Math.min(RECEIVERS_PER_MESSAGE, routers.size());
         while (messagesLeft >= to && !(replicaEntries.queued.isEmpty() && stickyEntries.queued.isEmpty())) {
             byte[] message = stickyEntries.queued.isEmpty()
                     ? encodeEntries(replicaEntries.queued, REPLICAS)
@@ -152,9 +152,9 @@
     }
 
     private void requestClock(long now, List<Integer> routers) {
-        long error = origin.widthUs(now);
-        boolean unsure = error < 0 || error > PRECISE_ENOUGH_US;
-        if (fullRequestsLeft == 0 && (!unsure || now < nextRequestAt)) {
+        long widthUs = originClock.widthUs(now);
+        boolean imprecise = widthUs < 0 || widthUs > PRECISE_CLOCK_WIDTH_US;
+        if (fullStateRequestsLeft == 0 && (!imprecise || now < nextRequestAt)) {
             return;
         }
         nextRequestAt = now + REQUEST_INTERVAL_US;
@@ -162,10 +162,10 @@
         requestsSent.put(peer, now);
         sender.send(
                 peer,
-                header(CLOCK_REQUEST, fullRequestsLeft > 0 ? 1 : 0, 8)
+                header(CLOCK_REQUEST, fullStateRequestsLeft > 0 ? 1 : 0, 8)
                         .putLong(now)
                         .array());
-        fullRequestsLeft = Math.max(0, fullRequestsLeft - 1);
+        fullStateRequestsLeft = Math.max(0, fullStateRequestsLeft - 1);
     }
 
     /** As many of the first entries as fit. */
@@ -181,7 +181,7 @@
             if (isSticky) {
                 bytes.putLong(entry.session());
             } else {
-                bytes.putLong(entry.mintedUs()).putShort((short) entry.part());
+                bytes.putLong(entry.originTimeUs()).putShort((short) entry.part());
             }
         }
         return bytes.array();
@@ -207,10 +207,10 @@
             int count = bytes.get() & 0xff;
             switch (kind) {
                 case REPLICAS -> replicasReceived(now, bytes, count);
-                case STICKY_REPLICAS, OLD_STICKY_REPLICAS ->
-                    stickyReplicasReceived(now, bytes, count, kind == OLD_STICKY_REPLICAS);
-                case CLOCK_REQUEST -> sendAnswer(now, from, bytes.getLong(), count == 1);
-                case CLOCK_ANSWER -> answerReceived(now, from, bytes.getLong(), bytes.getLong(), bytes.getLong());
+                case STICKY_REPLICAS, REMEMBERED_STICKY_REPLICAS ->
+                    stickyReplicasReceived(now, bytes, count, kind == REMEMBERED_STICKY_REPLICAS);
+                case CLOCK_REQUEST -> sendClockAnswer(now, from, bytes.getLong(), count == 1);
+                case CLOCK_ANSWER -> clockAnswerReceived(now, from, bytes.getLong(), bytes.getLong(), bytes.getLong());
                 default -> malformed++;
             }
         } catch (BufferUnderflowException e) {
@@ -221,45 +221,45 @@
     private void replicasReceived(long now, ByteBuffer bytes, int count) {
         for (int i = 0; i < count; i++) {
             long object = bytes.getLong();
-            long node = bytes.getLong();
-            long minted = bytes.getLong();
+            long endpoint = bytes.getLong();
+            long originTimeUs = bytes.getLong();
             int part = bytes.getShort() & 0xffff;
-            if (minted > 0) {
-                replicas.observed(now, object, part, node, minted);
+            if (originTimeUs > 0) {
+                replicas.observed(now, object, part, endpoint, originTimeUs);
             }
         }
     }
 
-    private void stickyReplicasReceived(long now, ByteBuffer bytes, int count, boolean isOld) {
+    private void stickyReplicasReceived(long now, ByteBuffer bytes, int count, boolean isRemembered) {
         for (int i = 0; i < count; i++) {
             long object = bytes.getLong();
-            long node = bytes.getLong();
+            long endpoint = bytes.getLong();
             long session = bytes.getLong();
-            if (session != 0 && !(isOld && stickyReplicas.contains(now, session, object))) {
-                stickyReplicas.assign(now, session, object, node);
+            if (session != 0 && !(isRemembered && stickyReplicas.contains(now, session, object))) {
+                stickyReplicas.assign(now, session, object, endpoint);
             }
         }
     }
 
-    private void sendAnswer(long now, int from, long echo, boolean wantsAll) {
-        boolean known = origin.isKnown(now);
+    private void sendClockAnswer(long now, int from, long echo, boolean wantsFullState) {
+        boolean clockKnown = originClock.isKnown(now);
         sender.send(
                 from,
                 header(CLOCK_ANSWER, 0, 24)
                         .putLong(echo)
-                        .putLong(known ? origin.earliest(now) : 0)
-                        .putLong(known ? origin.latest(now) : 0)
+                        .putLong(clockKnown ? originClock.earliest(now) : 0)
+                        .putLong(clockKnown ? originClock.latest(now) : 0)
                         .array());
-        if (wantsAll && pendingMessages.size() < MAX_DATAGRAMS) {
-            queueAll(from, stickyEntries.remembered, OLD_STICKY_REPLICAS);
-            queueAll(from, replicaEntries.remembered, REPLICAS);
+        if (wantsFullState && pendingMessages.size() < MAX_DATAGRAMS_PER_TICK) {
+            queueRemembered(from, stickyEntries.remembered, REMEMBERED_STICKY_REPLICAS);
+            queueRemembered(from, replicaEntries.remembered, REPLICAS);
         }
     }
 
     /** The newest first: they are the likeliest to be asked for. */
-    private void queueAll(int to, ArrayDeque<Entry> kept, byte kind) {
+    private void queueRemembered(int to, ArrayDeque<Entry> remembered, byte kind) {
         ArrayDeque<Entry> entries = new ArrayDeque<>();
-        kept.forEach(entries::addFirst);
+        remembered.forEach(entries::addFirst);
         while (!entries.isEmpty()) {
             pendingMessages.add(encodeEntries(entries, kind));
             pendingReceivers.add(to);
@@ -267,13 +267,13 @@
     }
 
     /** The origin's clock was past the earliest when the answer came, and not past the latest when it was asked for. */
-    private void answerReceived(long now, int from, long echo, long earliest, long latest) {
+    private void clockAnswerReceived(long now, int from, long echo, long earliest, long latest) {
         Long sent = requestsSent.get(from);
         if (sent == null || sent != echo || now - echo > MAX_ANSWER_AGE_US || latest == 0) {
             return;
         }
         requestsSent.remove(from);
-        origin.raiseLowerBound(now, earliest);
-        origin.lowerUpperBound(echo, latest);
+        originClock.raiseLowerBound(now, earliest);
+        originClock.lowerUpperBound(echo, latest);
     }
 }
--- a/src/main/java/magpiewheel/staleness/ReplicaIndex.java
+++ b/src/main/java/magpiewheel/staleness/ReplicaIndex.java
@@ -4,42 +4,42 @@
 final class ReplicaIndex {
     private final SetAssociativeTable table;
 
-    ReplicaIndex(int maxEntries, long ageUs) {
-        table = new SetAssociativeTable(maxEntries, ageUs);
+    ReplicaIndex(int maxEntries, long maxAgeUs) {
+        table = new SetAssociativeTable(maxEntries, maxAgeUs);
     }
 
     /** When the copy that a node was last seen with was minted, or 0. */
     long originTimeOf(long now, long object, int part, long endpoint) {
-        int at = table.find(now, SetAssociativeTable.keyOf(object, part, endpoint));
-        return at < 0 ? 0 : table.value(at);
+        int index = table.find(now, SetAssociativeTable.keyOf(object, part, endpoint));
+        return index < 0 ? 0 : table.first(index);
     }
 
     /** A node held a copy; whether that was news. What came late is from before. */
-    boolean observed(long now, long object, int part, long endpoint, long mintedUs) {
+    boolean observed(long now, long object, int part, long endpoint, long originTimeUs) {
         long key = SetAssociativeTable.keyOf(object, part, endpoint);
-        int at = table.find(now, key);
-        if (at < 0) {
-            table.put(now, table.slotFor(now, key), key, mintedUs, endpoint, object);
+        int index = table.find(now, key);
+        if (index < 0) {
+            table.put(now, table.slotFor(now, key), key, originTimeUs, endpoint, object);
             return true;
         }
-        boolean newer = mintedUs > table.value(at);
-        table.put(now, at, key, Math.max(mintedUs, table.value(at)), endpoint, object);
+        boolean newer = originTimeUs > table.first(index);
+        table.put(now, index, key, Math.max(originTimeUs, table.first(index)), endpoint, object);
         return newer;
     }
 
     /** A cache has gone or has started again with nothing. */
     void forget(long endpoint) {
         for (int i = 0; i < table.size(); i++) {
-            if (table.isUsed(i) && table.other(i) == endpoint) {
+            if (table.isUsed(i) && table.second(i) == endpoint) {
                 table.clear(i);
             }
         }
     }
 
     /** What was minted of an object before a purge is void. */
-    void removeOlder(long object, long atUs) {
+    void removeOlder(long object, long purgedAtUs) {
         for (int i = 0; i < table.size(); i++) {
-            if (table.isUsed(i) && table.last(i) == object && table.value(i) < atUs) {
+            if (table.isUsed(i) && table.third(i) == object && table.first(i) < purgedAtUs) {
                 table.clear(i);
             }
         }
--- a/src/main/java/magpiewheel/staleness/SetAssociativeTable.java
+++ b/src/main/java/magpiewheel/staleness/SetAssociativeTable.java
@@ -15,19 +15,19 @@
     private final long maxAgeUs;
 
     /** Room for a power of two of entries, which are forgotten once unused for an age. */
-    SetAssociativeTable(int maxEntries, long ageUs) {
+    SetAssociativeTable(int maxEntries, long maxAgeUs) {
         keys = new long[maxEntries];
         first = new long[maxEntries];
         second = new long[maxEntries];
         third = new long[maxEntries];
         lastUsedAt = new long[maxEntries];
-        this.maxAgeUs = ageUs;
+        this.maxAgeUs = maxAgeUs;
     }
 
     /** The entry of a key, or -1. */
     int find(long now, long key) {
-        int at = setOf(key);
-        for (int i = at; i < at + WAYS; i++) {
+        int start = firstIndexOfSet(key);
+        for (int i = start; i < start + WAYS; i++) {
             if (keys[i] == key && lastUsedAt[i] > now - maxAgeUs && lastUsedAt[i] != 0) {
                 return i;
             }
@@ -37,9 +37,9 @@
 
     /** The entry to put a new key at: empty, or aged, or unused for longest; see {@link #value} for what it held. */
     int slotFor(long now, long key) {
-        int at = setOf(key);
-        int oldest = at;
-        for (int i = at; i < at + WAYS; i++) {
+        int start = firstIndexOfSet(key);
+        int oldest = start;
+        for (int i = start; i < start + WAYS; i++) {
             if (lastUsedAt[i] < lastUsedAt[oldest]) {
                 oldest = i;
             }
@@ -47,54 +47,54 @@
         return oldest;
     }
 
-    void put(long now, int at, long key, long one, long two, long three) {
-        keys[at] = key;
-        first[at] = one;
-        second[at] = two;
-        third[at] = three;
-        lastUsedAt[at] = Math.max(1, now);
+    void put(long now, int index, long key, long one, long two, long three) {
+        keys[index] = key;
+        first[index] = one;
+        second[index] = two;
+        third[index] = three;
+        lastUsedAt[index] = Math.max(1, now);
     }
 
-    void touch(long now, int at) {
-        lastUsedAt[at] = Math.max(1, now);
+    void touch(long now, int index) {
+        lastUsedAt[index] = Math.max(1, now);
     }
 
-    void clear(int at) {
-        lastUsedAt[at] = 0;
-        first[at] = 0;
-        second[at] = 0;
+    void clear(int index) {
+        lastUsedAt[index] = 0;
+        first[index] = 0;
+        second[index] = 0;
     }
 
     /** An entry's first value is 0 from now on. */
-    void free(int at) {
-        first[at] = 0;
+    void clearFirst(int index) {
+        first[index] = 0;
     }
 
-    boolean isUsed(int at) {
-        return lastUsedAt[at] != 0;
+    boolean isUsed(int index) {
+        return lastUsedAt[index] != 0;
     }
 
-    long keyOf(int at) {
-        return keys[at];
+    long keyOf(int index) {
+        return keys[index];
     }
 
-    long value(int at) {
-        return first[at];
+    long first(int index) {
+        return first[index];
     }
 
-    long other(int at) {
-        return second[at];
+    long second(int index) {
+        return second[index];
     }
 
-    long last(int at) {
-        return third[at];
+    long third(int index) {
+        return third[index];
     }
 
     int size() {
         return keys.length;
     }
 
-    private int setOf(long key) {
+    private int firstIndexOfSet(long key) {
         return (int) (key >>> 3) * WAYS & keys.length - 1;
     }
 
--- a/src/main/java/magpiewheel/staleness/StickyReplicaTable.java
+++ b/src/main/java/magpiewheel/staleness/StickyReplicaTable.java
@@ -20,10 +20,10 @@
     private static final long WINDOW_US = 1_000_000;
     private final SetAssociativeTable table;
     private final Map<Long, ReplicaState> replicas = new HashMap<>();
-    private double weights;
-    private int total;
+    private double totalWeight;
+    private int totalAssigned;
     private int migrations;
-    private long windowAt;
+    private long windowStartedAt;
 
     /** A cache as the pins see it. */
     private static final class ReplicaState {
@@ -35,20 +35,20 @@
         int migrations;
     }
 
-    StickyReplicaTable(int maxEntries, long ageUs) {
-        table = new SetAssociativeTable(maxEntries, ageUs);
+    StickyReplicaTable(int maxEntries, long maxAgeUs) {
+        table = new SetAssociativeTable(maxEntries, maxAgeUs);
     }
 
     /** The cache that a session's reads of an object keep to, or 0. */
     long replicaOf(long now, long session, long object) {
         long key = SetAssociativeTable.keyOf(session, object, 0);
-        int at = table.find(now, key);
-        if (at < 0) {
+        int index = table.find(now, key);
+        if (index < 0) {
             return 0;
         }
-        long endpoint = table.value(at);
-        long home = table.other(at);
-        if (home != endpoint && isBackHome(now, home, key)) {
+        long endpoint = table.first(index);
+        long home = table.second(index);
+        if (home != endpoint && isHomeAvailable(now, home, key)) {
             return home;
         }
         return isReady(endpoint) ? endpoint : 0;
@@ -60,13 +60,13 @@
     }
 
     /** Whether a pin is back at the cache it was taken at: by its state from 0 to 1, the same at every front. */
-    private boolean isBackHome(long now, long home, long key) {
+    private boolean isHomeAvailable(long now, long home, long key) {
         ReplicaState state = replicas.get(home);
         if (state == null || !state.ready) {
             return false;
         }
-        double part = (SetAssociativeTable.hash(key) >>> 11) / (double) (1L << 53);
-        return state.returnedAt == Long.MIN_VALUE || now - state.returnedAt >= part * RETURN_US;
+        double fraction = (SetAssociativeTable.hash(key) >>> 11) / (double) (1L << 53);
+        return state.returnedAt == Long.MIN_VALUE || now - state.returnedAt >= fraction * RETURN_US;
     }
 
     private boolean isReady(long endpoint) {
@@ -81,38 +81,39 @@
             return false;
         }
         long key = SetAssociativeTable.keyOf(session, object, 0);
-        int at = table.find(now, key);
-        if (at >= 0 && table.value(at) == endpoint) {
-            table.touch(now, at);
+        int index = table.find(now, key);
+        if (index >= 0 && table.first(index) == endpoint) {
+            table.touch(now, index);
             return false;
         }
         if (state.assigned >= capacity(state)) {
             return false;
         }
         long home = endpoint;
-        if (at < 0) {
-            at = table.slotFor(now, key);
-        } else if (!isReady(table.other(at)) || !isBackHome(now, table.other(at), key)) {
-            home = table.other(at);
+        if (index < 0) {
+            index = table.slotFor(now, key);
+        } else if (!isReady(table.second(index)) || !isHomeAvailable(now, table.second(index), key)) {
+            home = table.second(index);
         }
-        release(at);
-        table.put(now, at, key, endpoint, home, 0);
+        release(index);
+        table.put(now, index, key, endpoint, home, 0);
         state.assigned++;
-        total++;
+        totalAssigned++;
         return true;
     }
 
     private double capacity(ReplicaState state) {
-        return Math.max(MIN_CAPACITY, MAX_LOAD_FACTOR * total * state.weight / Math.max(weights, state.weight));
+        return Math.max(
+                MIN_CAPACITY, MAX_LOAD_FACTOR * totalAssigned * state.weight / Math.max(totalWeight, state.weight));
     }
 
-    private void release(int at) {
-        if (table.isUsed(at)) {
-            ReplicaState state = replicas.get(table.value(at));
+    private void release(int index) {
+        if (table.isUsed(index)) {
+            ReplicaState state = replicas.get(table.first(index));
             if (state != null && state.assigned > 0) {
                 state.assigned--;
             }
-            total -= table.value(at) == 0 ? 0 : 1;
+            totalAssigned -= table.first(index) == 0 ? 0 : 1;
         }
     }
 
@@ -121,8 +122,8 @@
      * second.
      */
     boolean admitsMigration(long now, long endpoint) {
-        if (now - windowAt >= WINDOW_US) {
-            windowAt = now;
+        if (now - windowStartedAt >= WINDOW_US) {
+            windowStartedAt = now;
             migrations = 0;
             replicas.values().forEach(state -> state.migrations = 0);
         }
@@ -132,7 +133,7 @@
                 || state.migrations
                         >= Math.max(
                                 MIN_CAPACITY,
-                                MAX_LOAD_FACTOR * migrations * state.weight / Math.max(weights, state.weight))) {
+                                MAX_LOAD_FACTOR * migrations * state.weight / Math.max(totalWeight, state.weight))) {
             return false;
         }
         state.migrations++;
@@ -141,50 +142,50 @@
     }
 
     /** The list as it stands; those that have lost all they held: gone, or started again. */
-    List<Long> replicasChanged(long now, List<Replica> list) {
-        List<Long> emptied = new ArrayList<>();
-        Map<Long, Replica> listed = new HashMap<>();
-        weights = 0;
-        for (Replica cache : list) {
-            listed.put(cache.id(), cache);
-            ReplicaState state = replicas.get(cache.id());
+    List<Long> replicasChanged(long now, List<Replica> listedReplicas) {
+        List<Long> lostCopies = new ArrayList<>();
+        Map<Long, Replica> listedById = new HashMap<>();
+        totalWeight = 0;
+        for (Replica replica : listedReplicas) {
+            listedById.put(replica.id(), replica);
+            ReplicaState state = replicas.get(replica.id());
             if (state == null) {
                 state = new ReplicaState();
-                replicas.put(cache.id(), state);
-                state.startedUs = cache.startedUs();
-                state.returnedAt = cache.startedUs() > 0 ? now : Long.MIN_VALUE;
-            } else if (cache.startedUs() != state.startedUs) {
-                emptied.add(cache.id());
-                state.startedUs = cache.startedUs();
+                replicas.put(replica.id(), state);
+                state.startedUs = replica.startedUs();
+                state.returnedAt = replica.startedUs() > 0 ? now : Long.MIN_VALUE;
+            } else if (replica.startedUs() != state.startedUs) {
+                lostCopies.add(replica.id());
+                state.startedUs = replica.startedUs();
                 state.returnedAt = now;
-                releaseAll(cache.id());
-            } else if (!state.ready && !cache.draining()) {
+                releaseAll(replica.id());
+            } else if (!state.ready && !replica.draining()) {
                 state.returnedAt = now;
             }
-            if (state.ready && cache.draining()) {
-                releaseAll(cache.id());
+            if (state.ready && replica.draining()) {
+                releaseAll(replica.id());
             }
-            state.ready = !cache.draining();
-            state.weight = cache.weight();
-            weights += state.ready ? state.weight : 0;
+            state.ready = !replica.draining();
+            state.weight = replica.weight();
+            totalWeight += state.ready ? state.weight : 0;
         }
         replicas.keySet().removeIf(id -> {
-            if (listed.containsKey(id)) {
+            if (listedById.containsKey(id)) {
                 return false;
             }
-            emptied.add(id);
+            lostCopies.add(id);
             releaseAll(id);
             return true;
         });
-        return emptied;
+        return lostCopies;
     }
 
     /** All pins of a cache are free; they know where they were. */
     private void releaseAll(long endpoint) {
         for (int i = 0; i < table.size(); i++) {
-            if (table.isUsed(i) && table.value(i) == endpoint) {
+            if (table.isUsed(i) && table.first(i) == endpoint) {
                 release(i);
-                table.free(i);
+                table.clearFirst(i);
             }
         }
     }
@@ -195,7 +196,7 @@
         return state == null ? 0 : state.assigned;
     }
 
-    int total() {
-        return total;
+    int totalAssigned() {
+        return totalAssigned;
     }
 }
--- a/src/test/java/magpiewheel/staleness/BoundedStalenessReadsTest.java
+++ b/src/test/java/magpiewheel/staleness/BoundedStalenessReadsTest.java
@@ -13,7 +13,7 @@
     private static final long FRESH = 5_000 * MS;
     private static final long GRACE = 10_000 * MS;
     private final BoundedStalenessReads pins =
-            new BoundedStalenessReads(NOW - 10_000 * MS, 0, 0, new FixedView(), (front, message) -> {});
+            new BoundedStalenessReads(NOW - 10_000 * MS, 0, 0, new FixedMembershipView(), (front, message) -> {});
 
     /** The origin's clock is 300 ms ahead, as a fetch of 10 ms and the board of both seconds tell. */
     private void told() {
@@ -43,8 +43,8 @@
         assertFalse(pins.accepts(NOW, bound, latest - 1_000 * MS - 1));
         assertTrue(pins.accepts(NOW, bound, latest - 1_000 * MS));
         assertTrue(pins.maxAgeUs(NOW, bound) <= 1_000 * MS);
-        assertEquals(0, pins.ageMsBeyond(NOW, bound, latest - 1_000 * MS));
-        assertEquals(1_001, pins.ageMsBeyond(NOW, bound, latest - 1_000 * MS - 1));
+        assertEquals(0, pins.violatingAgeMs(NOW, bound, latest - 1_000 * MS));
+        assertEquals(1_001, pins.violatingAgeMs(NOW, bound, latest - 1_000 * MS - 1));
     }
 
     @Test
@@ -58,7 +58,7 @@
         StalenessBound prefer = pins.boundOf(NOW, new ReadHint(1_000 * MS, 0, 0, false), FRESH, GRACE, 0);
         assertFalse(pins.accepts(NOW, prefer, NOW));
         assertFalse(pins.requiresOriginResponse(NOW, prefer));
-        assertEquals(-1, pins.ageMsBeyond(NOW, prefer, NOW));
+        assertEquals(-1, pins.violatingAgeMs(NOW, prefer, NOW));
         // A parent's copy, or one that joined a fill, proves nothing.
         pins.responseReceived(NOW + 1 * MS, NOW + 900 * MS, NOW - 399 * MS, false);
         assertFalse(pins.accepts(NOW + 900 * MS, strict, NOW - 399 * MS));
--- a/src/test/java/magpiewheel/staleness/CaseWorld.java
+++ b/src/test/java/magpiewheel/staleness/CaseWorld.java
@@ -14,7 +14,7 @@
     static final long AHEAD = 300 * MS;
     long now = 1_764_576_000_000_000L;
     final BoundedStalenessReads pins =
-            new BoundedStalenessReads(now - 60_000 * MS, 0, 0, new FixedView(), (front, message) -> {});
+            new BoundedStalenessReads(now - 60_000 * MS, 0, 0, new FixedMembershipView(), (front, message) -> {});
     private final Set<Long> draining = new TreeSet<>();
     private final Set<Long> gone = new TreeSet<>();
     long clockMs = 10;
--- a/src/test/java/magpiewheel/staleness/CasesTest.java
+++ b/src/test/java/magpiewheel/staleness/CasesTest.java
@@ -75,13 +75,13 @@
                     (w, m) -> assertEquals(m.group(1).isEmpty(), w.pins.accepts(w.now, w.bound, w.given)))
             .check(
                     "a copy (\\d+) ms old is told as (\\d+) ms old",
-                    (w, m) -> assertEquals(number(m, 2), w.pins.ageMsBeyond(w.now, w.bound, w.minted(number(m, 1)))))
+                    (w, m) -> assertEquals(number(m, 2), w.pins.violatingAgeMs(w.now, w.bound, w.minted(number(m, 1)))))
             .check(
                     "a copy (\\d+) ms old is told without an age",
-                    (w, m) -> assertEquals(-1, w.pins.ageMsBeyond(w.now, w.bound, w.minted(number(m, 1)))))
+                    (w, m) -> assertEquals(-1, w.pins.violatingAgeMs(w.now, w.bound, w.minted(number(m, 1)))))
             .check(
                     "a copy (\\d+) ms old is told without more",
-                    (w, m) -> assertEquals(0, w.pins.ageMsBeyond(w.now, w.bound, w.minted(number(m, 1)))))
+                    (w, m) -> assertEquals(0, w.pins.violatingAgeMs(w.now, w.bound, w.minted(number(m, 1)))))
             .check("nothing is asked of a node", (w, m) -> assertEquals(0, w.pins.maxAgeUs(w.now, w.bound)))
             .check(
                     "a node may answer with copies up to (\\d+) ms old",
--- a/src/test/java/magpiewheel/staleness/FixedView.java
+++ b/src/test/java/magpiewheel/staleness/FixedMembershipView.java
@@ -6,8 +6,8 @@
 import magpiewheel.membership.PartitionVerdict;
 
 /** The view of a front that has some peers in its branch, or none. */
-record FixedView(List<Integer> peers) implements MembershipView {
-    FixedView() {
+record FixedMembershipView(List<Integer> peers) implements MembershipView {
+    FixedMembershipView() {
         this(List.of());
     }
 
--- a/src/test/java/magpiewheel/staleness/ReplicaGossipGoldenTest.java
+++ b/src/test/java/magpiewheel/staleness/ReplicaGossipGoldenTest.java
@@ -15,7 +15,7 @@
             NOW,
             0,
             0,
-            new FixedView(List.of(1)),
+            new FixedMembershipView(List.of(1)),
             (front, message) -> sent.add(front + " " + HexFormat.of().formatHex(message)));
 
     @Test
--- a/src/test/java/magpiewheel/staleness/PartsTest.java
+++ b/src/test/java/magpiewheel/staleness/StalenessComponentsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The parts of pinned reads, each by itself. */
-class PartsTest {
+class StalenessComponentsTest {
     private static final long NOW = 1_764_576_000_000_000L;
     private static final long MS = 1_000;
     private static final long S = 1_000_000;
@@ -59,7 +59,7 @@
 
     @Test
     void aWriteBoundsTheClockFromBelowOnly() {
-        BoundedStalenessReads pins = new BoundedStalenessReads(NOW, 0, 0, new FixedView(), (to, bytes) -> {});
+        BoundedStalenessReads pins = new BoundedStalenessReads(NOW, 0, 0, new FixedMembershipView(), (to, bytes) -> {});
         pins.writeAnswered(NOW, NOW + 5 * MS, NOW - 90 * S);
         assertEquals(-1, pins.clockUncertaintyUs(NOW + 5 * MS), "a keyed write done long ago would set the clock back");
         pins.responseReceived(NOW, NOW + 5 * MS, NOW + 2 * MS, true);
@@ -88,7 +88,7 @@
         assertEquals(64, kept);
         assertTrue(IntStream.range(0, 500)
                 .noneMatch(i -> ways.find(NOW + 1_000, SetAssociativeTable.keyOf(i, 0, 0)) >= 0));
-        assertEquals(999, ways.value(ways.find(NOW + 1_000, SetAssociativeTable.keyOf(999, 0, 0))));
+        assertEquals(999, ways.first(ways.find(NOW + 1_000, SetAssociativeTable.keyOf(999, 0, 0))));
         assertEquals(-1, ways.find(NOW + 999 + 100 * S, SetAssociativeTable.keyOf(999, 0, 0)));
     }
 
@@ -121,10 +121,12 @@
         for (int i = 0; i < 8_000; i++) {
             pins.assign(NOW, 1 + i, 9, i % 8 == 0 ? 1 + i / 8 % 4 : 1);
             assertTrue(
-                    pins.assignedTo(1) <= Math.max(16, 1.25 * pins.total() / 4) + 1,
-                    pins.assignedTo(1) + " of " + pins.total());
+                    pins.assignedTo(1) <= Math.max(16, 1.25 * pins.totalAssigned() / 4) + 1,
+                    pins.assignedTo(1) + " of " + pins.totalAssigned());
         }
-        assertTrue(pins.assignedTo(1) > 200 && pins.total() > 900, pins.assignedTo(1) + " of " + pins.total());
+        assertTrue(
+                pins.assignedTo(1) > 200 && pins.totalAssigned() > 900,
+                pins.assignedTo(1) + " of " + pins.totalAssigned());
         int moved = 0;
         for (int i = 0; i < 8_000; i++) {
             moved += pins.admitsMigration(NOW, 2) ? 1 : 0;
@@ -166,7 +168,7 @@
 
     @Test
     void aCacheThatStartedAgainHoldsNothing() {
-        BoundedStalenessReads pins = new BoundedStalenessReads(NOW, 0, 0, new FixedView(), (to, bytes) -> {});
+        BoundedStalenessReads pins = new BoundedStalenessReads(NOW, 0, 0, new FixedMembershipView(), (to, bytes) -> {});
         pins.replicasChanged(NOW, List.of(new Replica(1, false, 1, 0)));
         pins.responseServed(NOW, new ReadHint(0, 5, 8, true), 9, 0, 1, NOW);
         StalenessBound bound = pins.boundOf(NOW, new ReadHint(0, 5, 8, false), S, S, 0);
@@ -191,11 +193,12 @@
         }
 
         void start(int me) {
-            fronts[me] = new BoundedStalenessReads(clock(me), me, 0, new FixedView(List.of(1 - me)), (to, bytes) -> {
-                assertTrue(bytes.length <= 256 && bytes[0] == (byte) 0xe2);
-                sent++;
-                way.add(() -> fronts[to].messageReceived(clock(to), me, bytes));
-            });
+            fronts[me] = new BoundedStalenessReads(
+                    clock(me), me, 0, new FixedMembershipView(List.of(1 - me)), (to, bytes) -> {
+                        assertTrue(bytes.length <= 256 && bytes[0] == (byte) 0xe2);
+                        sent++;
+                        way.add(() -> fronts[to].messageReceived(clock(to), me, bytes));
+                    });
             fronts[me].replicasChanged(clock(me), caches(4, 0));
         }
 
@@ -256,7 +259,8 @@
             two.sent = 0;
             two.run(ReplicaGossip.TICK_US);
             assertTrue(
-                    two.sent <= 2 * (ReplicaGossip.MAX_DATAGRAMS + 2), two.sent + " datagrams in a tick of two fronts");
+                    two.sent <= 2 * (ReplicaGossip.MAX_DATAGRAMS_PER_TICK + 2),
+                    two.sent + " datagrams in a tick of two fronts");
         }
     }
 
@@ -266,24 +270,27 @@
         Map<Integer, Integer> told = new HashMap<>();
         int[] most = new int[1];
         Map<String, Integer> copies = new HashMap<>();
-        BoundedStalenessReads pins = new BoundedStalenessReads(NOW, 0, 0, new FixedView(peers), (to, bytes) -> {
-            told.merge(to, 1, Integer::sum);
-            most[0] = Math.max(most[0], bytes[2] == 1 ? copies.merge(Arrays.toString(bytes), 1, Integer::sum) : 0);
-        });
+        BoundedStalenessReads pins =
+                new BoundedStalenessReads(NOW, 0, 0, new FixedMembershipView(peers), (to, bytes) -> {
+                    told.merge(to, 1, Integer::sum);
+                    most[0] = Math.max(
+                            most[0], bytes[2] == 1 ? copies.merge(Arrays.toString(bytes), 1, Integer::sum) : 0);
+                });
         for (int i = 0; i < 90; i++) {
             pins.responseServed(NOW, new ReadHint(0, 5, 0, true), 1 + i, 0, 1 + i % 4, NOW + i);
         }
         for (int tick = 0; tick < 20; tick++) {
             pins.tick(NOW + tick * ReplicaGossip.TICK_US);
         }
-        assertEquals(ReplicaGossip.RECEIVERS, most[0]);
+        assertEquals(ReplicaGossip.RECEIVERS_PER_MESSAGE, most[0]);
         assertEquals(10, copies.size());
         assertEquals(20, told.size(), "the turn goes round");
     }
 
     @Test
     void whatIsNotOursChangesNothing() {
-        BoundedStalenessReads pins = new BoundedStalenessReads(NOW, 0, 0, new FixedView(List.of(1)), (to, bytes) -> {});
+        BoundedStalenessReads pins =
+                new BoundedStalenessReads(NOW, 0, 0, new FixedMembershipView(List.of(1)), (to, bytes) -> {});
         SplittableRandom random = new SplittableRandom(5);
         List<byte[]> all = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
--- a/src/test/java/magpiewheel/staleness/StalenessFigures.java
+++ b/src/test/java/magpiewheel/staleness/StalenessFigures.java
@@ -79,7 +79,7 @@
     /** Pins that move when one of eight caches drains and comes back. */
     private static void drains() {
         StickyReplicaTable pins = new StickyReplicaTable(1 << 14, 600_000_000);
-        pins.replicasChanged(NOW, PartsTest.caches(8, 0));
+        pins.replicasChanged(NOW, StalenessComponentsTest.caches(8, 0));
         int count = 8_000;
         long[] at = new long[count];
         for (int i = 0; i < count; i++) {
@@ -90,19 +90,19 @@
                 .mapToLong(i -> pins.replicaOf(NOW, 1 + i, i % 500))
                 .toArray();
         int held = pins.assignedTo(3);
-        pins.replicasChanged(NOW + 1, PartsTest.caches(8, 3));
+        pins.replicasChanged(NOW + 1, StalenessComponentsTest.caches(8, 3));
         long moved = IntStream.range(0, count)
                 .filter(i -> pinned[i] != 3 && pins.replicaOf(NOW + 1, 1 + i, i % 500) != pinned[i])
                 .count();
         System.out.printf(
                 "pins %d, at the cache %d, there after it drains %d, of others' moved %d%n",
-                pins.total() + held, held, pins.assignedTo(3), moved);
+                pins.totalAssigned() + held, held, pins.assignedTo(3), moved);
         for (int i = 0; i < count; i++) {
             if (pinned[i] == 3) {
                 pins.assign(NOW + 2, 1 + i, i % 500, 4 + i % 5);
             }
         }
-        pins.replicasChanged(NOW + 10_000_000, PartsTest.caches(8, 0));
+        pins.replicasChanged(NOW + 10_000_000, StalenessComponentsTest.caches(8, 0));
         long before = 0;
         long most = 0;
         for (int s = 1; s <= 21; s++) {
@@ -193,8 +193,8 @@
      */
     private static void decisions() {
         BoundedStalenessReads pins =
-                new BoundedStalenessReads(NOW - 10_000_000, 0, 0, new FixedView(), (to, bytes) -> {});
-        pins.replicasChanged(NOW, PartsTest.caches(8, 0));
+                new BoundedStalenessReads(NOW - 10_000_000, 0, 0, new FixedMembershipView(), (to, bytes) -> {});
+        pins.replicasChanged(NOW, StalenessComponentsTest.caches(8, 0));
         pins.discoveryHeard(NOW - 2_000_000);
         pins.discoveryHeard(NOW - 500_000);
         pins.discoveryHeard(NOW);
--- a/src/test/java/magpiewheel/staleness/StalenessMutationsTest.java
+++ b/src/test/java/magpiewheel/staleness/StalenessMutationsTest.java
@@ -36,8 +36,8 @@
                 new SourceMutation(
                         "the earliest that the origin's clock may show is taken",
                         "BoundedStalenessReads",
-                        "mintedUs >= origin.latest(bound.requestedAt())",
-                        "mintedUs >= origin.earliest(bound.requestedAt())",
+                        "originTimeUs >= originClock.latest(bound.requestedAt())",
+                        "originTimeUs >= originClock.earliest(bound.requestedAt())",
                         beyond),
                 new SourceMutation(
                         "the own clock is taken for the origin's",
@@ -54,14 +54,14 @@
                 new SourceMutation(
                         "an upper bound counts from when the answer came",
                         "BoundedStalenessReads",
-                        "origin.lowerUpperBound(sentUs,",
-                        "origin.lowerUpperBound(gotUs,",
+                        "originClock.lowerUpperBound(sentUs,",
+                        "originClock.lowerUpperBound(receivedUs,",
                         beyond),
                 new SourceMutation(
                         "a front's word counts from when it came",
                         "ReplicaGossip",
-                        "origin.lowerUpperBound(echo,",
-                        "origin.lowerUpperBound(now,",
+                        "originClock.lowerUpperBound(echo,",
+                        "originClock.lowerUpperBound(now,",
                         beyond),
                 new SourceMutation(
                         "marks are not looked at",
@@ -78,7 +78,7 @@
                 new SourceMutation(
                         "a mark is not proved, only asked for",
                         "BoundedStalenessReads",
-                        "mintedUs < bound.notBeforeUs() ||",
+                        "originTimeUs < bound.notBeforeUs() ||",
                         "",
                         "noSessionGoesBack"),
                 new SourceMutation(
@@ -96,26 +96,26 @@
                 new SourceMutation(
                         "a silent board changes nothing",
                         "DiscoveryFreshness",
-                        "return silent > SILENT_US ||",
-                        "return silent > CUT_OFF_US ||",
+                        "return silenceUs > SILENT_AFTER_US ||",
+                        "return silenceUs > CUT_OFF_AFTER_US ||",
                         "noStrictReadIsOlderThanAPurgeThatWasTold"),
                 new SourceMutation(
                         "a board heard again counts as caught up",
                         "DiscoveryFreshness",
-                        "CAUGHT_UP_US = 1_200_000",
-                        "CAUGHT_UP_US = 0",
+                        "CATCH_UP_US = 1_200_000",
+                        "CATCH_UP_US = 0",
                         "theCaseIsKept"),
                 new SourceMutation(
                         "a board is never cut off",
                         "DiscoveryFreshness",
-                        "if (silent > CUT_OFF_US) {",
+                        "if (silenceUs > CUT_OFF_AFTER_US) {",
                         "if (false) {",
                         "theCaseIsKept"),
                 new SourceMutation(
                         "an age is told without the error",
                         "BoundedStalenessReads",
-                        "(origin.latest(bound.requestedAt()) - mintedUs + 999)",
-                        "(origin.earliest(bound.requestedAt()) - mintedUs)",
+                        "(originClock.latest(bound.requestedAt()) - originTimeUs + 999)",
+                        "(originClock.earliest(bound.requestedAt()) - originTimeUs)",
                         "noAgeIsToldTooSmall"),
                 new SourceMutation(
                         "clocks do not drift",
@@ -132,8 +132,8 @@
                 new SourceMutation(
                         "a write bounds the clock from above",
                         "BoundedStalenessReads",
-                        "responseReceived(sentUs, gotUs, mintedUs, false);",
-                        "responseReceived(sentUs, gotUs, mintedUs, true);",
+                        "responseReceived(sentUs, receivedUs, originTimeUs, false);",
+                        "responseReceived(sentUs, receivedUs, originTimeUs, true);",
                         "aWriteBoundsTheClockFromBelowOnly"),
                 new SourceMutation(
                         "a write's mark is its answer's time",
@@ -150,26 +150,26 @@
                 new SourceMutation(
                         "a node may answer older than the class's fresh time",
                         "BoundedStalenessReads",
-                        "Math.min(age, bound.freshUs()) : age",
-                        "age : age",
+                        "Math.min(allowedAgeUs, bound.freshUs()) : allowedAgeUs",
+                        "allowedAgeUs : allowedAgeUs",
                         "theCaseIsKept"),
                 new SourceMutation(
                         "a strict read may go by a parent of which nothing is known",
                         "BoundedStalenessReads",
-                        "minted == 0 ? !bound.strict()",
-                        "minted == 0 ? true",
+                        "originTimeUs == 0 ? !bound.strict()",
+                        "originTimeUs == 0 ? true",
                         "theCaseIsKept"),
                 new SourceMutation(
                         "a mark ahead of the origin is waited for",
                         "BoundedStalenessReads",
-                        "&& !ahead;",
+                        "&& !markAhead;",
                         ";",
                         "theCaseIsKept"),
                 new SourceMutation(
                         "what is not known of the pinned cache frees the session",
                         "BoundedStalenessReads",
-                        "if (minted == 0 || minted > 0 && accepts",
-                        "if (minted > 0 && accepts",
+                        "if (originTimeUs == 0 || originTimeUs > 0 && accepts",
+                        "if (originTimeUs > 0 && accepts",
                         "theCaseIsKept"),
                 new SourceMutation(
                         "a cache takes any number of pins",
@@ -186,7 +186,7 @@
                 new SourceMutation(
                         "pins stay at a draining cache",
                         "StickyReplicaTable",
-                        "if (state.ready && cache.draining()) {",
+                        "if (state.ready && replica.draining()) {",
                         "if (false) {",
                         "pinsLeaveADrainingCacheAtOnceAndComeBackPaced"),
                 new SourceMutation(
@@ -198,26 +198,26 @@
                 new SourceMutation(
                         "pins do not come home",
                         "StickyReplicaTable",
-                        "if (home != endpoint && isBackHome(now, home, key)) {",
+                        "if (home != endpoint && isHomeAvailable(now, home, key)) {",
                         "if (false) {",
                         "pinsLeaveADrainingCacheAtOnceAndComeBackPaced"),
                 new SourceMutation(
                         "a cache that started again has what it had",
                         "StickyReplicaTable",
-                        "cache.startedUs() != state.startedUs",
+                        "replica.startedUs() != state.startedUs",
                         "false",
                         "aCacheThatStartedAgainHoldsNothing"),
                 new SourceMutation(
                         "an older word counts",
                         "ReplicaIndex",
-                        "Math.max(mintedUs, table.value(at))",
-                        "mintedUs",
+                        "Math.max(originTimeUs, table.first(index))",
+                        "originTimeUs",
                         "whatALaterWordTellsOfAnOlderCopyChangesNothing"),
                 new SourceMutation(
                         "a purge leaves what is known",
                         "ReplicaIndex",
-                        "table.value(i) < atUs",
-                        "table.value(i) < 0",
+                        "table.first(i) < purgedAtUs",
+                        "table.first(i) < 0",
                         "whatALaterWordTellsOfAnOlderCopyChangesNothing"),
                 new SourceMutation(
                         "the newest of a full set gives way",
@@ -228,20 +228,20 @@
                 new SourceMutation(
                         "who starts asks nobody",
                         "ReplicaGossip",
-                        "fullRequestsLeft = FULL_REQUESTS;",
-                        "fullRequestsLeft = 0;",
+                        "fullStateRequestsLeft = FULL_STATE_REQUESTS;",
+                        "fullStateRequestsLeft = 0;",
                         "aFrontThatStartsAgainHasItsCopiesPinsAndClockFromAnother"),
                 new SourceMutation(
                         "ticks have no limit",
                         "ReplicaGossip",
-                        "int messagesLeft = MAX_DATAGRAMS;",
+                        "int messagesLeft = MAX_DATAGRAMS_PER_TICK;",
                         "int messagesLeft = 1_000_000;",
                         "whatFrontsTellIsBounded"),
                 new SourceMutation(
                         "a copy is told to every front",
                         "ReplicaGossip",
-                        "int to = Math.min(RECEIVERS, routers.size());",
-                        "int to = Math.min(MAX_DATAGRAMS, routers.size());",
+                        "int to = Math.min(RECEIVERS_PER_MESSAGE, routers.size());",
+                        "int to = Math.min(MAX_DATAGRAMS_PER_TICK, routers.size());",
                         "aCopyIsToldToFourFrontsInTurn"),
                 new SourceMutation(
                         "any version is read",
@@ -277,7 +277,8 @@
                 .enableTestEngineAutoRegistration(false)
                 .addTestEngines(new JupiterTestEngine())
                 .build();
-        Class<?> its = Stream.of(ReadHintTest.class, PartsTest.class, CasesTest.class, StalenessProperties.class)
+        Class<?> its = Stream.of(
+                        ReadHintTest.class, StalenessComponentsTest.class, CasesTest.class, StalenessProperties.class)
                 .filter(test -> Stream.of(test.getDeclaredMethods())
                         .anyMatch(method -> method.getName().equals(args[0])))
                 .findFirst()
--- a/src/test/java/magpiewheel/staleness/StalenessWorld.java
+++ b/src/test/java/magpiewheel/staleness/StalenessWorld.java
@@ -560,7 +560,7 @@
             } else if (bound.strict() || got == null) {
                 to.accept(new Reply(null, -1, false));
             } else {
-                to.accept(new Reply(got, pins.ageMsBeyond(clock(), bound, got.mintedMs() * MS), false));
+                to.accept(new Reply(got, pins.violatingAgeMs(clock(), bound, got.mintedMs() * MS), false));
             }
         }
 
