--- a/src/main/java/magpiewheel/staleness/BoundedStalenessReads.java
+++ b/src/main/java/magpiewheel/staleness/BoundedStalenessReads.java
@@ -4,25 +4,29 @@
 import magpiewheel.membership.MembershipView;
 
 /**
- * One router's part in reads of bounded staleness: sets the bound of a read, prefers a replica, and proves each copy
- * before it is delivered. It is notified of events, is called when {@link #due} says, and never waits.
+ * Bounded-staleness reads of one router: computes the staleness bound of a read, selects a preferred replica, and
+ * verifies each copy before it is delivered. Driven by events and by calls of {@link #tick} at {@link #due}; never
+ * blocks.
  *
- * <p>Times are microseconds of the router's own Unix clock; origin times, marks and purges are of the origin's. One
- * thread at a time.
+ * <p>Times are microseconds of this router's Unix clock; origin times, marks and purge times are by the origin's clock.
+ * Not thread-safe: one thread at a time.
  */
 public final class BoundedStalenessReads {
-    /** Known copies and pins that are held, and how long they are kept unused. */
+    /** Capacity of the replica index. */
     private static final int MAX_REPLICAS = 1 << 15;
-
+    /** Capacity of the table of sticky replicas. */
     private static final int MAX_STICKY_REPLICAS = 1 << 14;
+    /** A replica's known copy expires if it was not observed for this long. */
     private static final long REPLICA_IDLE_EXPIRY_US = 120_000_000;
+    /** A sticky replica expires if it did not serve its session for this long. */
     private static final long STICKY_REPLICA_IDLE_EXPIRY_US = 600_000_000;
-    /** A mark this far past the origin's latest time can't be met while a client waits. */
+    /** A mark further than this beyond the latest possible origin time cannot be reached while a client waits. */
     private static final long MAX_MARK_LEAD_US = 2_000_000;
-    /** The pause of a refusal: a beat of the board, and a little more with the board cut off. */
+    /** Retry-after time of a read that is rejected for its bound: one discovery heartbeat. */
     private static final long RETRY_AFTER_US = 300_000;
-
+    /** Longer retry-after time while discovery is cut off. */
     private static final long CUT_OFF_RETRY_AFTER_US = 1_000_000;
+
     private final OriginClock originClock = new OriginClock();
     private final DiscoveryFreshness discovery;
     private final ReplicaIndex replicas = new ReplicaIndex(MAX_REPLICAS, REPLICA_IDLE_EXPIRY_US);
@@ -30,18 +34,18 @@
             new StickyReplicaTable(MAX_STICKY_REPLICAS, STICKY_REPLICA_IDLE_EXPIRY_US);
     private final ReplicaGossip gossip;
 
-    /** The reads of one router, which knows nothing yet; replicas come with {@link #replicasChanged}. */
+    /** Creates the state of a router that starts; replicas are set by {@link #replicasChanged}. */
     public BoundedStalenessReads(long now, int routerId, int zone, MembershipView membership, GossipSender sender) {
         discovery = new DiscoveryFreshness(now);
         gossip = new ReplicaGossip(now, routerId, zone, membership, sender, originClock, replicas, stickyReplicas);
     }
 
-    // ---------------------------------------------------------------- what a copy must keep to
+    // ---------------------------------------------------------------- staleness bounds
 
     /**
-     * What a hint asks of a copy. The class's fresh time and grace bound it as well (0 and 0: nothing of the class is
-     * kept, and the origin itself answers, which meets any hint); the time of the object's last purge is of the
-     * origin's clock.
+     * Returns the staleness bound that a hint sets. The age is also limited by the fresh time and the grace of the
+     * request's class; if both are 0, nothing of the class is cached and the origin itself answers, which satisfies any
+     * hint, so there is no bound. {@code purgeUs} is the time of the object's last purge by the origin's clock.
      */
     public StalenessBound boundOf(long now, ReadHint hint, long freshUs, long graceUs, long purgeUs) {
         if (!hint.isBounded() || freshUs + graceUs <= 0) {
@@ -64,7 +68,7 @@
         return new StalenessBound(oldestAcceptableUs, provable, hint.strict(), notBeforeUs, now, allowedAgeUs, freshUs);
     }
 
-    /** The oldest age in us that a node may answer with, at least 1; 0 where nothing is asked. */
+    /** Returns the maximum age in us that an endpoint may answer with, at least 1; 0 for a read without a bound. */
     public long maxAgeUs(long now, StalenessBound bound) {
         if (!bound.isBounded()) {
             return 0;
@@ -73,15 +77,19 @@
         return Math.max(1, bound.freshUs() > 0 ? Math.min(allowedAgeUs, bound.freshUs()) : allowedAgeUs);
     }
 
-    /** Likewise of one node: 1 where its known copy will not do, whatever its clock makes of that copy's age. */
+    /**
+     * Returns the maximum age in us for one endpoint: 1 if its known copy violates the bound, so that it does not serve
+     * that copy even if its own clock makes the copy look young enough.
+     */
     public long maxAgeUs(long now, long object, int part, long endpoint, StalenessBound bound) {
         long originTimeUs = bound.isBounded() ? replicas.originTimeOf(now, object, part, endpoint) : 0;
         return originTimeUs > 0 && !accepts(now, bound, originTimeUs) ? 1 : maxAgeUs(now, bound);
     }
 
     /**
-     * The last and only proof, asked of every copy before it is passed on. What was learnt of the origin's clock since
-     * the request came counts: a copy that the origin gave out after that is admitted, however little was known before.
+     * Whether a copy provably satisfies the bound. This is the only proof, made for every copy before it is delivered.
+     * It uses what is known of the origin's clock by now: a copy that the origin issued after the request arrived is
+     * accepted even if the clock was unknown at arrival.
      */
     public boolean accepts(long now, StalenessBound bound, long originTimeUs) {
         if (!bound.isBounded()) {
@@ -96,37 +104,37 @@
     }
 
     /**
-     * Whether only what the origin gives out for the request itself can prove a strict read: nothing is known of its
-     * clock yet.
+     * Whether a strict read can only be proven by a response that the origin gives to the request itself, because the
+     * origin's clock is not known yet.
      */
     public boolean requiresOriginResponse(long now, StalenessBound bound) {
         return bound.strict() && bound.maxAgeUs() > 0 && !originClock.isKnown(now);
     }
 
     /**
-     * Whether such a read may go out, with so many under way: one at a time, since the answer to one teaches the clock
-     * to all.
+     * Whether another read that {@linkplain #requiresOriginResponse requires a response of the origin} may be sent.
+     * Only one may be in flight at a time, since one response makes the origin's clock known for all reads.
      */
     public static boolean mayReadOrigin(int readsInFlight) {
         return readsInFlight == 0;
     }
 
-    /** How long a client is to wait that was rejected for its bound, us. */
+    /** Returns the retry-after time in us of a read that was rejected for its bound. */
     public long retryAfterUs(long now) {
         return discovery.state(now) == DiscoveryFreshness.State.CUT_OFF ? CUT_OFF_RETRY_AFTER_US : RETRY_AFTER_US;
     }
 
     /**
-     * The mark to hand back, in ms: of a write one more than its answer's, since a copy of that ms may be from before
-     * it.
+     * Returns the mark in ms to put into a reply, 0 if the origin time is unknown. The mark of a write is 1 ms later
+     * than its origin time, since a copy issued in the same ms may predate the write.
      */
     public static long markOf(long originTimeUs, boolean write) {
         return originTimeUs <= 0 ? 0 : originTimeUs / 1000 + (write ? 1 : 0);
     }
 
     /**
-     * The age in ms of a copy that does not keep to a bound, error included; 0 if it does, -1 if nothing bounds its
-     * age.
+     * Returns an upper bound of the age in ms of a copy that violates its staleness bound, including the uncertainty of
+     * the origin's clock; 0 if the copy satisfies the bound, -1 if its age is unknown.
      */
     public long violatingAgeMs(long now, StalenessBound bound, long originTimeUs) {
         if (accepts(now, bound, originTimeUs)) {
@@ -137,9 +145,13 @@
                 : Math.max(1, (originClock.latest(bound.requestedAt()) - originTimeUs + 999) / 1000);
     }
 
-    // ---------------------------------------------------------------- which replica
+    // ---------------------------------------------------------------- replica selection
 
-    /** The replica to prefer among the candidates, which are in order of preference; 0 for that order. */
+    /**
+     * Returns the replica to prefer over the given order of candidates, or 0 to keep that order. A session's sticky
+     * replica comes first unless its known copy violates the bound, then the first candidate whose known copy satisfies
+     * the bound.
+     */
     public long preferredReplica(
             long now, ReadHint hint, long object, int part, List<Long> candidates, StalenessBound bound) {
         if (hint.session() != 0) {
@@ -166,16 +178,20 @@
     }
 
     /**
-     * Whether what a cache or a leading parent is known to hold can satisfy; of one that is not known, no strict read.
+     * Whether the copy that a cache or a leading parent is known to hold satisfies the bound; if no copy is known, true
+     * except for strict reads.
      */
     public boolean mayBeAcceptable(long now, long object, int part, long endpoint, StalenessBound bound) {
         long originTimeUs = replicas.originTimeOf(now, object, part, endpoint);
         return originTimeUs == 0 ? !bound.strict() : accepts(now, bound, originTimeUs);
     }
 
-    // ---------------------------------------------------------------- what happens
+    // ---------------------------------------------------------------- events
 
-    /** An endpoint answered a read with a copy. */
+    /**
+     * Records that an endpoint served a read, with the origin time of its copy (0 if unknown): updates the replica
+     * index and the session's sticky replica, and queues changes for gossip.
+     */
     public void responseServed(long now, ReadHint hint, long object, int part, long endpoint, long originTimeUs) {
         if (originTimeUs > 0) {
             originClock.raiseLowerBound(now, originTimeUs);
@@ -190,8 +206,9 @@
     }
 
     /**
-     * A copy came that was asked for at a time. {@code viaOrigin} only if the origin gave it out for this very request:
-     * a fill from the origin that joined none under way.
+     * Updates the bounds of the origin's clock from a response. {@code viaOrigin} may be true only if the origin issued
+     * the copy for this request: a fill from the origin that did not join another fill in flight. Other copies may have
+     * been issued before the request was sent and give only a lower bound.
      */
     public void responseReceived(long sentUs, long receivedUs, long originTimeUs, boolean viaOrigin) {
         if (originTimeUs <= 0) {
@@ -204,16 +221,17 @@
     }
 
     /**
-     * A write was answered; writes ignore pins. It proves that the origin's clock was past its time, but not that it
-     * was not past it when this try was sent: a keyed write that was done before may be answered with the time at which
-     * it was done.
+     * Updates the lower bound of the origin's clock from the response to a write; writes ignore sticky replicas. There
+     * is no upper bound: a write with an idempotency key that was executed before may be answered with the time of that
+     * execution, which can precede the sending of this attempt.
      */
     public void writeAnswered(long sentUs, long receivedUs, long originTimeUs) {
         responseReceived(sentUs, receivedUs, originTimeUs, false);
     }
 
     /**
-     * An object, or with object 0 a group, was purged at a time of the origin's: the bound of a read brings a group's.
+     * Removes copies of a purged object that are older than the purge, by the origin's clock. Object 0 means that a
+     * group was purged; nothing is removed then, since the bound of a read includes the purge time of its group.
      */
     public void objectPurged(long now, long object, int group, long purgedAtUs) {
         if (object != 0) {
@@ -221,61 +239,61 @@
         }
     }
 
-    /** The caches of the branch as the list has them; who is no more in it is gone from this moment. */
+    /** Sets the caches of the zone as discovery lists them; a cache that is not listed counts as removed. */
     public void replicasChanged(long now, List<Replica> listed) {
         stickyReplicas.replicasChanged(now, listed).forEach(replicas::forget);
     }
 
-    /** Discovery was heard, be it by an empty frame. */
+    /** Records that a frame of discovery was received, which may be empty. */
     public void discoveryHeard(long now) {
         discovery.heard(now);
     }
 
-    // ---------------------------------------------------------------- figures
+    // ---------------------------------------------------------------- statistics
 
-    /** How many sessions stick to a replica. */
+    /** Returns the number of sticky replicas held, one per session and object. */
     public int stickyReplicas() {
         return stickyReplicas.totalAssigned();
     }
 
-    /** The width of what is known of the origin's clock, us; -1 where it has no end. */
+    /** Returns the width in us of the interval that contains the origin's clock; -1 if it is unbounded. */
     public long clockUncertaintyUs(long now) {
         return originClock.widthUs(now);
     }
 
-    /** How discovery's silence limits strict reads: 0 not at all, 1 silent, 2 cut off. */
+    /** Returns how missing discovery frames limit strict reads: 0 no limit, 1 silent, 2 cut off. */
     public int discoveryState(long now) {
         return discovery.state(now).ordinal();
     }
 
-    /** How often a clock was found to have been stepped. */
+    /** Returns how often contradicting clock bounds showed that a clock was stepped. */
     public long clockSteps() {
         return originClock.clockSteps();
     }
 
-    /** Datagrams that were malformed. */
+    /** Returns the number of malformed datagrams received. */
     public long malformedMessages() {
         return gossip.malformed();
     }
 
     // ---------------------------------------------------------------- messages
 
-    /** Whether a message belongs to the reads of bounded staleness. */
+    /** Whether a datagram belongs to the gossip of bounded-staleness reads. */
     public static boolean isStalenessMessage(byte[] message) {
         return message.length > 0 && message[0] == ReplicaGossip.PROTOCOL_BYTE;
     }
 
-    /** A datagram came from a router. */
+    /** Handles a datagram of another router. */
     public void messageReceived(long now, int from, byte[] message) {
         gossip.messageReceived(now, from, message);
     }
 
-    /** Call at {@link #due}. */
+    /** Sends queued gossip; to be called at {@link #due}. */
     public void tick(long now) {
         gossip.tick(now);
     }
 
-    /** When the next tick is due. */
+    /** Returns the time at which the next tick is due, us. */
     public long due() {
         return gossip.due();
     }
--- a/src/main/java/magpiewheel/staleness/DiscoveryFreshness.java
+++ b/src/main/java/magpiewheel/staleness/DiscoveryFreshness.java
@@ -1,24 +1,30 @@
 package magpiewheel.staleness;
 
-/** How long discovery has been silent, and what strict reads may still prove. */
+/** Derives from the time since the last discovery frame what strict reads can still prove. */
 final class DiscoveryFreshness {
-    /** The board speaks each second; past this its connection counts as lost, and purges may be missed. */
+    /**
+     * Discovery sends a frame each second; without one for this long, its connection counts as lost and purges may have
+     * been missed.
+     */
     static final long SILENT_AFTER_US = 2_300_000;
-    /** Past this a purge counts as told to every front. */
+    /** Time after which a purge counts as delivered to every router. */
     static final long CUT_OFF_AFTER_US = 7_000_000;
-    /** So long it must have been heard again before purges count as caught up: one empty frame more. */
+    /** Time after a silence until missed purges count as received: one more empty frame. */
     static final long CATCH_UP_US = 1_200_000;
 
     private long heard;
     private long heardSince;
 
-    /** What a front may still prove. */
+    /** What a router can still prove. */
     enum State {
-        /** All that hints ask. */
+        /** Any bound of a hint. */
         HEARD,
-        /** A purge may be missed that is older than the silence allowed: only copies younger than that silence. */
+        /**
+         * Purges may have been missed: only that a copy is at most {@link #SILENT_AFTER_US} old, since a purge that it
+         * violates is then as recent.
+         */
         SILENT,
-        /** Nothing. */
+        /** Nothing: every strict read is rejected. */
         CUT_OFF
     }
 
--- a/src/main/java/magpiewheel/staleness/GossipSender.java
+++ b/src/main/java/magpiewheel/staleness/GossipSender.java
@@ -1,7 +1,7 @@
 package magpiewheel.staleness;
 
-/** Sends the messages of reads of bounded staleness. It may not wait. */
+/** Sends the gossip datagrams of bounded-staleness reads. Implementations must not block. */
 public interface GossipSender {
-    /** One datagram of at most 256 bytes to a front. */
+    /** Sends one datagram of at most 256 bytes to a router. */
     void send(int router, byte[] message);
 }
--- a/src/main/java/magpiewheel/staleness/InvalidHintException.java
+++ b/src/main/java/magpiewheel/staleness/InvalidHintException.java
@@ -1,6 +1,6 @@
 package magpiewheel.staleness;
 
-/** A hint that can't be used; the message is one sentence for the client. */
+/** A read hint that cannot be parsed; the message is one sentence that is sent to the client. */
 public final class InvalidHintException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/magpiewheel/staleness/OriginClock.java
+++ b/src/main/java/magpiewheel/staleness/OriginClock.java
@@ -1,15 +1,15 @@
 package magpiewheel.staleness;
 
 /**
- * The offset of the origin's clock from the own, as an interval that contains it for certain. Each bound was measured
- * at a moment, and widens with the distance from it by {@link #DRIFT_PPM}.
+ * The offset of the origin's clock from this router's clock, as an interval that is certain to contain it. Each bound
+ * widens by {@link #DRIFT_PPM} with the time since it was measured.
  */
 final class OriginClock {
-    /** Both clocks may be slewed by 500 ppm, the most that kernels allow, and be wrong by 100 ppm besides. */
+    /** Each of the two clocks may be slewed by 500 ppm, the kernel's maximum, and be off by another 100 ppm. */
     static final long DRIFT_PPM = 1_200;
-    /** Marks are whole ms, rounded down. */
+    /** Origin times are whole ms, rounded down. */
     static final long ORIGIN_TIME_RESOLUTION_US = 1_000;
-    /** An upper bound this far above the lower one is as good as none. */
+    /** A wider interval is of no use: the upper bound counts as unknown. */
     static final long MAX_WIDTH_US = 2_000_000;
 
     private long lowerOffsetUs = Long.MIN_VALUE;
@@ -18,7 +18,10 @@
     private long upperMeasuredAt;
     private long clockSteps;
 
-    /** A copy minted at a time of the origin's was here at a time of the own clock. */
+    /**
+     * Raises the lower bound: a copy with origin time {@code originTimeUs} was here at {@code now}. Discards an upper
+     * bound that contradicts it, since a clock must have been stepped.
+     */
     void raiseLowerBound(long now, long originTimeUs) {
         long offsetUs = originTimeUs - now;
         if (lowerOffsetUs == Long.MIN_VALUE || offsetUs > lowerOffsetAt(now)) {
@@ -31,7 +34,10 @@
         }
     }
 
-    /** The origin's clock had not passed a time when the own one showed another. */
+    /**
+     * Lowers the upper bound: the origin's clock had not passed {@code originTimeUs} when this router's clock showed
+     * {@code at}. Discards a lower bound that contradicts it, since a clock must have been stepped.
+     */
     void lowerUpperBound(long at, long originTimeUs) {
         long offsetUs = originTimeUs - at;
         if (upperOffsetUs == Long.MAX_VALUE || offsetUs < upperOffsetAt(at)) {
@@ -44,30 +50,30 @@
         }
     }
 
-    /** Whether the origin's time has an upper bound that is of use. */
+    /** Whether the origin's time has an upper bound, within {@link #MAX_WIDTH_US} of any lower bound. */
     boolean isKnown(long now) {
         return upperOffsetUs != Long.MAX_VALUE
                 && (lowerOffsetUs == Long.MIN_VALUE || upperOffsetAt(now) - lowerOffsetAt(now) <= MAX_WIDTH_US);
     }
 
-    /** The latest that the origin's clock may show; only where {@link #isKnown}. */
+    /** Returns the latest time that the origin's clock may show; valid only if {@link #isKnown}. */
     long latest(long now) {
         return now + upperOffsetAt(now);
     }
 
-    /** The earliest that it may show; the own clock's time where nothing is known. */
+    /** Returns the earliest time that the origin's clock may show; {@code now} if there is no lower bound. */
     long earliest(long now) {
         return lowerOffsetUs == Long.MIN_VALUE ? now : now + lowerOffsetAt(now);
     }
 
-    /** The width of the interval, or -1 where it has no end. */
+    /** Returns the width of the interval in us, or -1 if a bound is missing. */
     long widthUs(long now) {
         return lowerOffsetUs == Long.MIN_VALUE || upperOffsetUs == Long.MAX_VALUE
                 ? -1
                 : upperOffsetAt(now) - lowerOffsetAt(now);
     }
 
-    /** How often a clock was found to have been stepped: what was seen could not all be true. */
+    /** Returns how often two bounds contradicted each other, which shows that a clock was stepped. */
     long clockSteps() {
         return clockSteps;
     }
--- a/src/main/java/magpiewheel/staleness/ReadHint.java
+++ b/src/main/java/magpiewheel/staleness/ReadHint.java
@@ -1,23 +1,29 @@
 package magpiewheel.staleness;
 
 /**
- * What an application asks of one read; 0 or false for nothing.
+ * An application's consistency requirements for one read; 0 or false where the hint has no such word.
  *
- * @param atMostUs the largest age of the copy
- * @param afterMs a mark: nothing older is acceptable, Unix milliseconds of the origin
- * @param session a session whose reads stick to a replica
- * @param strict whether a copy that violates this is rejected
+ * @param atMostUs the maximum age of the copy, us
+ * @param afterMs a mark: the minimum origin time of the copy, Unix milliseconds of the origin's clock
+ * @param session the session whose reads stick to a replica
+ * @param strict whether the read fails rather than deliver a copy that violates the bound
  */
 public record ReadHint(long atMostUs, long afterMs, long session, boolean strict) {
-    /** Asks nothing. */
+    /** No requirements. */
     public static final ReadHint NONE = new ReadHint(0, 0, 0, false);
-    /** The longest text, the largest staleness in ms (a day) and the last mark (the end of the year 9999). */
+    /** Maximum length of a hint in characters. */
     static final int MAX_LENGTH = 128;
-
+    /** Maximum staleness: one day. */
     static final long MAX_STALENESS_MS = 86_400_000;
+    /** Maximum mark: the end of the year 9999. */
     static final long MAX_MARK_MS = 253_402_300_799_999L;
 
-    /** Words joined by {@code +}, a value behind {@code :}, each word once: at_most, after, pin, strict, prefer. */
+    /**
+     * Parses a hint: words joined by {@code +}, values after {@code :}, each word at most once. The words are at_most,
+     * after, pin, strict and prefer.
+     *
+     * @throws InvalidHintException with a sentence for the client if the hint is malformed
+     */
     public static ReadHint parse(String text) throws InvalidHintException {
         if (text.isEmpty()) {
             throw new InvalidHintException("The hint is empty.");
@@ -53,7 +59,7 @@
         return new ReadHint(atMost * 1000, after, session, strict);
     }
 
-    /** Whether the read has anything to hold a copy against. */
+    /** Whether the hint limits which copies are acceptable. */
     public boolean isBounded() {
         return atMostUs > 0 || afterMs > 0;
     }
@@ -96,7 +102,7 @@
         }
     }
 
-    /** What a client sent, fit for one line of an answer. */
+    /** Returns an unknown word of the client in a form that is safe in a one-line reply. */
     private static String printable(String name) {
         String replaced = name.replaceAll("[^a-zA-Z0-9_-]", "?");
         return replaced.isEmpty() ? "an empty one" : replaced.length() > 20 ? replaced.substring(0, 20) : replaced;
--- a/src/main/java/magpiewheel/staleness/ReplicaGossip.java
+++ b/src/main/java/magpiewheel/staleness/ReplicaGossip.java
@@ -10,41 +10,47 @@
 import magpiewheel.membership.MembershipView;
 
 /**
- * What routers send each other for reads of bounded staleness: replicas with their origin times and sticky replicas,
- * within a zone, and bounds of the origin's clock. A tick sends a bounded number of datagrams; what the queue can't
- * hold is not sent.
+ * Gossip between the routers of a zone for bounded-staleness reads: known replicas with their origin times, sticky
+ * replicas, and bounds of the origin's clock. Each tick sends a bounded number of datagrams; entries that exceed the
+ * queue are dropped.
  */
 final class ReplicaGossip {
-    /** The first byte of every datagram, and the version. */
+    /** The first byte of every datagram. */
     static final byte PROTOCOL_BYTE = (byte) 0xe2;
-
+    /** The second byte of every datagram. */
     private static final byte VERSION = 1;
+
     private static final byte REPLICAS = 1;
     private static final byte STICKY_REPLICAS = 2;
     private static final byte CLOCK_REQUEST = 3;
     private static final byte CLOCK_ANSWER = 4;
-    /** Pins from before, for a front that started: what it knows by itself is newer. */
+    /** Earlier sticky replicas, sent to a router that started; they do not override those that it knows already. */
     private static final byte REMEMBERED_STICKY_REPLICAS = 5;
-    /** From one tick to the next; fronts told in one; datagrams in one. */
+    /** Interval between ticks. */
     static final long TICK_US = 250_000;
-
+    /** Number of routers that receive each message. */
     static final int RECEIVERS_PER_MESSAGE = 4;
+    /** Maximum number of datagrams per tick, besides clock requests and answers. */
     static final int MAX_DATAGRAMS_PER_TICK = 8;
-    /** Words in a datagram: three of eight bytes, and for a copy two more of its part. */
+    /** Protocol byte, version, kind and entry count. */
     private static final int HEADER_BYTES = 4;
-
+    /** Maximum number of replicas in a datagram, each of three 8-byte fields and the 2-byte part number. */
     private static final int REPLICAS_PER_MESSAGE = 9;
+    /** Maximum number of sticky replicas in a datagram, each of three 8-byte fields. */
     private static final int STICKY_PER_MESSAGE = 10;
-    /** News that wait, and what is kept for fronts that start. */
+    /** Maximum number of queued entries of each kind. */
     private static final int MAX_QUEUED = 256;
-
+    /** Number of latest entries of each kind that are kept for routers that start. */
     private static final int MAX_REMEMBERED = 1_024;
-    /** A clock that is known worse than this is asked about, one front each time; an answer counts so long. */
+    /** If the interval of the origin's clock is wider than this, another router is asked for its bounds. */
     private static final long PRECISE_CLOCK_WIDTH_US = 25_000;
-
+    /**
+     * Minimum interval between clock requests after the first {@link #FULL_STATE_REQUESTS}; each goes to one router.
+     */
     private static final long REQUEST_INTERVAL_US = 500_000;
+    /** Clock answers that arrive later than this after the request are ignored. */
     private static final long MAX_ANSWER_AGE_US = 3_000_000;
-    /** So many fronts are asked for all they have at the start. */
+    /** Number of clock requests after the start that also ask for all remembered entries. */
     private static final int FULL_STATE_REQUESTS = 2;
 
     private final int routerId;
@@ -65,10 +71,10 @@
     private int nextReceiver;
     private long malformed;
 
-    /** A copy that a node holds, or with a session a pin. */
+    /** A copy that an endpoint holds or, with a session other than 0, a sticky replica. */
     private record Entry(long session, long object, int part, long endpoint, long originTimeUs) {}
 
-    /** Words of one kind: those that wait, and the last ones. */
+    /** Entries of one kind: those queued for sending, and the latest ones for routers that start. */
     private static final class EntryQueue {
         final ArrayDeque<Entry> queued = new ArrayDeque<>();
         final ArrayDeque<Entry> remembered = new ArrayDeque<>();
@@ -116,7 +122,7 @@
         return due;
     }
 
-    /** Datagrams that could not be used. */
+    /** Returns the number of datagrams that could not be parsed. */
     long malformed() {
         return malformed;
     }
@@ -168,7 +174,7 @@
         fullStateRequestsLeft = Math.max(0, fullStateRequestsLeft - 1);
     }
 
-    /** As many of the first entries as fit. */
+    /** Removes the first entries, as many as fit into a datagram, and encodes them. */
     private static byte[] encodeEntries(ArrayDeque<Entry> entries, byte kind) {
         boolean isSticky = kind != REPLICAS;
         List<Entry> taken = new ArrayList<>();
@@ -195,7 +201,7 @@
                 .put((byte) count);
     }
 
-    /** Whatever can't be used has no effect and is counted. */
+    /** Handles a datagram; one that cannot be parsed is counted, and ignored from the first missing field on. */
     void messageReceived(long now, int from, byte[] message) {
         ByteBuffer bytes = ByteBuffer.wrap(message);
         try {
@@ -256,7 +262,7 @@
         }
     }
 
-    /** The newest first: they are the likeliest to be asked for. */
+    /** Queues remembered entries for a router, newest first, since those are the most likely to be requested. */
     private void queueRemembered(int to, ArrayDeque<Entry> remembered, byte kind) {
         ArrayDeque<Entry> entries = new ArrayDeque<>();
         remembered.forEach(entries::addFirst);
@@ -266,7 +272,10 @@
         }
     }
 
-    /** The origin's clock was past the earliest when the answer came, and not past the latest when it was asked for. */
+    /**
+     * Applies another router's bounds of the origin's clock: the lower bound holds at the receipt of the answer, the
+     * upper bound at the sending of the request.
+     */
     private void clockAnswerReceived(long now, int from, long echo, long earliest, long latest) {
         Long sent = requestsSent.get(from);
         if (sent == null || sent != echo || now - echo > MAX_ANSWER_AGE_US || latest == 0) {
--- a/src/main/java/magpiewheel/staleness/ReplicaIndex.java
+++ b/src/main/java/magpiewheel/staleness/ReplicaIndex.java
@@ -1,6 +1,9 @@
 package magpiewheel.staleness;
 
-/** Which cache was seen to hold a part, and the origin time of that copy. Bounded, expiring; never a proof. */
+/**
+ * The last known origin time of each endpoint's copy of an object part. Bounded, entries expire; a guess that guides
+ * the selection and never proves a read.
+ */
 final class ReplicaIndex {
     private final SetAssociativeTable table;
 
@@ -8,13 +11,13 @@
         table = new SetAssociativeTable(maxEntries, maxAgeUs);
     }
 
-    /** When the copy that a node was last seen with was minted, or 0. */
+    /** Returns the origin time of the last copy seen at an endpoint, or 0 if none is known. */
     long originTimeOf(long now, long object, int part, long endpoint) {
         int index = table.find(now, SetAssociativeTable.keyOf(object, part, endpoint));
         return index < 0 ? 0 : table.first(index);
     }
 
-    /** A node held a copy; whether that was news. What came late is from before. */
+    /** Records a copy that an endpoint holds. Returns whether it was newer than known; an older one changes nothing. */
     boolean observed(long now, long object, int part, long endpoint, long originTimeUs) {
         long key = SetAssociativeTable.keyOf(object, part, endpoint);
         int index = table.find(now, key);
@@ -27,7 +30,7 @@
         return newer;
     }
 
-    /** A cache has gone or has started again with nothing. */
+    /** Removes all copies of a cache that was removed or has restarted empty. */
     void forget(long endpoint) {
         for (int i = 0; i < table.size(); i++) {
             if (table.isUsed(i) && table.second(i) == endpoint) {
@@ -36,7 +39,7 @@
         }
     }
 
-    /** What was minted of an object before a purge is void. */
+    /** Removes the copies of an object that are older than a purge. */
     void removeOlder(long object, long purgedAtUs) {
         for (int i = 0; i < table.size(); i++) {
             if (table.isUsed(i) && table.third(i) == object && table.first(i) < purgedAtUs) {
--- a/src/main/java/magpiewheel/staleness/SetAssociativeTable.java
+++ b/src/main/java/magpiewheel/staleness/SetAssociativeTable.java
@@ -1,8 +1,8 @@
 package magpiewheel.staleness;
 
 /**
- * A bounded table of numbers in plain arrays, set-associative with eight ways: in a full set the least recently used
- * entry is replaced. Keys are hashed by the caller; two that collide share an entry, which costs a wrong guess and
+ * A bounded table of long values in plain arrays, set-associative with eight ways: in a full set the least recently
+ * used entry is replaced. Callers hash their keys; keys that collide share an entry, which may give a wrong guess but
  * never a wrong proof.
  */
 final class SetAssociativeTable {
@@ -14,7 +14,7 @@
     private final long[] lastUsedAt;
     private final long maxAgeUs;
 
-    /** Room for a power of two of entries, which are forgotten once unused for an age. */
+    /** Creates a table; {@code maxEntries} is a power of two, entries expire after {@code maxAgeUs} without use. */
     SetAssociativeTable(int maxEntries, long maxAgeUs) {
         keys = new long[maxEntries];
         first = new long[maxEntries];
@@ -24,7 +24,7 @@
         this.maxAgeUs = maxAgeUs;
     }
 
-    /** The entry of a key, or -1. */
+    /** Returns the index of a key's entry, or -1 if there is none or it has expired. */
     int find(long now, long key) {
         int start = firstIndexOfSet(key);
         for (int i = start; i < start + WAYS; i++) {
@@ -35,7 +35,7 @@
         return -1;
     }
 
-    /** The entry to put a new key at: empty, or aged, or unused for longest; see {@link #value} for what it held. */
+    /** Returns the index for a new key: an empty entry of its set, else the least recently used one. */
     int slotFor(long now, long key) {
         int start = firstIndexOfSet(key);
         int oldest = start;
@@ -65,7 +65,7 @@
         second[index] = 0;
     }
 
-    /** An entry's first value is 0 from now on. */
+    /** Sets an entry's first value to 0 and keeps the entry. */
     void clearFirst(int index) {
         first[index] = 0;
     }
@@ -98,11 +98,12 @@
         return (int) (key >>> 3) * WAYS & keys.length - 1;
     }
 
-    /** Mixes numbers into a key that is never 0 (the finaliser of SplitMix64). */
+    /** Hashes three values into a key. */
     static long keyOf(long one, long two, long three) {
         return hash(hash(hash(one) ^ two) ^ three);
     }
 
+    /** Hashes a value with the finaliser of SplitMix64. */
     static long hash(long value) {
         long z = value + 0x9e3779b97f4a7c15L;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
--- a/src/main/java/magpiewheel/staleness/StalenessBound.java
+++ b/src/main/java/magpiewheel/staleness/StalenessBound.java
@@ -3,12 +3,12 @@
 /**
  * The staleness bound of a read.
  *
- * @param oldestAcceptableUs the oldest acceptable origin time, by what was known when the bound was set
- * @param provable whether a strict read can be proven at all; else it is rejected at once
- * @param strict whether a copy that violates the bound may not be delivered
- * @param notBeforeUs the origin time of the mark or purge alone
- * @param requestedAt when the request came
- * @param maxAgeUs the age that is allowed at that time; 0 for any
+ * @param oldestAcceptableUs the oldest acceptable origin time, by what was known when the bound was computed
+ * @param provable whether a strict read can be proven at all; otherwise it is rejected at once
+ * @param strict whether the read fails rather than deliver a copy that violates the bound
+ * @param notBeforeUs the oldest origin time that the mark and the last purge allow, whatever the age
+ * @param requestedAt when the request arrived, us
+ * @param maxAgeUs the maximum age of a copy at that time; 0 for no limit
  * @param freshUs the fresh time of the request's class
  */
 public record StalenessBound(
@@ -19,15 +19,15 @@
         long requestedAt,
         long maxAgeUs,
         long freshUs) {
-    /** Nothing asked. */
+    /** No bound. */
     public static final StalenessBound NONE = new StalenessBound(0, true, false);
 
-    /** A bound that no clock has a part in. */
+    /** Creates a bound without a maximum age, which does not depend on the origin's clock. */
     public StalenessBound(long oldestAcceptableUs, boolean provable, boolean strict) {
         this(oldestAcceptableUs, provable, strict, oldestAcceptableUs, 0, 0, 0);
     }
 
-    /** Whether anything is asked. */
+    /** Whether the read has a staleness bound. */
     public boolean isBounded() {
         return oldestAcceptableUs > 0 || maxAgeUs > 0 || strict;
     }
--- a/src/main/java/magpiewheel/staleness/StickyReplicaTable.java
+++ b/src/main/java/magpiewheel/staleness/StickyReplicaTable.java
@@ -6,18 +6,20 @@
 import java.util.Map;
 
 /**
- * Which replica a session's reads of an object stick to. A replica takes sessions up to a cap by its weight in the
- * zone; those of one that drains or is removed are free at once, and return over {@link #RETURN_US} when it is back.
+ * The sticky replica of each session and object. A replica takes assignments up to a capacity by its weight in the
+ * zone. If it drains or is removed, its assignments are released at once; when it is available again, they return to it
+ * gradually over {@link #RETURN_US}.
  */
 final class StickyReplicaTable {
-    /** A cache may hold so much more than its share, and so many in any case. */
+    /** Capacity of a replica, as a multiple of its share by weight. */
     static final double MAX_LOAD_FACTOR = 1.25;
-
+    /** Minimum capacity of a replica, whatever its share. */
     static final int MIN_CAPACITY = 16;
-    /** Over so long a cache that came back gets its pins again. */
+    /** Time over which a replica that is available again gets its assignments back. */
     static final long RETURN_US = 20_000_000;
-
+    /** Time window in which {@link #admitsMigration} counts. */
     private static final long WINDOW_US = 1_000_000;
+
     private final SetAssociativeTable table;
     private final Map<Long, ReplicaState> replicas = new HashMap<>();
     private double totalWeight;
@@ -25,7 +27,7 @@
     private int migrations;
     private long windowStartedAt;
 
-    /** A cache as the pins see it. */
+    /** State of one replica. */
     private static final class ReplicaState {
         boolean ready;
         double weight;
@@ -39,7 +41,7 @@
         table = new SetAssociativeTable(maxEntries, maxAgeUs);
     }
 
-    /** The cache that a session's reads of an object keep to, or 0. */
+    /** Returns the sticky replica of a session and object, or 0 if there is none or it is not available. */
     long replicaOf(long now, long session, long object) {
         long key = SetAssociativeTable.keyOf(session, object, 0);
         int index = table.find(now, key);
@@ -54,12 +56,15 @@
         return isReady(endpoint) ? endpoint : 0;
     }
 
-    /** Whether anything is known of a session and an object. */
+    /** Whether there is an entry for a session and object, even if its replica was released. */
     boolean contains(long now, long session, long object) {
         return table.find(now, SetAssociativeTable.keyOf(session, object, 0)) >= 0;
     }
 
-    /** Whether a pin is back at the cache it was taken at: by its state from 0 to 1, the same at every front. */
+    /**
+     * Whether an assignment returns to its home, the replica that it was first assigned to. The key's hash decides when
+     * within {@link #RETURN_US}, so every router decides the same.
+     */
     private boolean isHomeAvailable(long now, long home, long key) {
         ReplicaState state = replicas.get(home);
         if (state == null || !state.ready) {
@@ -74,7 +79,10 @@
         return state != null && state.ready;
     }
 
-    /** A cache served a session: it is pinned there where the cap lets it; whether a pin was taken or moved. */
+    /**
+     * Assigns a session and object to the replica that served it, if the replica has capacity. Returns whether the
+     * assignment is new or has moved.
+     */
     boolean assign(long now, long session, long object, long endpoint) {
         ReplicaState state = replicas.get(endpoint);
         if (state == null || !state.ready) {
@@ -118,8 +126,8 @@
     }
 
     /**
-     * Whether one more read may leave the module's order for a cache that is not first in it: by its share of each
-     * second.
+     * Whether one more read may go to a replica that is not first in the order of preference. Limits such reads per
+     * replica and second to its capacity by weight, and counts the read if admitted.
      */
     boolean admitsMigration(long now, long endpoint) {
         if (now - windowStartedAt >= WINDOW_US) {
@@ -141,7 +149,7 @@
         return true;
     }
 
-    /** The list as it stands; those that have lost all they held: gone, or started again. */
+    /** Applies the current list of replicas. Returns those that lost their copies: removed or restarted. */
     List<Long> replicasChanged(long now, List<Replica> listedReplicas) {
         List<Long> lostCopies = new ArrayList<>();
         Map<Long, Replica> listedById = new HashMap<>();
@@ -180,7 +188,7 @@
         return lostCopies;
     }
 
-    /** All pins of a cache are free; they know where they were. */
+    /** Releases all assignments of a replica; each keeps its home, so that it can return. */
     private void releaseAll(long endpoint) {
         for (int i = 0; i < table.size(); i++) {
             if (table.isUsed(i) && table.first(i) == endpoint) {
@@ -190,7 +198,7 @@
         }
     }
 
-    /** Pins held at a cache. */
+    /** Returns the number of assignments to a replica. */
     int assignedTo(long endpoint) {
         ReplicaState state = replicas.get(endpoint);
         return state == null ? 0 : state.assigned;
--- a/src/main/java/magpiewheel/staleness/package-info.java
+++ b/src/main/java/magpiewheel/staleness/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads with a staleness bound: hints of applications, bounds, proofs by the origin's clock, sticky replicas, and what
- * routers tell each other about them. Free of clocks, sockets and threads.
+ * Reads with a staleness bound: read hints of applications, staleness bounds and their proof by the origin's clock,
+ * sticky replicas, and the gossip between routers about them. Uses no system clock, sockets or threads.
  */
 package magpiewheel.staleness;
