--- a/src/test/java/magpiewheel/staleness/BoundedStalenessReadsTest.java
+++ b/src/test/java/magpiewheel/staleness/BoundedStalenessReadsTest.java
@@ -12,85 +12,85 @@
     private static final long MS = 1_000;
     private static final long FRESH = 5_000 * MS;
     private static final long GRACE = 10_000 * MS;
-    private final BoundedStalenessReads pins =
-            new BoundedStalenessReads(NOW - 10_000 * MS, 0, 0, new FixedMembershipView(), (front, message) -> {});
+    private final BoundedStalenessReads reads =
+            new BoundedStalenessReads(NOW - 10_000 * MS, 0, 0, new FixedMembershipView(), (router, message) -> {});
 
     /** The origin's clock is 300 ms ahead, as a fetch of 10 ms and the board of both seconds tell. */
-    private void told() {
-        pins.responseReceived(NOW - 20 * MS, NOW - 10 * MS, NOW + 285 * MS, true);
-        pins.discoveryHeard(NOW - 2_000 * MS);
-        pins.discoveryHeard(NOW);
+    private void makeOriginClockAndDiscoveryKnown() {
+        reads.responseReceived(NOW - 20 * MS, NOW - 10 * MS, NOW + 285 * MS, true);
+        reads.discoveryHeard(NOW - 2_000 * MS);
+        reads.discoveryHeard(NOW);
     }
 
     @Test
-    void afterNeedsNoClock() {
-        pins.discoveryHeard(NOW - 2_000 * MS);
-        pins.discoveryHeard(NOW);
-        StalenessBound bound = pins.boundOf(NOW, new ReadHint(0, NOW / MS + 400, 0, true), FRESH, GRACE, 0);
+    void marksNeedNoOriginClock() {
+        reads.discoveryHeard(NOW - 2_000 * MS);
+        reads.discoveryHeard(NOW);
+        StalenessBound bound = reads.boundOf(NOW, new ReadHint(0, NOW / MS + 400, 0, true), FRESH, GRACE, 0);
         assertTrue(bound.provable());
-        assertFalse(pins.accepts(NOW, bound, NOW + 399 * MS));
-        assertTrue(pins.accepts(NOW, bound, NOW + 400 * MS));
+        assertFalse(reads.accepts(NOW, bound, NOW + 399 * MS));
+        assertTrue(reads.accepts(NOW, bound, NOW + 400 * MS));
     }
 
     @Test
-    void atMostGoesByTheLatestThatTheOriginMayShow() {
-        told();
-        StalenessBound bound = pins.boundOf(NOW, new ReadHint(1_000 * MS, 0, 0, true), FRESH, GRACE, 0);
+    void maxAgeIsCheckedAgainstLatestOriginTime() {
+        makeOriginClockAndDiscoveryKnown();
+        StalenessBound bound = reads.boundOf(NOW, new ReadHint(1_000 * MS, 0, 0, true), FRESH, GRACE, 0);
         assertTrue(bound.provable());
         // Latest: minted and its ms, less the moment of sending, and 24 us of drift over 20 ms.
         long latest = NOW + 285 * MS + 20 * MS + MS + 24;
         assertEquals(latest - 1_000 * MS, bound.oldestAcceptableUs());
-        assertFalse(pins.accepts(NOW, bound, latest - 1_000 * MS - 1));
-        assertTrue(pins.accepts(NOW, bound, latest - 1_000 * MS));
-        assertTrue(pins.maxAgeUs(NOW, bound) <= 1_000 * MS);
-        assertEquals(0, pins.violatingAgeMs(NOW, bound, latest - 1_000 * MS));
-        assertEquals(1_001, pins.violatingAgeMs(NOW, bound, latest - 1_000 * MS - 1));
+        assertFalse(reads.accepts(NOW, bound, latest - 1_000 * MS - 1));
+        assertTrue(reads.accepts(NOW, bound, latest - 1_000 * MS));
+        assertTrue(reads.maxAgeUs(NOW, bound) <= 1_000 * MS);
+        assertEquals(0, reads.violatingAgeMs(NOW, bound, latest - 1_000 * MS));
+        assertEquals(1_001, reads.violatingAgeMs(NOW, bound, latest - 1_000 * MS - 1));
     }
 
     @Test
-    void withoutAClockOnlyTheOriginsAnswerProvesAtMost() {
-        pins.discoveryHeard(NOW - 2_000 * MS);
-        pins.discoveryHeard(NOW);
+    void withUnknownClockOnlyAnOriginResponseProvesMaxAge() {
+        reads.discoveryHeard(NOW - 2_000 * MS);
+        reads.discoveryHeard(NOW);
         ReadHint hint = new ReadHint(1_000 * MS, 0, 0, true);
-        StalenessBound strict = pins.boundOf(NOW, hint, FRESH, GRACE, 0);
-        assertTrue(strict.provable() && pins.requiresOriginResponse(NOW, strict));
-        assertFalse(pins.accepts(NOW, strict, NOW));
-        StalenessBound prefer = pins.boundOf(NOW, new ReadHint(1_000 * MS, 0, 0, false), FRESH, GRACE, 0);
-        assertFalse(pins.accepts(NOW, prefer, NOW));
-        assertFalse(pins.requiresOriginResponse(NOW, prefer));
-        assertEquals(-1, pins.violatingAgeMs(NOW, prefer, NOW));
+        StalenessBound strict = reads.boundOf(NOW, hint, FRESH, GRACE, 0);
+        assertTrue(strict.provable() && reads.requiresOriginResponse(NOW, strict));
+        assertFalse(reads.accepts(NOW, strict, NOW));
+        StalenessBound prefer = reads.boundOf(NOW, new ReadHint(1_000 * MS, 0, 0, false), FRESH, GRACE, 0);
+        assertFalse(reads.accepts(NOW, prefer, NOW));
+        assertFalse(reads.requiresOriginResponse(NOW, prefer));
+        assertEquals(-1, reads.violatingAgeMs(NOW, prefer, NOW));
         // A parent's copy, or one that joined a fill, proves nothing.
-        pins.responseReceived(NOW + 1 * MS, NOW + 900 * MS, NOW - 399 * MS, false);
-        assertFalse(pins.accepts(NOW + 900 * MS, strict, NOW - 399 * MS));
+        reads.responseReceived(NOW + 1 * MS, NOW + 900 * MS, NOW - 399 * MS, false);
+        assertFalse(reads.accepts(NOW + 900 * MS, strict, NOW - 399 * MS));
         // The origin gave it out for a request sent after the read came: whatever the clocks.
-        pins.responseReceived(NOW + 1 * MS, NOW + 900 * MS, NOW - 399 * MS, true);
-        assertTrue(pins.accepts(NOW + 900 * MS, prefer, NOW - 399 * MS));
-        assertTrue(pins.accepts(NOW + 900 * MS, strict, NOW - 399 * MS));
-        assertFalse(pins.requiresOriginResponse(NOW + 900 * MS, strict));
+        reads.responseReceived(NOW + 1 * MS, NOW + 900 * MS, NOW - 399 * MS, true);
+        assertTrue(reads.accepts(NOW + 900 * MS, prefer, NOW - 399 * MS));
+        assertTrue(reads.accepts(NOW + 900 * MS, strict, NOW - 399 * MS));
+        assertFalse(reads.requiresOriginResponse(NOW + 900 * MS, strict));
     }
 
     /**
      * One read teaches the clock: a second would only load the origin. Marks need no clock while the board is heard.
      */
     @Test
-    void oneReadAtATimeGoesForTheClock() {
-        pins.discoveryHeard(NOW - 2_000 * MS);
-        pins.discoveryHeard(NOW);
+    void onlyOneReadAtATimeLearnsTheOriginClock() {
+        reads.discoveryHeard(NOW - 2_000 * MS);
+        reads.discoveryHeard(NOW);
         assertTrue(BoundedStalenessReads.mayReadOrigin(0));
         assertFalse(BoundedStalenessReads.mayReadOrigin(1));
         ReadHint mark = new ReadHint(0, NOW / MS - 100, 0, true);
-        assertFalse(pins.requiresOriginResponse(NOW, pins.boundOf(NOW, mark, FRESH, GRACE, 0)));
+        assertFalse(reads.requiresOriginResponse(NOW, reads.boundOf(NOW, mark, FRESH, GRACE, 0)));
         long late = NOW + 3_000 * MS;
         assertTrue(
-                pins.requiresOriginResponse(late, pins.boundOf(late, mark, FRESH, GRACE, 0)),
+                reads.requiresOriginResponse(late, reads.boundOf(late, mark, FRESH, GRACE, 0)),
                 "a silent board bounds the age");
     }
 
     @Test
-    void nothingAskedBindsNothing() {
-        assertEquals(StalenessBound.NONE, pins.boundOf(NOW, ReadHint.NONE, FRESH, GRACE, NOW));
-        assertEquals(0, pins.maxAgeUs(NOW, StalenessBound.NONE));
-        assertTrue(pins.accepts(NOW, StalenessBound.NONE, 0));
-        assertEquals(0, pins.preferredReplica(NOW, ReadHint.NONE, 1, 0, List.of(1L, 2L), StalenessBound.NONE));
+    void readWithoutHintIsUnbounded() {
+        assertEquals(StalenessBound.NONE, reads.boundOf(NOW, ReadHint.NONE, FRESH, GRACE, NOW));
+        assertEquals(0, reads.maxAgeUs(NOW, StalenessBound.NONE));
+        assertTrue(reads.accepts(NOW, StalenessBound.NONE, 0));
+        assertEquals(0, reads.preferredReplica(NOW, ReadHint.NONE, 1, 0, List.of(1L, 2L), StalenessBound.NONE));
     }
 }
--- a/src/test/java/magpiewheel/staleness/CaseWorld.java
+++ b/src/test/java/magpiewheel/staleness/CaseWorld.java
@@ -11,13 +11,13 @@
     static final long OBJECT = 7;
     static final long SESSION = 0xaa;
     static final long PARENT = 101;
-    static final long AHEAD = 300 * MS;
+    static final long ORIGIN_CLOCK_OFFSET = 300 * MS;
     long now = 1_764_576_000_000_000L;
-    final BoundedStalenessReads pins =
-            new BoundedStalenessReads(now - 60_000 * MS, 0, 0, new FixedMembershipView(), (front, message) -> {});
+    final BoundedStalenessReads reads =
+            new BoundedStalenessReads(now - 60_000 * MS, 0, 0, new FixedMembershipView(), (router, message) -> {});
     private final Set<Long> draining = new TreeSet<>();
-    private final Set<Long> gone = new TreeSet<>();
-    long clockMs = 10;
+    private final Set<Long> removed = new TreeSet<>();
+    long clockWidthMs = 10;
     boolean heard = true;
     long fresh = 5_000 * MS;
     long grace = 10_000 * MS;
@@ -26,84 +26,85 @@
     ReadHint hint = ReadHint.NONE;
     StalenessBound bound;
     /** What the origin gave out for this read. */
-    long given;
+    long originTimeOfResponse;
 
     CaseWorld() {
-        list();
-        pins.discoveryHeard(now - 4_000 * MS);
-        pins.discoveryHeard(now - 2_000 * MS);
-        pins.discoveryHeard(now);
+        applyReplicaList();
+        reads.discoveryHeard(now - 4_000 * MS);
+        reads.discoveryHeard(now - 2_000 * MS);
+        reads.discoveryHeard(now);
     }
 
-    long origin() {
-        return now + AHEAD;
+    long originClock() {
+        return now + ORIGIN_CLOCK_OFFSET;
     }
 
-    void list() {
+    void applyReplicaList() {
         List<Replica> all = new ArrayList<>();
         for (long id = 1; id <= 4; id++) {
-            if (!gone.contains(id)) {
+            if (!removed.contains(id)) {
                 all.add(new Replica(id, draining.contains(id), 1, 0));
             }
         }
-        pins.replicasChanged(now, all);
+        reads.replicasChanged(now, all);
     }
 
-    void state(long node, String state) {
-        draining.remove(node);
-        gone.remove(node);
+    void setCacheState(long cache, String state) {
+        draining.remove(cache);
+        removed.remove(cache);
         if (state.equals("drains")) {
-            draining.add(node);
+            draining.add(cache);
         } else if (state.equals("is gone")) {
-            gone.add(node);
+            removed.add(cache);
         }
-        list();
+        applyReplicaList();
     }
 
     private List<Long> ready() {
         List<Long> ready = new ArrayList<>(List.of(1L, 2L, 3L, 4L));
         ready.removeAll(draining);
-        ready.removeAll(gone);
+        ready.removeAll(removed);
         return ready;
     }
 
-    void silent(long ms) {
+    void passWithoutDiscovery(long ms) {
         now += ms * MS;
     }
 
     /** Frames each half second, the last one now. */
-    void boardFor(long ms) {
+    void hearDiscoveryFor(long ms) {
         long from = now;
-        pins.discoveryHeard(from);
+        reads.discoveryHeard(from);
         for (long at = 100; at <= ms; at += 100) {
             now = from + at * MS;
-            pins.discoveryHeard(now);
+            reads.discoveryHeard(now);
         }
     }
 
     /** The read comes; marks are ms of the origin's clock, counted from now. */
     void read(String text) {
-        if (clockMs > 0) {
+        if (clockWidthMs > 0) {
             // So long a fetch leaves so much open at the upper end, and nothing at the lower.
-            pins.responseReceived(now - (clockMs - 1) * MS, now, origin(), true);
+            reads.responseReceived(now - (clockWidthMs - 1) * MS, now, originClock(), true);
         }
         try {
             java.util.regex.Matcher mark =
                     java.util.regex.Pattern.compile("after:(-?\\d+)").matcher(text);
             hint = text.isEmpty()
                     ? ReadHint.NONE
-                    : ReadHint.parse(mark.replaceAll(m -> "after:" + (origin() / MS + Long.parseLong(m.group(1)))));
-            bound = pins.boundOf(now, hint, fresh, grace, purge);
+                    : ReadHint.parse(
+                            mark.replaceAll(m -> "after:" + (originClock() / MS + Long.parseLong(m.group(1)))));
+            bound = reads.boundOf(now, hint, fresh, grace, purge);
         } catch (InvalidHintException e) {
             error = e.getMessage();
         }
     }
 
-    long minted(long ageMs) {
-        return origin() - ageMs * MS;
+    long originTimeAtAge(long ageMs) {
+        return originClock() - ageMs * MS;
     }
 
-    long asked() {
-        return pins.preferredReplica(now, hint, OBJECT, 0, ready(), bound);
+    long preferredReplica() {
+        return reads.preferredReplica(now, hint, OBJECT, 0, ready(), bound);
     }
 }
--- a/src/test/java/magpiewheel/staleness/CasesTest.java
+++ b/src/test/java/magpiewheel/staleness/CasesTest.java
@@ -26,79 +26,87 @@
                 w.fresh = 0;
                 w.grace = 0;
             })
-            .act("the origin's clock is not known", (w, m) -> w.clockMs = 0)
-            .act("the origin's clock is known within (\\d+) ms", (w, m) -> w.clockMs = number(m, 1))
+            .act("the origin's clock is not known", (w, m) -> w.clockWidthMs = 0)
+            .act("the origin's clock is known within (\\d+) ms", (w, m) -> w.clockWidthMs = number(m, 1))
             .act("the object was purged (-?\\d+) ms ago", (w, m) -> {
-                w.purge = w.minted(number(m, 1));
-                w.pins.objectPurged(w.now, CaseWorld.OBJECT, 0, w.purge);
+                w.purge = w.originTimeAtAge(number(m, 1));
+                w.reads.objectPurged(w.now, CaseWorld.OBJECT, 0, w.purge);
             })
             .act(
                     "cache (\\d) holds a copy (\\d+) ms old",
-                    (w, m) -> w.pins.responseServed(
-                            w.now, ReadHint.NONE, CaseWorld.OBJECT, 0, number(m, 1), w.minted(number(m, 2))))
+                    (w, m) -> w.reads.responseServed(
+                            w.now, ReadHint.NONE, CaseWorld.OBJECT, 0, number(m, 1), w.originTimeAtAge(number(m, 2))))
             .act(
                     "the parent holds a copy (\\d+) ms old",
-                    (w, m) -> w.pins.responseServed(
-                            w.now, ReadHint.NONE, CaseWorld.OBJECT, 0, CaseWorld.PARENT, w.minted(number(m, 1))))
+                    (w, m) -> w.reads.responseServed(
+                            w.now,
+                            ReadHint.NONE,
+                            CaseWorld.OBJECT,
+                            0,
+                            CaseWorld.PARENT,
+                            w.originTimeAtAge(number(m, 1))))
             .act(
                     "the session was served by cache (\\d)",
-                    (w, m) -> w.pins.responseServed(
+                    (w, m) -> w.reads.responseServed(
                             w.now, new ReadHint(0, 0, CaseWorld.SESSION, false), CaseWorld.OBJECT, 0, number(m, 1), 0))
-            .act("cache (\\d) (drains|is gone|is ready)", (w, m) -> w.state(number(m, 1), m.group(2)))
-            .act("the board was silent for (\\d+) ms", (w, m) -> w.silent(number(m, 1)))
-            .act("the board is heard for (\\d+) ms", (w, m) -> w.boardFor(number(m, 1)))
-            .act("(\\d+) s pass", (w, m) -> w.boardFor(1_000 * number(m, 1)))
+            .act("cache (\\d) (drains|is gone|is ready)", (w, m) -> w.setCacheState(number(m, 1), m.group(2)))
+            .act("the board was silent for (\\d+) ms", (w, m) -> w.passWithoutDiscovery(number(m, 1)))
+            .act("the board is heard for (\\d+) ms", (w, m) -> w.hearDiscoveryFor(number(m, 1)))
+            .act("(\\d+) s pass", (w, m) -> w.hearDiscoveryFor(1_000 * number(m, 1)))
             .act("a read comes with (\\S+)", (w, m) -> w.read(m.group(1)))
             .act("a read without a hint comes", (w, m) -> w.read(""))
             .act("(the origin|a parent) answers a fetch of this read (\\d+) ms later", (w, m) -> {
                 // The origin's clock showed this when the fetch came to it, right after it was sent.
                 long sent = w.now;
-                w.given = w.origin() / MS * MS;
+                w.originTimeOfResponse = w.originClock() / MS * MS;
                 w.now += number(m, 2) * MS;
-                w.pins.responseReceived(sent, w.now, w.given, m.group(1).equals("the origin"));
+                w.reads.responseReceived(
+                        sent, w.now, w.originTimeOfResponse, m.group(1).equals("the origin"));
             })
             .check("its error is: (.+)", (w, m) -> assertEquals(m.group(1), w.error))
             .check("it is refused at once", (w, m) -> assertTrue(w.bound.strict() && !w.bound.provable()))
             .check("it is not refused at once", (w, m) -> assertFalse(w.bound.strict() && !w.bound.provable()))
-            .check("the pause is (\\d+) ms", (w, m) -> assertEquals(number(m, 1) * MS, w.pins.retryAfterUs(w.now)))
+            .check("the pause is (\\d+) ms", (w, m) -> assertEquals(number(m, 1) * MS, w.reads.retryAfterUs(w.now)))
             .check(
                     "a copy (\\d+) ms old is (not |)admitted",
-                    (w, m) ->
-                            assertEquals(m.group(2).isEmpty(), w.pins.accepts(w.now, w.bound, w.minted(number(m, 1)))))
+                    (w, m) -> assertEquals(
+                            m.group(2).isEmpty(), w.reads.accepts(w.now, w.bound, w.originTimeAtAge(number(m, 1)))))
             .check(
                     "an answer that the client's copy of (\\d+) ms holds is (not |)admitted",
-                    (w, m) ->
-                            assertEquals(m.group(2).isEmpty(), w.pins.accepts(w.now, w.bound, w.minted(number(m, 1)))))
-            .check("a copy that has no time is not admitted", (w, m) -> assertFalse(w.pins.accepts(w.now, w.bound, 0)))
+                    (w, m) -> assertEquals(
+                            m.group(2).isEmpty(), w.reads.accepts(w.now, w.bound, w.originTimeAtAge(number(m, 1)))))
+            .check("a copy that has no time is not admitted", (w, m) -> assertFalse(w.reads.accepts(w.now, w.bound, 0)))
             .check(
                     "the origin's copy is (not |)admitted",
-                    (w, m) -> assertEquals(m.group(1).isEmpty(), w.pins.accepts(w.now, w.bound, w.given)))
+                    (w, m) ->
+                            assertEquals(m.group(1).isEmpty(), w.reads.accepts(w.now, w.bound, w.originTimeOfResponse)))
             .check(
                     "a copy (\\d+) ms old is told as (\\d+) ms old",
-                    (w, m) -> assertEquals(number(m, 2), w.pins.violatingAgeMs(w.now, w.bound, w.minted(number(m, 1)))))
+                    (w, m) -> assertEquals(
+                            number(m, 2), w.reads.violatingAgeMs(w.now, w.bound, w.originTimeAtAge(number(m, 1)))))
             .check(
                     "a copy (\\d+) ms old is told without an age",
-                    (w, m) -> assertEquals(-1, w.pins.violatingAgeMs(w.now, w.bound, w.minted(number(m, 1)))))
+                    (w, m) -> assertEquals(-1, w.reads.violatingAgeMs(w.now, w.bound, w.originTimeAtAge(number(m, 1)))))
             .check(
                     "a copy (\\d+) ms old is told without more",
-                    (w, m) -> assertEquals(0, w.pins.violatingAgeMs(w.now, w.bound, w.minted(number(m, 1)))))
-            .check("nothing is asked of a node", (w, m) -> assertEquals(0, w.pins.maxAgeUs(w.now, w.bound)))
+                    (w, m) -> assertEquals(0, w.reads.violatingAgeMs(w.now, w.bound, w.originTimeAtAge(number(m, 1)))))
+            .check("nothing is asked of a node", (w, m) -> assertEquals(0, w.reads.maxAgeUs(w.now, w.bound)))
             .check(
                     "a node may answer with copies up to (\\d+) ms old",
-                    (w, m) -> assertEquals(number(m, 1), Math.round(w.pins.maxAgeUs(w.now, w.bound) / 1e3)))
+                    (w, m) -> assertEquals(number(m, 1), Math.round(w.reads.maxAgeUs(w.now, w.bound) / 1e3)))
             .check(
                     "cache (\\d) may answer with copies up to 0 ms old",
-                    (w, m) -> assertEquals(1, w.pins.maxAgeUs(w.now, CaseWorld.OBJECT, 0, number(m, 1), w.bound)))
-            .check("cache (\\d) is asked", (w, m) -> assertEquals(number(m, 1), w.asked()))
-            .check("the module's order holds", (w, m) -> assertEquals(0, w.asked()))
+                    (w, m) -> assertEquals(1, w.reads.maxAgeUs(w.now, CaseWorld.OBJECT, 0, number(m, 1), w.bound)))
+            .check("cache (\\d) is asked", (w, m) -> assertEquals(number(m, 1), w.preferredReplica()))
+            .check("the module's order holds", (w, m) -> assertEquals(0, w.preferredReplica()))
             .check(
                     "the parent may (not |)fill",
                     (w, m) -> assertEquals(
                             m.group(1).isEmpty(),
-                            w.pins.mayBeAcceptable(w.now, CaseWorld.OBJECT, 0, CaseWorld.PARENT, w.bound)));
+                            w.reads.mayBeAcceptable(w.now, CaseWorld.OBJECT, 0, CaseWorld.PARENT, w.bound)));
 
-    private static long number(MatchResult words, int group) {
-        return Long.parseLong(words.group(group));
+    private static long number(MatchResult match, int group) {
+        return Long.parseLong(match.group(group));
     }
 
     private static List<Rows.Row> rows() throws IOException {
@@ -107,17 +115,17 @@
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("rows")
-    void theCaseIsKept(Rows.Row row) {
+    void caseHolds(Rows.Row row) {
         Rows.run(row, STEPS, CaseWorld::new).check();
     }
 
     @Test
-    void thePageSaysWhatTheCasesCameTo() throws IOException {
-        List<Rows.RowResult> judged = new ArrayList<>();
+    void pageReportsTheResultsOfTheCases() throws IOException {
+        List<Rows.RowResult> results = new ArrayList<>();
         for (Rows.Row row : rows()) {
-            judged.add(Rows.run(row, STEPS, CaseWorld::new));
+            results.add(Rows.run(row, STEPS, CaseWorld::new));
         }
-        Report.check("## Pinned reads", judged);
+        Report.check("## Pinned reads", results);
     }
 
     @Test
@@ -129,7 +137,7 @@
     }
 
     @Test
-    void theStepsOfASilentBoardAreThoseOfTheCode() throws IOException {
+    void discoveryStatesOnThePageMatchTheCode() throws IOException {
         assertEquals(
                 List.of(DiscoveryFreshness.State.values()).stream()
                         .map(Enum::name)
--- a/src/test/java/magpiewheel/staleness/FixedMembershipView.java
+++ b/src/test/java/magpiewheel/staleness/FixedMembershipView.java
@@ -12,8 +12,8 @@
     }
 
     @Override
-    public MemberStatus status(int front) {
-        return peers.contains(front) ? MemberStatus.ALIVE : MemberStatus.LEFT;
+    public MemberStatus status(int router) {
+        return peers.contains(router) ? MemberStatus.ALIVE : MemberStatus.LEFT;
     }
 
     @Override
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public int zone(int front) {
+    public int zone(int router) {
         return 0;
     }
 
--- a/src/test/java/magpiewheel/staleness/ReadHintTest.java
+++ b/src/test/java/magpiewheel/staleness/ReadHintTest.java
@@ -13,7 +13,7 @@
 
 class ReadHintTest {
     @Test
-    void allWordsInAnyOrder() throws InvalidHintException {
+    void wordsAreParsedInAnyOrder() throws InvalidHintException {
         ReadHint hint = new ReadHint(1_500_000, 1_764_576_000_123L, 0x9f3a9c21e0b4d655L, true);
         assertEquals(hint, ReadHint.parse("at_most:1500+after:1764576000123+pin:9f3a9c21e0b4d655+strict"));
         assertEquals(hint, ReadHint.parse("strict+pin:9f3a9c21e0b4d655+after:1764576000123+at_most:1500"));
@@ -50,7 +50,7 @@
                 "strict|The hint is strict but names neither at_most nor after.",
                 "strict+pin:9f3a9c21e0b4d655|The hint is strict but names neither at_most nor after.",
             })
-    void oneClearSentence(String text, String sentence) {
+    void malformedHintIsRejectedWithOneSentence(String text, String sentence) {
         assertEquals(
                 sentence,
                 assertThrows(InvalidHintException.class, () -> ReadHint.parse(text))
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void tooLong() {
+    void tooLongHintIsRejected() {
         assertEquals(
                 "The hint is longer than 128 characters.",
                 assertThrows(InvalidHintException.class, () -> ReadHint.parse("prefer+".repeat(19)))
@@ -66,7 +66,7 @@
     }
 
     @Property(tries = 500)
-    void valuesSurvive(
+    void valuesAreParsedExactly(
             @ForAll @LongRange(min = 1, max = 86_400_000) long atMost,
             @ForAll @LongRange(min = 1, max = 253_402_300_799_999L) long after,
             @ForAll long session)
@@ -78,7 +78,7 @@
     }
 
     @Property(tries = 2_000)
-    void anyTextIsAHintOrOneSentence(@ForAll String text) {
+    void anyTextIsParsedOrRejectedWithOneSentence(@ForAll String text) {
         try {
             ReadHint.parse(text);
         } catch (InvalidHintException e) {
--- a/src/test/java/magpiewheel/staleness/StalenessComponentsTest.java
+++ b/src/test/java/magpiewheel/staleness/StalenessComponentsTest.java
@@ -23,7 +23,7 @@
     // ---------------------------------------------------------------- the origin's clock
 
     @Test
-    void whatIsKnownOfTheClockWidensAndNarrowsAgain() {
+    void clockBoundsWidenByDriftAndNarrowByMeasurements() {
         OriginClock clock = new OriginClock();
         assertFalse(clock.isKnown(NOW));
         assertEquals(-1, clock.widthUs(NOW));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aClockThatWasSteppedIsFoundAndLearntAnew() {
+    void steppedClockIsDetectedAndMeasuredAgain() {
         OriginClock clock = new OriginClock();
         clock.raiseLowerBound(NOW, NOW);
         clock.lowerUpperBound(NOW, NOW + 5 * MS);
@@ -58,16 +58,18 @@
     }
 
     @Test
-    void aWriteBoundsTheClockFromBelowOnly() {
-        BoundedStalenessReads pins = new BoundedStalenessReads(NOW, 0, 0, new FixedMembershipView(), (to, bytes) -> {});
-        pins.writeAnswered(NOW, NOW + 5 * MS, NOW - 90 * S);
-        assertEquals(-1, pins.clockUncertaintyUs(NOW + 5 * MS), "a keyed write done long ago would set the clock back");
-        pins.responseReceived(NOW, NOW + 5 * MS, NOW + 2 * MS, true);
-        assertTrue(pins.clockUncertaintyUs(NOW + 5 * MS) > 0);
+    void writeSetsOnlyTheLowerBoundOfTheClock() {
+        BoundedStalenessReads reads =
+                new BoundedStalenessReads(NOW, 0, 0, new FixedMembershipView(), (to, bytes) -> {});
+        reads.writeAnswered(NOW, NOW + 5 * MS, NOW - 90 * S);
+        assertEquals(
+                -1, reads.clockUncertaintyUs(NOW + 5 * MS), "a keyed write done long ago would set the clock back");
+        reads.responseReceived(NOW, NOW + 5 * MS, NOW + 2 * MS, true);
+        assertTrue(reads.clockUncertaintyUs(NOW + 5 * MS) > 0);
     }
 
     @Test
-    void aMarkOfAWriteIsOneMore() {
+    void markOfAWriteIsOneMillisecondLater() {
         assertEquals(1_764_576_000_123L, BoundedStalenessReads.markOf(1_764_576_000_123_000L, false));
         assertEquals(1_764_576_000_124L, BoundedStalenessReads.markOf(1_764_576_000_123_000L, true));
         assertEquals(0, BoundedStalenessReads.markOf(0, true));
@@ -76,34 +78,34 @@
     // ---------------------------------------------------------------- the table
 
     @Test
-    void theOldestOfAFullSetGivesWayAndTheAgedAreGone() {
-        SetAssociativeTable ways = new SetAssociativeTable(64, 100 * S);
+    void leastRecentlyUsedEntryIsReplacedAndOldEntriesExpire() {
+        SetAssociativeTable table = new SetAssociativeTable(64, 100 * S);
         for (long i = 0; i < 1_000; i++) {
             long key = SetAssociativeTable.keyOf(i, 0, 0);
-            ways.put(NOW + i, ways.slotFor(NOW + i, key), key, i, 0, 0);
+            table.put(NOW + i, table.slotFor(NOW + i, key), key, i, 0, 0);
         }
-        long kept = IntStream.range(0, 1_000)
-                .filter(i -> ways.find(NOW + 1_000, SetAssociativeTable.keyOf(i, 0, 0)) >= 0)
+        long found = IntStream.range(0, 1_000)
+                .filter(i -> table.find(NOW + 1_000, SetAssociativeTable.keyOf(i, 0, 0)) >= 0)
                 .count();
-        assertEquals(64, kept);
+        assertEquals(64, found);
         assertTrue(IntStream.range(0, 500)
-                .noneMatch(i -> ways.find(NOW + 1_000, SetAssociativeTable.keyOf(i, 0, 0)) >= 0));
-        assertEquals(999, ways.first(ways.find(NOW + 1_000, SetAssociativeTable.keyOf(999, 0, 0))));
-        assertEquals(-1, ways.find(NOW + 999 + 100 * S, SetAssociativeTable.keyOf(999, 0, 0)));
+                .noneMatch(i -> table.find(NOW + 1_000, SetAssociativeTable.keyOf(i, 0, 0)) >= 0));
+        assertEquals(999, table.first(table.find(NOW + 1_000, SetAssociativeTable.keyOf(999, 0, 0))));
+        assertEquals(-1, table.find(NOW + 999 + 100 * S, SetAssociativeTable.keyOf(999, 0, 0)));
     }
 
     @Test
-    void whatALaterWordTellsOfAnOlderCopyChangesNothing() {
-        ReplicaIndex copies = new ReplicaIndex(64, 100 * S);
-        assertTrue(copies.observed(NOW, 1, 0, 5, NOW));
-        assertFalse(copies.observed(NOW, 1, 0, 5, NOW - S));
-        assertEquals(NOW, copies.originTimeOf(NOW, 1, 0, 5));
-        assertEquals(0, copies.originTimeOf(NOW, 1, 1, 5));
-        copies.removeOlder(2, NOW + 1);
-        copies.removeOlder(1, NOW);
-        assertEquals(NOW, copies.originTimeOf(NOW, 1, 0, 5), "as old as the purge is not older");
-        copies.removeOlder(1, NOW + 1);
-        assertEquals(0, copies.originTimeOf(NOW, 1, 0, 5));
+    void olderCopiesAndPurgesOfOtherObjectsChangeNothing() {
+        ReplicaIndex replicas = new ReplicaIndex(64, 100 * S);
+        assertTrue(replicas.observed(NOW, 1, 0, 5, NOW));
+        assertFalse(replicas.observed(NOW, 1, 0, 5, NOW - S));
+        assertEquals(NOW, replicas.originTimeOf(NOW, 1, 0, 5));
+        assertEquals(0, replicas.originTimeOf(NOW, 1, 1, 5));
+        replicas.removeOlder(2, NOW + 1);
+        replicas.removeOlder(1, NOW);
+        assertEquals(NOW, replicas.originTimeOf(NOW, 1, 0, 5), "as old as the purge is not older");
+        replicas.removeOlder(1, NOW + 1);
+        assertEquals(0, replicas.originTimeOf(NOW, 1, 0, 5));
     }
 
     // ---------------------------------------------------------------- pins
@@ -115,181 +117,184 @@
     }
 
     @Test
-    void aCrowdMovesNoHotSpot() {
-        StickyReplicaTable pins = new StickyReplicaTable(1 << 14, 600 * S);
-        pins.replicasChanged(NOW, caches(4, 0));
+    void stickyReplicasAndMigrationsAreCappedPerReplica() {
+        StickyReplicaTable stickyReplicas = new StickyReplicaTable(1 << 14, 600 * S);
+        stickyReplicas.replicasChanged(NOW, caches(4, 0));
         for (int i = 0; i < 8_000; i++) {
-            pins.assign(NOW, 1 + i, 9, i % 8 == 0 ? 1 + i / 8 % 4 : 1);
+            stickyReplicas.assign(NOW, 1 + i, 9, i % 8 == 0 ? 1 + i / 8 % 4 : 1);
             assertTrue(
-                    pins.assignedTo(1) <= Math.max(16, 1.25 * pins.totalAssigned() / 4) + 1,
-                    pins.assignedTo(1) + " of " + pins.totalAssigned());
+                    stickyReplicas.assignedTo(1) <= Math.max(16, 1.25 * stickyReplicas.totalAssigned() / 4) + 1,
+                    stickyReplicas.assignedTo(1) + " of " + stickyReplicas.totalAssigned());
         }
         assertTrue(
-                pins.assignedTo(1) > 200 && pins.totalAssigned() > 900,
-                pins.assignedTo(1) + " of " + pins.totalAssigned());
+                stickyReplicas.assignedTo(1) > 200 && stickyReplicas.totalAssigned() > 900,
+                stickyReplicas.assignedTo(1) + " of " + stickyReplicas.totalAssigned());
         int moved = 0;
         for (int i = 0; i < 8_000; i++) {
-            moved += pins.admitsMigration(NOW, 2) ? 1 : 0;
+            moved += stickyReplicas.admitsMigration(NOW, 2) ? 1 : 0;
         }
         assertEquals(16, moved, "reads that leave the module's order for one cache");
-        assertTrue(pins.admitsMigration(NOW + 2 * S, 2));
+        assertTrue(stickyReplicas.admitsMigration(NOW + 2 * S, 2));
     }
 
     @Test
-    void pinsLeaveADrainingCacheAtOnceAndComeBackPaced() {
-        StickyReplicaTable pins = new StickyReplicaTable(1 << 14, 600 * S);
-        pins.replicasChanged(NOW, caches(4, 0));
+    void assignmentsLeaveADrainingReplicaAtOnceAndReturnGradually() {
+        StickyReplicaTable stickyReplicas = new StickyReplicaTable(1 << 14, 600 * S);
+        stickyReplicas.replicasChanged(NOW, caches(4, 0));
         for (int i = 0; i < 4_000; i++) {
-            assertTrue(pins.assign(NOW, 1 + i, 9, 1 + i % 4));
+            assertTrue(stickyReplicas.assign(NOW, 1 + i, 9, 1 + i % 4));
         }
-        assertEquals(List.of(), pins.replicasChanged(NOW + 1, caches(4, 2)));
-        assertEquals(0, pins.assignedTo(2));
+        assertEquals(List.of(), stickyReplicas.replicasChanged(NOW + 1, caches(4, 2)));
+        assertEquals(0, stickyReplicas.assignedTo(2));
         for (int i = 0; i < 4_000; i++) {
-            assertEquals(i % 4 == 1 ? 0 : 1 + i % 4, pins.replicaOf(NOW + 1, 1 + i, 9), "no other pin moves");
+            assertEquals(i % 4 == 1 ? 0 : 1 + i % 4, stickyReplicas.replicaOf(NOW + 1, 1 + i, 9), "no other pin moves");
         }
         for (int i = 1; i < 4_000; i += 4) {
-            assertTrue(pins.assign(NOW + 2, 1 + i, 9, 3 + i / 4 % 2));
+            assertTrue(stickyReplicas.assign(NOW + 2, 1 + i, 9, 3 + i / 4 % 2));
         }
-        pins.replicasChanged(NOW + 10 * S, caches(4, 0));
+        stickyReplicas.replicasChanged(NOW + 10 * S, caches(4, 0));
         for (int s = 0; s <= 20; s += 5) {
             long at = NOW + 10 * S + s * S;
-            long back = IntStream.range(0, 1_000)
-                    .filter(i -> pins.replicaOf(at, 2 + 4L * i, 9) == 2)
+            long returned = IntStream.range(0, 1_000)
+                    .filter(i -> stickyReplicas.replicaOf(at, 2 + 4L * i, 9) == 2)
                     .count();
-            assertEquals(1_000 * s / 20, back, 60, "after " + s + " s");
+            assertEquals(1_000 * s / 20, returned, 60, "after " + s + " s");
         }
         assertEquals(
                 List.of(3L),
-                pins.replicasChanged(NOW + 40 * S, caches(2, 0)).stream()
+                stickyReplicas.replicasChanged(NOW + 40 * S, caches(2, 0)).stream()
                         .filter(id -> id == 3)
                         .toList());
-        assertEquals(0, pins.assignedTo(3));
+        assertEquals(0, stickyReplicas.assignedTo(3));
     }
 
     @Test
-    void aCacheThatStartedAgainHoldsNothing() {
-        BoundedStalenessReads pins = new BoundedStalenessReads(NOW, 0, 0, new FixedMembershipView(), (to, bytes) -> {});
-        pins.replicasChanged(NOW, List.of(new Replica(1, false, 1, 0)));
-        pins.responseServed(NOW, new ReadHint(0, 5, 8, true), 9, 0, 1, NOW);
-        StalenessBound bound = pins.boundOf(NOW, new ReadHint(0, 5, 8, false), S, S, 0);
-        assertEquals(1, pins.preferredReplica(NOW, new ReadHint(0, 5, 8, false), 9, 0, List.of(1L), bound));
-        pins.replicasChanged(NOW + 1, List.of(new Replica(1, false, 1, NOW)));
-        assertEquals(0, pins.preferredReplica(NOW + 1, new ReadHint(0, 5, 0, false), 9, 0, List.of(1L), bound));
-        assertEquals(0, pins.stickyReplicas());
+    void restartedCacheHoldsNothing() {
+        BoundedStalenessReads reads =
+                new BoundedStalenessReads(NOW, 0, 0, new FixedMembershipView(), (to, bytes) -> {});
+        reads.replicasChanged(NOW, List.of(new Replica(1, false, 1, 0)));
+        reads.responseServed(NOW, new ReadHint(0, 5, 8, true), 9, 0, 1, NOW);
+        StalenessBound bound = reads.boundOf(NOW, new ReadHint(0, 5, 8, false), S, S, 0);
+        assertEquals(1, reads.preferredReplica(NOW, new ReadHint(0, 5, 8, false), 9, 0, List.of(1L), bound));
+        reads.replicasChanged(NOW + 1, List.of(new Replica(1, false, 1, NOW)));
+        assertEquals(0, reads.preferredReplica(NOW + 1, new ReadHint(0, 5, 0, false), 9, 0, List.of(1L), bound));
+        assertEquals(0, reads.stickyReplicas());
     }
 
     // ---------------------------------------------------------------- between fronts
 
     /** Two fronts and the way between them, at once and in order. */
-    private static final class Two {
-        final ArrayDeque<Runnable> way = new ArrayDeque<>();
-        final BoundedStalenessReads[] fronts = new BoundedStalenessReads[2];
+    private static final class RouterPair {
+        final ArrayDeque<Runnable> messagesInFlight = new ArrayDeque<>();
+        final BoundedStalenessReads[] routers = new BoundedStalenessReads[2];
         long now = NOW;
         int sent;
-        long offset;
+        long clockOffset;
 
-        long clock(int me) {
-            return now + (me == 1 ? offset : 0);
+        long clock(int router) {
+            return now + (router == 1 ? clockOffset : 0);
         }
 
-        void start(int me) {
-            fronts[me] = new BoundedStalenessReads(
-                    clock(me), me, 0, new FixedMembershipView(List.of(1 - me)), (to, bytes) -> {
+        void start(int router) {
+            routers[router] = new BoundedStalenessReads(
+                    clock(router), router, 0, new FixedMembershipView(List.of(1 - router)), (to, bytes) -> {
                         assertTrue(bytes.length <= 256 && bytes[0] == (byte) 0xe2);
                         sent++;
-                        way.add(() -> fronts[to].messageReceived(clock(to), me, bytes));
+                        messagesInFlight.add(() -> routers[to].messageReceived(clock(to), router, bytes));
                     });
-            fronts[me].replicasChanged(clock(me), caches(4, 0));
+            routers[router].replicasChanged(clock(router), caches(4, 0));
         }
 
         void run(long us) {
             for (long end = now + us; now < end; now += 50 * MS) {
-                for (int me = 0; me < 2; me++) {
-                    fronts[me].discoveryHeard(clock(me));
-                    if (clock(me) >= fronts[me].due()) {
-                        fronts[me].tick(clock(me));
+                for (int router = 0; router < 2; router++) {
+                    routers[router].discoveryHeard(clock(router));
+                    if (clock(router) >= routers[router].due()) {
+                        routers[router].tick(clock(router));
                     }
                 }
                 now += 10 * MS;
-                while (!way.isEmpty()) {
-                    way.remove().run();
+                while (!messagesInFlight.isEmpty()) {
+                    messagesInFlight.remove().run();
                 }
             }
         }
     }
 
     @Test
-    void aFrontThatStartsAgainHasItsCopiesPinsAndClockFromAnother() {
-        Two two = new Two();
-        two.offset = -400 * MS;
-        two.start(0);
-        two.start(1);
-        two.run(S);
-        two.fronts[1].responseReceived(two.clock(1), two.clock(1) + 4 * MS, two.clock(1) + 700 * MS, true);
+    void restartedRouterLearnsReplicasStickyReplicasAndClockFromPeer() {
+        RouterPair pair = new RouterPair();
+        pair.clockOffset = -400 * MS;
+        pair.start(0);
+        pair.start(1);
+        pair.run(S);
+        pair.routers[1].responseReceived(pair.clock(1), pair.clock(1) + 4 * MS, pair.clock(1) + 700 * MS, true);
         for (int i = 0; i < 300; i++) {
-            two.fronts[1].responseServed(two.clock(1), new ReadHint(0, 5, 100 + i, true), 1 + i, 0, 1 + i % 4, NOW);
-            two.run(60 * MS);
+            pair.routers[1].responseServed(pair.clock(1), new ReadHint(0, 5, 100 + i, true), 1 + i, 0, 1 + i % 4, NOW);
+            pair.run(60 * MS);
         }
-        two.start(0);
-        assertEquals(0, two.fronts[0].stickyReplicas());
-        two.run(6 * S);
-        assertEquals(300, two.fronts[0].stickyReplicas());
+        pair.start(0);
+        assertEquals(0, pair.routers[0].stickyReplicas());
+        pair.run(6 * S);
+        assertEquals(300, pair.routers[0].stickyReplicas());
         ReadHint hint = new ReadHint(0, NOW / MS, 100 + 17, true);
-        StalenessBound bound = two.fronts[0].boundOf(two.now, hint, 900 * S, S, 0);
-        assertEquals(1 + 17 % 4, two.fronts[0].preferredReplica(two.now, hint, 18, 0, List.of(4L, 3L, 2L, 1L), bound));
-        assertTrue(two.fronts[0].mayBeAcceptable(two.now, 18, 0, 1 + 17 % 4, bound));
-        long error = two.fronts[0].clockUncertaintyUs(two.now);
+        StalenessBound bound = pair.routers[0].boundOf(pair.now, hint, 900 * S, S, 0);
+        assertEquals(
+                1 + 17 % 4, pair.routers[0].preferredReplica(pair.now, hint, 18, 0, List.of(4L, 3L, 2L, 1L), bound));
+        assertTrue(pair.routers[0].mayBeAcceptable(pair.now, 18, 0, 1 + 17 % 4, bound));
+        long error = pair.routers[0].clockUncertaintyUs(pair.now);
         assertTrue(error >= 0 && error < 100 * MS, "the clock is known within " + error);
         // Front 1's clock is 400 ms behind, and the origin's 700 ms ahead of that one.
-        StalenessBound young = two.fronts[0].boundOf(two.now, new ReadHint(1_000 * MS, 0, 0, false), 900 * S, S, 0);
-        assertTrue(young.oldestAcceptableUs() >= two.now + 300 * MS - 1_000 * MS, "the bound is on the safe side");
+        StalenessBound young = pair.routers[0].boundOf(pair.now, new ReadHint(1_000 * MS, 0, 0, false), 900 * S, S, 0);
+        assertTrue(young.oldestAcceptableUs() >= pair.now + 300 * MS - 1_000 * MS, "the bound is on the safe side");
     }
 
     @Test
-    void whatFrontsTellIsBounded() {
-        Two two = new Two();
-        two.start(0);
-        two.start(1);
-        two.run(5 * S);
-        two.sent = 0;
+    void gossipPerTickIsBounded() {
+        RouterPair pair = new RouterPair();
+        pair.start(0);
+        pair.start(1);
+        pair.run(5 * S);
+        pair.sent = 0;
         for (int i = 0; i < 50_000; i++) {
-            two.fronts[0].responseServed(two.now, new ReadHint(0, 5, 1 + i, true), 1 + i, 0, 1 + i % 4, NOW + i);
+            pair.routers[0].responseServed(pair.now, new ReadHint(0, 5, 1 + i, true), 1 + i, 0, 1 + i % 4, NOW + i);
         }
         for (int tick = 0; tick < 40; tick++) {
-            two.sent = 0;
-            two.run(ReplicaGossip.TICK_US);
+            pair.sent = 0;
+            pair.run(ReplicaGossip.TICK_US);
             assertTrue(
-                    two.sent <= 2 * (ReplicaGossip.MAX_DATAGRAMS_PER_TICK + 2),
-                    two.sent + " datagrams in a tick of two fronts");
+                    pair.sent <= 2 * (ReplicaGossip.MAX_DATAGRAMS_PER_TICK + 2),
+                    pair.sent + " datagrams in a tick of two fronts");
         }
     }
 
     @Test
-    void aCopyIsToldToFourFrontsInTurn() {
+    void eachReplicaMessageGoesToFourRoutersInTurn() {
         List<Integer> peers = IntStream.rangeClosed(1, 20).boxed().toList();
-        Map<Integer, Integer> told = new HashMap<>();
-        int[] most = new int[1];
-        Map<String, Integer> copies = new HashMap<>();
-        BoundedStalenessReads pins =
+        Map<Integer, Integer> messagesByReceiver = new HashMap<>();
+        int[] maxReceivers = new int[1];
+        Map<String, Integer> replicas = new HashMap<>();
+        BoundedStalenessReads reads =
                 new BoundedStalenessReads(NOW, 0, 0, new FixedMembershipView(peers), (to, bytes) -> {
-                    told.merge(to, 1, Integer::sum);
-                    most[0] = Math.max(
-                            most[0], bytes[2] == 1 ? copies.merge(Arrays.toString(bytes), 1, Integer::sum) : 0);
+                    messagesByReceiver.merge(to, 1, Integer::sum);
+                    maxReceivers[0] = Math.max(
+                            maxReceivers[0],
+                            bytes[2] == 1 ? replicas.merge(Arrays.toString(bytes), 1, Integer::sum) : 0);
                 });
         for (int i = 0; i < 90; i++) {
-            pins.responseServed(NOW, new ReadHint(0, 5, 0, true), 1 + i, 0, 1 + i % 4, NOW + i);
+            reads.responseServed(NOW, new ReadHint(0, 5, 0, true), 1 + i, 0, 1 + i % 4, NOW + i);
         }
         for (int tick = 0; tick < 20; tick++) {
-            pins.tick(NOW + tick * ReplicaGossip.TICK_US);
+            reads.tick(NOW + tick * ReplicaGossip.TICK_US);
         }
-        assertEquals(ReplicaGossip.RECEIVERS_PER_MESSAGE, most[0]);
-        assertEquals(10, copies.size());
-        assertEquals(20, told.size(), "the turn goes round");
+        assertEquals(ReplicaGossip.RECEIVERS_PER_MESSAGE, maxReceivers[0]);
+        assertEquals(10, replicas.size());
+        assertEquals(20, messagesByReceiver.size(), "the turn goes round");
     }
 
     @Test
-    void whatIsNotOursChangesNothing() {
-        BoundedStalenessReads pins =
+    void malformedAndUnrequestedMessagesChangeNothing() {
+        BoundedStalenessReads reads =
                 new BoundedStalenessReads(NOW, 0, 0, new FixedMembershipView(List.of(1)), (to, bytes) -> {});
         SplittableRandom random = new SplittableRandom(5);
         List<byte[]> all = new ArrayList<>();
@@ -301,9 +306,9 @@
         all.add(new byte[] {ReplicaGossip.PROTOCOL_BYTE, 2, 1, 0});
         all.add(new byte[] {ReplicaGossip.PROTOCOL_BYTE, 1, 9, 0});
         all.add(new byte[] {ReplicaGossip.PROTOCOL_BYTE, 1, 1, 3, 0, 0});
-        all.forEach(bytes -> pins.messageReceived(NOW, 1, bytes));
-        assertEquals(all.size(), pins.malformedMessages());
-        assertEquals(0, pins.stickyReplicas());
+        all.forEach(bytes -> reads.messageReceived(NOW, 1, bytes));
+        assertEquals(all.size(), reads.malformedMessages());
+        assertEquals(0, reads.stickyReplicas());
         // An answer that nobody asked for.
         byte[] answer = java.nio.ByteBuffer.allocate(28)
                 .put(ReplicaGossip.PROTOCOL_BYTE)
@@ -314,7 +319,7 @@
                 .putLong(NOW)
                 .putLong(NOW)
                 .array();
-        pins.messageReceived(NOW, 1, answer);
-        assertEquals(-1, pins.clockUncertaintyUs(NOW));
+        reads.messageReceived(NOW, 1, answer);
+        assertEquals(-1, reads.clockUncertaintyUs(NOW));
     }
 }
--- a/src/test/java/magpiewheel/staleness/StalenessFigures.java
+++ b/src/test/java/magpiewheel/staleness/StalenessFigures.java
@@ -15,23 +15,23 @@
 final class StalenessFigures {
     private static final long NOW = 1_764_576_000_000_000L;
     private static final int ROUNDS = 25;
-    private static final int TIMES = 200_000;
+    private static final int OPERATIONS_PER_ROUND = 200_000;
     private static long sink;
 
     private StalenessFigures() {}
 
     public static void main(String[] args) {
         if (args.length > 0) {
-            histories(Integer.parseInt(args[0]));
-            hits(Integer.parseInt(args[1]));
+            runHistories(Integer.parseInt(args[0]));
+            measureHitShares(Integer.parseInt(args[1]));
         }
-        drains();
-        tables();
-        decisions();
+        measureDrain();
+        measureTables();
+        measureDecisions();
         System.out.println("(" + sink % 2 + ")");
     }
 
-    private static void histories(int histories) {
+    private static void runHistories(int histories) {
         for (HistoryFault fault : HistoryFault.values()) {
             StalenessTally sum = new StalenessTally();
             for (long seed = 1; seed <= histories; seed++) {
@@ -40,31 +40,32 @@
             System.out.printf(
                     "| %s | %d | %d | %d | %d | %d | %.4f | %.4f | %.4f | %.4f | %d | %.1f |%n",
                     fault,
-                    sum.strict,
-                    sum.beyond.size(),
-                    sum.back.size(),
-                    sum.purged.size(),
-                    sum.odd.size(),
-                    1.0 * sum.strictRefused / sum.strict,
-                    1.0 * sum.atOnce / sum.strict,
-                    1 - 1.0 * (sum.strictServed + sum.strictRefused) / sum.strict,
-                    1.0 * sum.preferredOld / sum.preferred,
-                    sum.ties,
-                    sum.sent / 20.0 / StalenessWorld.FRONTS / histories);
-            for (List<String> all : List.of(sum.beyond, sum.back, sum.purged, sum.odd)) {
+                    sum.strictReads,
+                    sum.boundViolations.size(),
+                    sum.sessionRegressions.size(),
+                    sum.purgeViolations.size(),
+                    sum.understatedAges.size(),
+                    1.0 * sum.strictRejected / sum.strictReads,
+                    1.0 * sum.rejectedAtOnce / sum.strictReads,
+                    1 - 1.0 * (sum.strictServed + sum.strictRejected) / sum.strictReads,
+                    1.0 * sum.preferViolations / sum.preferReads,
+                    sum.markTies,
+                    sum.messagesSent / 20.0 / StalenessWorld.ROUTERS / histories);
+            for (List<String> all :
+                    List.of(sum.boundViolations, sum.sessionRegressions, sum.purgeViolations, sum.understatedAges)) {
                 all.stream().limit(3).forEach(System.out::println);
             }
         }
     }
 
     /** The same seeds without hints, with bounds and marks alone, and with pins. */
-    private static void hits(int histories) {
+    private static void measureHitShares(int histories) {
         for (HistoryFault fault : List.of(HistoryFault.NONE, HistoryFault.CACHES, HistoryFault.ALL)) {
             for (HintUse hints : HintUse.values()) {
                 double[] shares = LongStream.rangeClosed(1, histories)
                         .mapToDouble(seed -> {
                             StalenessTally tally = new StalenessWorld(seed, fault, hints).play(20);
-                            return 1.0 * tally.hits / tally.answers;
+                            return 1.0 * tally.hits / tally.repliesWithCopy;
                         })
                         .toArray();
                 double mean = Arrays.stream(shares).average().orElseThrow();
@@ -77,7 +78,7 @@
     }
 
     /** Pins that move when one of eight caches drains and comes back. */
-    private static void drains() {
+    private static void measureDrain() {
         StickyReplicaTable pins = new StickyReplicaTable(1 << 14, 600_000_000);
         pins.replicasChanged(NOW, StalenessComponentsTest.caches(8, 0));
         int count = 8_000;
@@ -123,14 +124,14 @@
     }
 
     /** Known copies in arrays of eight against the library's map in order of use. */
-    private static void tables() {
+    private static void measureTables() {
         int most = 1 << 15;
-        heap();
-        heap();
-        long base = heap();
+        usedHeapBytes();
+        usedHeapBytes();
+        long base = usedHeapBytes();
         ReplicaIndex arrays = new ReplicaIndex(most, 120_000_000);
-        long arrayBytes = heap() - base;
-        base = heap();
+        long arrayBytes = usedHeapBytes() - base;
+        base = usedHeapBytes();
         Map<Key, Held> map = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1;
 
@@ -144,7 +145,7 @@
             held.minted = NOW;
             map.put(new Key(i / 8, 0, 1 + i % 8), held);
         }
-        long mapBytes = heap() - base;
+        long mapBytes = usedHeapBytes() - base;
         for (int i = 0; i < most; i++) {
             arrays.observed(NOW, i / 8, 0, 1 + i % 8, NOW);
         }
@@ -162,10 +163,10 @@
             map.put(new Key(i, 1, 1), held);
             return 1;
         });
-        ReplicaIndex once = new ReplicaIndex(most, 120_000_000);
-        IntStream.range(0, most).forEach(i -> once.observed(NOW, i / 8, 0, 1 + i % 8, NOW));
+        ReplicaIndex filledOnce = new ReplicaIndex(most, 120_000_000);
+        IntStream.range(0, most).forEach(i -> filledOnce.observed(NOW, i / 8, 0, 1 + i % 8, NOW));
         long found = IntStream.range(0, most)
-                .filter(i -> once.originTimeOf(NOW, i / 8, 0, 1 + i % 8) != 0)
+                .filter(i -> filledOnce.originTimeOf(NOW, i / 8, 0, 1 + i % 8) != 0)
                 .count();
         System.out.printf(
                 "lookup ns: arrays %.0f, map %.0f; new entry ns: arrays %.0f, map %.0f; bytes an entry: arrays %.0f, "
@@ -181,7 +182,7 @@
                 most);
     }
 
-    private static long heap() {
+    private static long usedHeapBytes() {
         for (int i = 0; i < 4; i++) {
             System.gc();
         }
@@ -191,7 +192,7 @@
     /**
      * One hinted read's decisions: bound, pick of eight caches, parent, age limit, proof, and what was served noted.
      */
-    private static void decisions() {
+    private static void measureDecisions() {
         BoundedStalenessReads pins =
                 new BoundedStalenessReads(NOW - 10_000_000, 0, 0, new FixedMembershipView(), (to, bytes) -> {});
         pins.replicasChanged(NOW, StalenessComponentsTest.caches(8, 0));
@@ -234,28 +235,28 @@
         Arrays.sort(all);
         System.out.printf(
                 "one hinted read's decisions: median of %d rounds of %d: %.0f ns, slowest round %.0f ns%n",
-                ROUNDS, TIMES, all[ROUNDS / 2], all[ROUNDS - 1]);
+                ROUNDS, OPERATIONS_PER_ROUND, all[ROUNDS / 2], all[ROUNDS - 1]);
     }
 
-    private interface Does {
-        long once(int number);
+    private interface Operation {
+        long run(int number);
     }
 
-    private static double time(Does does) {
+    private static double time(Operation operation) {
         double[] all = new double[ROUNDS];
         for (int i = 0; i < ROUNDS; i++) {
-            all[i] = round(does);
+            all[i] = round(operation);
         }
         Arrays.sort(all);
         return all[ROUNDS / 2];
     }
 
-    private static double round(Does does) {
+    private static double round(Operation operation) {
         // The thread's own time: others may have the processor meanwhile.
         long from = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
-        for (int i = 0; i < TIMES; i++) {
-            sink += does.once(i);
+        for (int i = 0; i < OPERATIONS_PER_ROUND; i++) {
+            sink += operation.run(i);
         }
-        return 1.0 * (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - from) / TIMES;
+        return 1.0 * (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - from) / OPERATIONS_PER_ROUND;
     }
 }
--- a/src/test/java/magpiewheel/staleness/StalenessMutationsTest.java
+++ b/src/test/java/magpiewheel/staleness/StalenessMutationsTest.java
@@ -31,262 +31,262 @@
     Path folder;
 
     static List<SourceMutation> mistakes() {
-        String beyond = "noReadIsBeyondItsBoundOrMark";
+        String boundViolation = "noReadViolatesItsBoundOrMark";
         return List.of(
                 new SourceMutation(
                         "the earliest that the origin's clock may show is taken",
                         "BoundedStalenessReads",
                         "originTimeUs >= originClock.latest(bound.requestedAt())",
                         "originTimeUs >= originClock.earliest(bound.requestedAt())",
-                        beyond),
+                        boundViolation),
                 new SourceMutation(
                         "the own clock is taken for the origin's",
                         "OriginClock",
                         "return now + upperOffsetAt(now);",
                         "return now;",
-                        beyond),
+                        boundViolation),
                 new SourceMutation(
                         "any copy counts as given out for this request",
                         "BoundedStalenessReads",
                         "if (viaOrigin) {",
                         "if (true) {",
-                        beyond),
+                        boundViolation),
                 new SourceMutation(
                         "an upper bound counts from when the answer came",
                         "BoundedStalenessReads",
                         "originClock.lowerUpperBound(sentUs,",
                         "originClock.lowerUpperBound(receivedUs,",
-                        beyond),
+                        boundViolation),
                 new SourceMutation(
                         "a front's word counts from when it came",
                         "ReplicaGossip",
                         "originClock.lowerUpperBound(echo,",
                         "originClock.lowerUpperBound(now,",
-                        beyond),
+                        boundViolation),
                 new SourceMutation(
                         "marks are not looked at",
                         "BoundedStalenessReads",
                         "hint.afterMs() * 1000, purgeUs",
                         "0, purgeUs",
-                        "noSessionGoesBack"),
+                        "noSessionReadsAnOlderVersion"),
                 new SourceMutation(
                         "a mark is good for a second before it",
                         "BoundedStalenessReads",
                         "hint.afterMs() * 1000, purgeUs",
                         "hint.afterMs() * 1000 - 1_000_000, purgeUs",
-                        "noSessionGoesBack"),
+                        "noSessionReadsAnOlderVersion"),
                 new SourceMutation(
                         "a mark is not proved, only asked for",
                         "BoundedStalenessReads",
                         "originTimeUs < bound.notBeforeUs() ||",
                         "",
-                        "noSessionGoesBack"),
+                        "noSessionReadsAnOlderVersion"),
                 new SourceMutation(
                         "the age is not proved, only asked for",
                         "BoundedStalenessReads",
                         "return bound.maxAgeUs() == 0",
                         "return bound.maxAgeUs() >= 0",
-                        beyond),
+                        boundViolation),
                 new SourceMutation(
                         "purges are not looked at",
                         "BoundedStalenessReads",
                         "hint.afterMs() * 1000, purgeUs",
                         "hint.afterMs() * 1000, 0",
-                        "noStrictReadIsOlderThanAPurgeThatWasTold"),
+                        "noStrictReadPredatesADeliveredPurge"),
                 new SourceMutation(
                         "a silent board changes nothing",
                         "DiscoveryFreshness",
                         "return silenceUs > SILENT_AFTER_US ||",
                         "return silenceUs > CUT_OFF_AFTER_US ||",
-                        "noStrictReadIsOlderThanAPurgeThatWasTold"),
+                        "noStrictReadPredatesADeliveredPurge"),
                 new SourceMutation(
                         "a board heard again counts as caught up",
                         "DiscoveryFreshness",
                         "CATCH_UP_US = 1_200_000",
                         "CATCH_UP_US = 0",
-                        "theCaseIsKept"),
+                        "caseHolds"),
                 new SourceMutation(
                         "a board is never cut off",
                         "DiscoveryFreshness",
                         "if (silenceUs > CUT_OFF_AFTER_US) {",
                         "if (false) {",
-                        "theCaseIsKept"),
+                        "caseHolds"),
                 new SourceMutation(
                         "an age is told without the error",
                         "BoundedStalenessReads",
                         "(originClock.latest(bound.requestedAt()) - originTimeUs + 999)",
                         "(originClock.earliest(bound.requestedAt()) - originTimeUs)",
-                        "noAgeIsToldTooSmall"),
+                        "noReportedAgeIsTooSmall"),
                 new SourceMutation(
                         "clocks do not drift",
                         "OriginClock",
                         "DRIFT_PPM = 1_200",
                         "DRIFT_PPM = 0",
-                        "whatIsKnownOfTheClockWidensAndNarrowsAgain"),
+                        "clockBoundsWidenByDriftAndNarrowByMeasurements"),
                 new SourceMutation(
                         "a clock that was stepped is not found",
                         "OriginClock",
                         "if (upperOffsetUs != Long.MAX_VALUE && lowerOffsetUs > upperOffsetAt(now)) {",
                         "if (false) {",
-                        "aClockThatWasSteppedIsFoundAndLearntAnew"),
+                        "steppedClockIsDetectedAndMeasuredAgain"),
                 new SourceMutation(
                         "a write bounds the clock from above",
                         "BoundedStalenessReads",
                         "responseReceived(sentUs, receivedUs, originTimeUs, false);",
                         "responseReceived(sentUs, receivedUs, originTimeUs, true);",
-                        "aWriteBoundsTheClockFromBelowOnly"),
+                        "writeSetsOnlyTheLowerBoundOfTheClock"),
                 new SourceMutation(
                         "a write's mark is its answer's time",
                         "BoundedStalenessReads",
                         "(write ? 1 : 0)",
                         "0",
-                        "aMarkOfAWriteIsOneMore"),
+                        "markOfAWriteIsOneMillisecondLater"),
                 new SourceMutation(
                         "at_most outlasts the class",
                         "BoundedStalenessReads",
                         "Math.min(hint.atMostUs(), freshUs + graceUs)",
                         "hint.atMostUs()",
-                        "theCaseIsKept"),
+                        "caseHolds"),
                 new SourceMutation(
                         "a node may answer older than the class's fresh time",
                         "BoundedStalenessReads",
                         "Math.min(allowedAgeUs, bound.freshUs()) : allowedAgeUs",
                         "allowedAgeUs : allowedAgeUs",
-                        "theCaseIsKept"),
+                        "caseHolds"),
                 new SourceMutation(
                         "a strict read may go by a parent of which nothing is known",
                         "BoundedStalenessReads",
                         "originTimeUs == 0 ? !bound.strict()",
                         "originTimeUs == 0 ? true",
-                        "theCaseIsKept"),
+                        "caseHolds"),
                 new SourceMutation(
                         "a mark ahead of the origin is waited for",
                         "BoundedStalenessReads",
                         "&& !markAhead;",
                         ";",
-                        "theCaseIsKept"),
+                        "caseHolds"),
                 new SourceMutation(
                         "what is not known of the pinned cache frees the session",
                         "BoundedStalenessReads",
                         "if (originTimeUs == 0 || originTimeUs > 0 && accepts",
                         "if (originTimeUs > 0 && accepts",
-                        "theCaseIsKept"),
+                        "caseHolds"),
                 new SourceMutation(
                         "a cache takes any number of pins",
                         "StickyReplicaTable",
                         "if (state.assigned >= capacity(state)) {",
                         "if (false) {",
-                        "aCrowdMovesNoHotSpot"),
+                        "stickyReplicasAndMigrationsAreCappedPerReplica"),
                 new SourceMutation(
                         "any number of reads leave the module's order",
                         "StickyReplicaTable",
                         "state.migrations++;",
                         "",
-                        "aCrowdMovesNoHotSpot"),
+                        "stickyReplicasAndMigrationsAreCappedPerReplica"),
                 new SourceMutation(
                         "pins stay at a draining cache",
                         "StickyReplicaTable",
                         "if (state.ready && replica.draining()) {",
                         "if (false) {",
-                        "pinsLeaveADrainingCacheAtOnceAndComeBackPaced"),
+                        "assignmentsLeaveADrainingReplicaAtOnceAndReturnGradually"),
                 new SourceMutation(
                         "pins come home at once",
                         "StickyReplicaTable",
                         "RETURN_US = 20_000_000",
                         "RETURN_US = 0",
-                        "pinsLeaveADrainingCacheAtOnceAndComeBackPaced"),
+                        "assignmentsLeaveADrainingReplicaAtOnceAndReturnGradually"),
                 new SourceMutation(
                         "pins do not come home",
                         "StickyReplicaTable",
                         "if (home != endpoint && isHomeAvailable(now, home, key)) {",
                         "if (false) {",
-                        "pinsLeaveADrainingCacheAtOnceAndComeBackPaced"),
+                        "assignmentsLeaveADrainingReplicaAtOnceAndReturnGradually"),
                 new SourceMutation(
                         "a cache that started again has what it had",
                         "StickyReplicaTable",
                         "replica.startedUs() != state.startedUs",
                         "false",
-                        "aCacheThatStartedAgainHoldsNothing"),
+                        "restartedCacheHoldsNothing"),
                 new SourceMutation(
                         "an older word counts",
                         "ReplicaIndex",
                         "Math.max(originTimeUs, table.first(index))",
                         "originTimeUs",
-                        "whatALaterWordTellsOfAnOlderCopyChangesNothing"),
+                        "olderCopiesAndPurgesOfOtherObjectsChangeNothing"),
                 new SourceMutation(
                         "a purge leaves what is known",
                         "ReplicaIndex",
                         "table.first(i) < purgedAtUs",
                         "table.first(i) < 0",
-                        "whatALaterWordTellsOfAnOlderCopyChangesNothing"),
+                        "olderCopiesAndPurgesOfOtherObjectsChangeNothing"),
                 new SourceMutation(
                         "the newest of a full set gives way",
                         "SetAssociativeTable",
                         "lastUsedAt[i] < lastUsedAt[oldest]",
                         "lastUsedAt[i] > lastUsedAt[oldest]",
-                        "theOldestOfAFullSetGivesWayAndTheAgedAreGone"),
+                        "leastRecentlyUsedEntryIsReplacedAndOldEntriesExpire"),
                 new SourceMutation(
                         "who starts asks nobody",
                         "ReplicaGossip",
                         "fullStateRequestsLeft = FULL_STATE_REQUESTS;",
                         "fullStateRequestsLeft = 0;",
-                        "aFrontThatStartsAgainHasItsCopiesPinsAndClockFromAnother"),
+                        "restartedRouterLearnsReplicasStickyReplicasAndClockFromPeer"),
                 new SourceMutation(
                         "ticks have no limit",
                         "ReplicaGossip",
                         "int messagesLeft = MAX_DATAGRAMS_PER_TICK;",
                         "int messagesLeft = 1_000_000;",
-                        "whatFrontsTellIsBounded"),
+                        "gossipPerTickIsBounded"),
                 new SourceMutation(
                         "a copy is told to every front",
                         "ReplicaGossip",
                         "int to = Math.min(RECEIVERS_PER_MESSAGE, routers.size());",
                         "int to = Math.min(MAX_DATAGRAMS_PER_TICK, routers.size());",
-                        "aCopyIsToldToFourFrontsInTurn"),
+                        "eachReplicaMessageGoesToFourRoutersInTurn"),
                 new SourceMutation(
                         "any version is read",
                         "ReplicaGossip",
                         "|| bytes.get() != VERSION",
                         "|| bytes.get() < 0",
-                        "whatIsNotOursChangesNothing"),
+                        "malformedAndUnrequestedMessagesChangeNothing"),
                 new SourceMutation(
                         "an answer counts that nobody asked for",
                         "ReplicaGossip",
                         "sent == null || sent != echo || ",
                         "",
-                        "whatIsNotOursChangesNothing"),
+                        "malformedAndUnrequestedMessagesChangeNothing"),
                 new SourceMutation(
                         "hints are matched in any case",
                         "ReadHint",
                         "switch (name) {",
                         "switch (name.toLowerCase(java.util.Locale.ROOT)) {",
-                        "oneClearSentence"));
+                        "malformedHintIsRejectedWithOneSentence"));
     }
 
     @TestFactory
-    Stream<DynamicTest> aMistakeIsNoticed() {
-        String only = System.getProperty("pins.mistake", ".*");
+    Stream<DynamicTest> mutationIsDetected() {
+        String pattern = System.getProperty("pins.mistake", ".*");
         return mistakes().stream()
-                .filter(mistake -> mistake.description().matches(only))
-                .map(mistake -> mistake.detectionTest(folder, SOURCES, StalenessMutationsTest.class));
+                .filter(mutation -> mutation.description().matches(pattern))
+                .map(mutation -> mutation.detectionTest(folder, SOURCES, StalenessMutationsTest.class));
     }
 
     /** Plays the test that has to notice, with the others of its class, and says which ones fail. */
     public static void main(String[] args) {
-        LauncherConfig only = LauncherConfig.builder()
+        LauncherConfig jupiterOnly = LauncherConfig.builder()
                 .enableTestEngineAutoRegistration(false)
                 .addTestEngines(new JupiterTestEngine())
                 .build();
-        Class<?> its = Stream.of(
+        Class<?> testClass = Stream.of(
                         ReadHintTest.class, StalenessComponentsTest.class, CasesTest.class, StalenessProperties.class)
                 .filter(test -> Stream.of(test.getDeclaredMethods())
                         .anyMatch(method -> method.getName().equals(args[0])))
                 .findFirst()
                 .orElseThrow();
-        LauncherFactory.create(only)
+        LauncherFactory.create(jupiterOnly)
                 .execute(
                         LauncherDiscoveryRequestBuilder.request()
-                                .selectors(DiscoverySelectors.selectClass(its))
+                                .selectors(DiscoverySelectors.selectClass(testClass))
                                 .build(),
                         new TestExecutionListener() {
                             @Override
--- a/src/test/java/magpiewheel/staleness/StalenessProperties.java
+++ b/src/test/java/magpiewheel/staleness/StalenessProperties.java
@@ -17,60 +17,60 @@
     private static final long SECONDS = 20;
     private static final Map<HistoryFault, List<StalenessTally>> PLAYED = new EnumMap<>(HistoryFault.class);
 
-    private static synchronized List<StalenessTally> played(HistoryFault fault) {
+    private static synchronized List<StalenessTally> talliesOf(HistoryFault fault) {
         return PLAYED.computeIfAbsent(fault, key -> {
-            List<StalenessTally> all = new ArrayList<>();
+            List<StalenessTally> tallies = new ArrayList<>();
             for (long seed = 1; seed <= HISTORIES; seed++) {
-                all.add(new StalenessWorld(seed, fault, HintUse.PINS).play(SECONDS));
+                tallies.add(new StalenessWorld(seed, fault, HintUse.PINS).play(SECONDS));
             }
-            return all;
+            return tallies;
         });
     }
 
     /** Nothing of a kind in any history; the first that has some is named by its seed. */
-    private static void none(HistoryFault fault, Function<StalenessTally, List<String>> kind) {
-        List<StalenessTally> all = played(fault);
-        for (int i = 0; i < all.size(); i++) {
-            assertEquals(List.of(), kind.apply(all.get(i)), fault + ", seed " + (i + 1));
+    private static void assertNone(HistoryFault fault, Function<StalenessTally, List<String>> violations) {
+        List<StalenessTally> tallies = talliesOf(fault);
+        for (int i = 0; i < tallies.size(); i++) {
+            assertEquals(List.of(), violations.apply(tallies.get(i)), fault + ", seed " + (i + 1));
         }
     }
 
     @ParameterizedTest
     @EnumSource(HistoryFault.class)
-    void noReadIsBeyondItsBoundOrMark(HistoryFault fault) {
-        none(fault, tally -> tally.beyond);
+    void noReadViolatesItsBoundOrMark(HistoryFault fault) {
+        assertNone(fault, tally -> tally.boundViolations);
         long served =
-                played(fault).stream().mapToLong(tally -> tally.strictServed).sum();
+                talliesOf(fault).stream().mapToLong(tally -> tally.strictServed).sum();
         assertTrue(served > 500L * HISTORIES, "hardly anything was served: " + served);
     }
 
     @ParameterizedTest
     @EnumSource(HistoryFault.class)
-    void noSessionGoesBack(HistoryFault fault) {
-        none(fault, tally -> tally.back);
+    void noSessionReadsAnOlderVersion(HistoryFault fault) {
+        assertNone(fault, tally -> tally.sessionRegressions);
     }
 
     @ParameterizedTest
     @EnumSource(HistoryFault.class)
-    void noStrictReadIsOlderThanAPurgeThatWasTold(HistoryFault fault) {
-        none(fault, tally -> tally.purged);
+    void noStrictReadPredatesADeliveredPurge(HistoryFault fault) {
+        assertNone(fault, tally -> tally.purgeViolations);
     }
 
     @ParameterizedTest
     @EnumSource(HistoryFault.class)
-    void noAgeIsToldTooSmall(HistoryFault fault) {
-        none(fault, tally -> tally.odd);
+    void noReportedAgeIsTooSmall(HistoryFault fault) {
+        assertNone(fault, tally -> tally.understatedAges);
         assertTrue(
-                fault != HistoryFault.CLOCKS || played(fault).stream().anyMatch(tally -> tally.preferredOld > 0),
+                fault != HistoryFault.CLOCKS || talliesOf(fault).stream().anyMatch(tally -> tally.preferViolations > 0),
                 "none told");
     }
 
     @ParameterizedTest
     @EnumSource(HistoryFault.class)
-    void datagramsAreSmallAndFew(HistoryFault fault) {
-        for (StalenessTally tally : played(fault)) {
-            assertTrue(tally.mostBytes <= 256, "a message of " + tally.mostBytes);
-            assertTrue(tally.sent <= 40 * SECONDS * StalenessWorld.FRONTS, tally.sent + " messages");
+    void gossipIsBoundedInSizeAndRate(HistoryFault fault) {
+        for (StalenessTally tally : talliesOf(fault)) {
+            assertTrue(tally.maxMessageBytes <= 256, "a message of " + tally.maxMessageBytes);
+            assertTrue(tally.messagesSent <= 40 * SECONDS * StalenessWorld.ROUTERS, tally.messagesSent + " messages");
         }
     }
 
@@ -78,11 +78,13 @@
     @EnumSource(
             value = HistoryFault.class,
             names = {"NONE", "LOSS", "SPLIT", "KILLED", "LATE_PURGES", "CACHES"})
-    void fewStrictReadsAreRefusedWhereClocksAndBoardAreWell(HistoryFault fault) {
-        long strict = played(fault).stream().mapToLong(tally -> tally.strict).sum();
-        long refused =
-                played(fault).stream().mapToLong(tally -> tally.strictRefused).sum();
-        assertTrue(refused < strict * 0.02, refused + " of " + strict);
+    void fewStrictReadsAreRejectedWhileClocksAndDiscoveryWork(HistoryFault fault) {
+        long strict =
+                talliesOf(fault).stream().mapToLong(tally -> tally.strictReads).sum();
+        long rejected = talliesOf(fault).stream()
+                .mapToLong(tally -> tally.strictRejected)
+                .sum();
+        assertTrue(rejected < strict * 0.02, rejected + " of " + strict);
     }
 
     /** Fronts begin without the origin's clock; the first strict reads go for it, and hardly any after them. */
@@ -90,9 +92,11 @@
     @EnumSource(
             value = HistoryFault.class,
             names = {"NONE", "LATE_PURGES", "CACHES"})
-    void fewReadsGoToTheOriginForItsClock(HistoryFault fault) {
-        for (StalenessTally tally : played(fault)) {
-            assertTrue(tally.learning > 0 && tally.learning <= 2 * StalenessWorld.FRONTS, tally.learning + " went");
+    void fewReadsGoToTheOriginToLearnItsClock(HistoryFault fault) {
+        for (StalenessTally tally : talliesOf(fault)) {
+            assertTrue(
+                    tally.originClockReads > 0 && tally.originClockReads <= 2 * StalenessWorld.ROUTERS,
+                    tally.originClockReads + " went");
         }
     }
 }
--- a/src/test/java/magpiewheel/staleness/StalenessTally.java
+++ b/src/test/java/magpiewheel/staleness/StalenessTally.java
@@ -5,38 +5,38 @@
 
 /** One history: what is asked of it and what came of it. */
 final class StalenessTally {
-    long strict;
+    long strictReads;
     long strictServed;
-    long strictRefused;
-    long atOnce;
+    long strictRejected;
+    long rejectedAtOnce;
     /** Reads that went to the origin itself for want of its clock. */
-    long learning;
+    long originClockReads;
 
-    long preferred;
-    long preferredOld;
+    long preferReads;
+    long preferViolations;
     long hits;
-    long answers;
-    final List<String> beyond = new ArrayList<>();
-    final List<String> back = new ArrayList<>();
-    final List<String> purged = new ArrayList<>();
-    final List<String> odd = new ArrayList<>();
-    long sent;
-    long mostBytes;
-    long ties;
+    long repliesWithCopy;
+    final List<String> boundViolations = new ArrayList<>();
+    final List<String> sessionRegressions = new ArrayList<>();
+    final List<String> purgeViolations = new ArrayList<>();
+    final List<String> understatedAges = new ArrayList<>();
+    long messagesSent;
+    long maxMessageBytes;
+    long markTies;
 
-    void add(StalenessTally one) {
-        strict += one.strict;
-        strictServed += one.strictServed;
-        strictRefused += one.strictRefused;
-        atOnce += one.atOnce;
-        learning += one.learning;
-        preferred += one.preferred;
-        preferredOld += one.preferredOld;
-        sent += one.sent;
-        ties += one.ties;
-        beyond.addAll(one.beyond);
-        back.addAll(one.back);
-        purged.addAll(one.purged);
-        odd.addAll(one.odd);
+    void add(StalenessTally other) {
+        strictReads += other.strictReads;
+        strictServed += other.strictServed;
+        strictRejected += other.strictRejected;
+        rejectedAtOnce += other.rejectedAtOnce;
+        originClockReads += other.originClockReads;
+        preferReads += other.preferReads;
+        preferViolations += other.preferViolations;
+        messagesSent += other.messagesSent;
+        markTies += other.markTies;
+        boundViolations.addAll(other.boundViolations);
+        sessionRegressions.addAll(other.sessionRegressions);
+        purgeViolations.addAll(other.purgeViolations);
+        understatedAges.addAll(other.understatedAges);
     }
 }
--- a/src/test/java/magpiewheel/staleness/StalenessWorld.java
+++ b/src/test/java/magpiewheel/staleness/StalenessWorld.java
@@ -20,7 +20,7 @@
  */
 final class StalenessWorld {
 
-    static final int FRONTS = 5;
+    static final int ROUTERS = 5;
     static final int CACHES = 4;
     static final int PARENTS = 2;
     static final long MS = 1_000;
@@ -29,34 +29,34 @@
     private static final long EPOCH = 1_764_576_000_000_000L;
     private static final int OBJECTS = 14;
     private static final int SESSIONS = 24;
-    private static final long PATIENCE = 1_500 * MS;
+    private static final long CLIENT_TIMEOUT = 1_500 * MS;
     private static final long ORIGIN = 900;
 
     /** A copy: which version, and the ms at which the origin gave it out. */
-    private record Copy(int version, long mintedMs) {}
+    private record Copy(int version, long originTimeMs) {}
 
     /** A node's answer; direct if the origin gave it out for this very request. */
-    private record Answer(Copy copy, boolean hit, boolean direct, long parent) {}
+    private record Response(Copy copy, boolean hit, boolean viaOrigin, long parent) {}
 
-    private record Event(long at, long number, Runnable does) {}
+    private record Event(long at, long number, Runnable action) {}
 
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
     private final SplittableRandom random;
     private final HistoryFault fault;
     private final HintUse hints;
-    private long numbers;
+    private long nextEventNumber;
     private long now;
-    private final long originOff;
+    private final long originOffset;
     private final int[] versions = new int[OBJECTS + 1];
     /** When, in us of the origin, each version came to be. */
     private final List<List<Long>> written = new ArrayList<>();
 
-    private final Front[] fronts = new Front[FRONTS];
-    private final Map<Long, Node> nodes = new HashMap<>();
-    private final boolean[][] cut = new boolean[FRONTS][FRONTS];
+    private final Router[] routers = new Router[ROUTERS];
+    private final Map<Long, Endpoint> endpoints = new HashMap<>();
+    private final boolean[][] cut = new boolean[ROUTERS][ROUTERS];
     /** Purges in the order of their publication. */
-    private final List<long[]> published = new ArrayList<>();
+    private final List<long[]> purgesSent = new ArrayList<>();
 
     final StalenessTally tally = new StalenessTally();
     /** Of all messages between fronts, attempts and replies, with their times. */
@@ -66,18 +66,18 @@
         random = new SplittableRandom(seed);
         this.fault = fault;
         this.hints = hints;
-        originOff = EPOCH + spread(200 * MS);
+        originOffset = EPOCH + randomOffset(200 * MS);
         for (int i = 0; i <= OBJECTS; i++) {
             written.add(new ArrayList<>(List.of(0L)));
         }
         for (int i = 0; i < CACHES; i++) {
-            nodes.put(1L + i, new Node(1L + i));
+            endpoints.put(1L + i, new Endpoint(1L + i));
         }
         for (int i = 0; i < PARENTS; i++) {
-            nodes.put(101L + i, new Node(101L + i));
+            endpoints.put(101L + i, new Endpoint(101L + i));
         }
-        for (int i = 0; i < FRONTS; i++) {
-            fronts[i] = new Front(i);
+        for (int i = 0; i < ROUTERS; i++) {
+            routers[i] = new Router(i);
         }
     }
 
@@ -85,95 +85,95 @@
         return fault == one || fault == HistoryFault.ALL;
     }
 
-    private long spread(long most) {
-        return random.nextLong(2 * most + 1) - most;
+    private long randomOffset(long max) {
+        return random.nextLong(2 * max + 1) - max;
     }
 
-    private void after(long us, Runnable does) {
-        events.add(new Event(now + us, numbers++, does));
+    private void after(long us, Runnable action) {
+        events.add(new Event(now + us, nextEventNumber++, action));
     }
 
-    private void every(long us, Runnable does) {
+    private void every(long us, Runnable action) {
         after(us, () -> {
-            does.run();
-            every(us, does);
+            action.run();
+            every(us, action);
         });
     }
 
     private long originClock() {
-        return now + originOff;
+        return now + originOffset;
     }
 
     /** A way between machines. */
-    private long way() {
+    private long delay() {
         return 300 + random.nextLong(random.nextInt(20) == 0 ? 150 * MS : 6 * MS);
     }
 
-    private boolean lost() {
+    private boolean isLost() {
         return has(HistoryFault.LOSS) && random.nextInt(10) == 0;
     }
 
     /** Plays some seconds. */
     StalenessTally play(long seconds) {
         for (int i = 0; i < SESSIONS; i++) {
-            Session session = new Session(i);
+            Client session = new Client(i);
             after(random.nextLong(1_000 * MS) + 2_500 * MS, session::next);
         }
         every(700 * MS, this::purge);
-        schedule();
+        scheduleFaults();
         while (!events.isEmpty() && events.peek().at() <= seconds * 1_000 * MS) {
             Event event = events.poll();
             now = event.at();
-            event.does().run();
+            event.action().run();
         }
         return tally;
     }
 
-    private void schedule() {
+    private void scheduleFaults() {
         if (has(HistoryFault.SPLIT)) {
             every(9_000 * MS, this::split);
         }
         if (has(HistoryFault.KILLED)) {
             every(3_000 * MS, () -> {
-                Front front = fronts[random.nextInt(FRONTS)];
-                front.kill();
-                after(100 * MS + random.nextLong(2_000 * MS), front::start);
+                Router router = routers[random.nextInt(ROUTERS)];
+                router.kill();
+                after(100 * MS + random.nextLong(2_000 * MS), router::start);
             });
         }
         if (has(HistoryFault.PAUSED)) {
             every(2_500 * MS, () -> {
-                Front front = fronts[random.nextInt(FRONTS)];
-                front.paused = true;
-                after(50 * MS + random.nextLong(3_500 * MS), front::resume);
+                Router router = routers[random.nextInt(ROUTERS)];
+                router.paused = true;
+                after(50 * MS + random.nextLong(3_500 * MS), router::resume);
             });
         }
         if (has(HistoryFault.BOARD)) {
             every(4_000 * MS, () -> {
-                Front front = fronts[random.nextInt(FRONTS)];
-                front.boardCut = now + 1_000 * MS + random.nextLong(9_000 * MS);
+                Router router = routers[random.nextInt(ROUTERS)];
+                router.discoveryCutUntil = now + 1_000 * MS + random.nextLong(9_000 * MS);
             });
         }
         if (has(HistoryFault.CACHES)) {
             every(5_000 * MS, () -> {
-                Node node = nodes.get(1L + random.nextInt(CACHES));
-                if (nodes.values().stream().noneMatch(one -> one.draining || one.gone)) {
-                    node.drain(random.nextBoolean());
+                Endpoint endpoint = endpoints.get(1L + random.nextInt(CACHES));
+                if (endpoints.values().stream().noneMatch(one -> one.draining || one.removed)) {
+                    endpoint.drain(random.nextBoolean());
                 }
             });
         }
     }
 
     private void split() {
-        boolean[] side = new boolean[FRONTS];
-        for (int i = 0; i < FRONTS; i++) {
+        boolean[] side = new boolean[ROUTERS];
+        for (int i = 0; i < ROUTERS; i++) {
             side[i] = random.nextBoolean();
         }
-        for (int i = 0; i < FRONTS; i++) {
-            for (int j = 0; j < FRONTS; j++) {
+        for (int i = 0; i < ROUTERS; i++) {
+            for (int j = 0; j < ROUTERS; j++) {
                 cut[i][j] = side[i] != side[j];
             }
             if (side[i]) {
-                fronts[i].boardCut = now + 6_000 * MS;
+                routers[i].discoveryCutUntil = now + 6_000 * MS;
             }
         }
         after(6_000 * MS, () -> {
@@ -188,102 +188,105 @@
         long at = originClock() / MS * MS;
         long late = has(HistoryFault.LATE_PURGES) ? random.nextLong(5_000 * MS) : random.nextLong(20 * MS);
         after(late, () -> {
-            published.add(new long[] {object, at, now});
+            purgesSent.add(new long[] {object, at, now});
             // Nodes drop what is older by themselves, some time later.
-            after(random.nextLong(2_000 * MS), () -> nodes.values().forEach(node -> node.purged(object, at)));
+            after(
+                    random.nextLong(2_000 * MS),
+                    () -> endpoints.values().forEach(endpoint -> endpoint.purged(object, at)));
         });
     }
 
     // ---------------------------------------------------------------- nodes
 
     /** A cache or a parent. */
-    private final class Node {
+    private final class Endpoint {
         final long id;
-        final long off = EPOCH + (has(HistoryFault.CLOCKS) ? spread(400 * MS) : spread(5 * MS));
-        final Map<Integer, Copy> held = new HashMap<>();
-        final Map<Integer, List<Consumer<Answer>>> filling = new HashMap<>();
+        final long clockOffset = EPOCH + (has(HistoryFault.CLOCKS) ? randomOffset(400 * MS) : randomOffset(5 * MS));
+        final Map<Integer, Copy> copies = new HashMap<>();
+        final Map<Integer, List<Consumer<Response>>> fillsInFlight = new HashMap<>();
         boolean draining;
-        boolean gone;
+        boolean removed;
         long startedUs;
-        int life;
+        int incarnation;
 
-        Node(long id) {
+        Endpoint(long id) {
             this.id = id;
         }
 
         private long clock() {
-            return now + off;
+            return now + clockOffset;
         }
 
         void drain(boolean restarts) {
             draining = true;
-            tellFronts();
+            notifyRouters();
             after(1_500 * MS, () -> {
-                gone = true;
-                life++;
-                tellFronts();
+                removed = true;
+                incarnation++;
+                notifyRouters();
             });
             after(3_000 * MS, () -> {
-                gone = false;
+                removed = false;
                 draining = false;
-                filling.clear();
+                fillsInFlight.clear();
                 if (restarts) {
-                    held.clear();
+                    copies.clear();
                     startedUs = EPOCH + now;
                 }
-                tellFronts();
+                notifyRouters();
             });
         }
 
-        private void tellFronts() {
-            for (Front front : fronts) {
-                after(way(), () -> front.run(front::list));
+        private void notifyRouters() {
+            for (Router router : routers) {
+                after(delay(), () -> router.run(router::updateReplicas));
             }
         }
 
         void purged(int object, long atUs) {
-            Copy copy = held.get(object);
-            if (copy != null && copy.mintedMs() * MS < atUs) {
-                held.remove(object);
+            Copy copy = copies.get(object);
+            if (copy != null && copy.originTimeMs() * MS < atUs) {
+                copies.remove(object);
             }
         }
 
         /** Answers with a copy that is young enough by its own clock, or fills it. */
-        void read(int object, long limitUs, long via, boolean ride, Consumer<Answer> to) {
-            Copy copy = held.get(object);
-            if (copy != null && clock() - copy.mintedMs() * MS <= limitUs) {
-                to.accept(new Answer(copy, true, false, 0));
+        void read(int object, long limitUs, long via, boolean mayJoin, Consumer<Response> to) {
+            Copy copy = copies.get(object);
+            if (copy != null && clock() - copy.originTimeMs() * MS <= limitUs) {
+                to.accept(new Response(copy, true, false, 0));
                 return;
             }
-            List<Consumer<Answer>> waiting = filling.get(object);
-            if (waiting != null && ride) {
-                waiting.add(answer -> to.accept(new Answer(answer.copy(), false, false, answer.parent())));
+            List<Consumer<Response>> fillInFlight = fillsInFlight.get(object);
+            if (fillInFlight != null && mayJoin) {
+                fillInFlight.add(answer -> to.accept(new Response(answer.copy(), false, false, answer.parent())));
                 return;
             }
-            List<Consumer<Answer>> mine = new ArrayList<>();
-            filling.put(object, mine);
-            Consumer<Answer> filled = answer -> {
-                filling.remove(object, mine);
-                Copy old = held.get(object);
-                if (old == null || old.mintedMs() <= answer.copy().mintedMs()) {
-                    held.put(object, answer.copy());
+            List<Consumer<Response>> waiters = new ArrayList<>();
+            fillsInFlight.put(object, waiters);
+            Consumer<Response> filled = answer -> {
+                fillsInFlight.remove(object, waiters);
+                Copy previous = copies.get(object);
+                if (previous == null || previous.originTimeMs() <= answer.copy().originTimeMs()) {
+                    copies.put(object, answer.copy());
                 }
-                Answer own = new Answer(answer.copy(), false, answer.direct(), via == ORIGIN ? 0 : via);
-                to.accept(own);
-                mine.forEach(one -> one.accept(own));
+                Response response = new Response(answer.copy(), false, answer.viaOrigin(), via == ORIGIN ? 0 : via);
+                to.accept(response);
+                waiters.forEach(waiter -> waiter.accept(response));
             };
-            int mineLife = life;
-            after(way(), () -> {
-                if (mineLife != life) {
+            int startedIn = incarnation;
+            after(delay(), () -> {
+                if (startedIn != incarnation) {
                     return;
                 }
                 if (via == ORIGIN) {
                     Copy fresh = new Copy(versions[object], originClock() / MS);
-                    after(way(), () -> filled.accept(new Answer(fresh, false, true, 0)));
+                    after(delay(), () -> filled.accept(new Response(fresh, false, true, 0)));
                 } else {
                     // A parent goes by its class: the bound is not known to it.
-                    nodes.get(via)
-                            .read(object, FRESH, ORIGIN, true, answer -> after(way(), () -> filled.accept(answer)));
+                    endpoints
+                            .get(via)
+                            .read(object, FRESH, ORIGIN, true, answer -> after(delay(), () -> filled.accept(answer)));
                 }
             });
         }
@@ -292,33 +295,33 @@
     // ---------------------------------------------------------------- fronts
 
     /** A front: what the module does for a read, as far as pins have a say. */
-    private final class Front implements MembershipView {
-        final int me;
-        final long off;
+    private final class Router implements MembershipView {
+        final int routerId;
+        final long clockOffset;
         final double rate;
-        BoundedStalenessReads pins;
+        BoundedStalenessReads reads;
         boolean alive;
         boolean paused;
-        int life;
-        long boardCut;
-        int told;
-        final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
+        int incarnation;
+        long discoveryCutUntil;
+        int delivered;
+        final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
         final Map<Integer, Long> purges = new HashMap<>();
-        final Map<Integer, Copy> own = new HashMap<>();
+        final Map<Integer, Copy> localCopies = new HashMap<>();
         /** Reads under way to the origin itself for want of its clock. */
-        int learning;
+        int originReads;
 
-        List<Long> ready = new ArrayList<>();
+        List<Long> readyCaches = new ArrayList<>();
 
-        Front(int me) {
-            this.me = me;
-            off = EPOCH + spread(400 * MS);
+        Router(int routerId) {
+            this.routerId = routerId;
+            clockOffset = EPOCH + randomOffset(400 * MS);
             rate = 1 + (random.nextDouble() * 2 - 1) * (has(HistoryFault.CLOCKS) ? 600e-6 : 100e-6);
             start();
         }
 
         long clock() {
-            return off + (long) (now * rate);
+            return clockOffset + (long) (now * rate);
         }
 
         void start() {
@@ -327,141 +330,142 @@
             }
             alive = true;
             paused = false;
-            int mine = ++life;
-            own.clear();
+            int startedIn = ++incarnation;
+            localCopies.clear();
             purges.clear();
-            told = 0;
-            learning = 0;
-            pins = new BoundedStalenessReads(clock(), me, 0, this, (to, bytes) -> {
-                tally.sent++;
-                actions.add(now).add((long) me).add((long) to).add(bytes);
-                tally.mostBytes = Math.max(tally.mostBytes, bytes.length);
-                if (!cut[me][to] && !lost() && !lost()) {
+            delivered = 0;
+            originReads = 0;
+            reads = new BoundedStalenessReads(clock(), routerId, 0, this, (to, bytes) -> {
+                tally.messagesSent++;
+                actions.add(now).add((long) routerId).add((long) to).add(bytes);
+                tally.maxMessageBytes = Math.max(tally.maxMessageBytes, bytes.length);
+                if (!cut[routerId][to] && !isLost() && !isLost()) {
                     after(
                             1_400 + random.nextLong(21_600),
-                            () -> fronts[to].run(() -> fronts[to].pins.messageReceived(fronts[to].clock(), me, bytes)));
+                            () -> routers[to].run(
+                                    () -> routers[to].reads.messageReceived(routers[to].clock(), routerId, bytes)));
                 }
             });
-            list();
-            tick(mine);
-            board(mine);
+            updateReplicas();
+            tick(startedIn);
+            deliverDiscovery(startedIn);
         }
 
-        private void tick(int mine) {
-            if (mine != life || !alive) {
+        private void tick(int startedIn) {
+            if (startedIn != incarnation || !alive) {
                 return;
             }
             run(() -> {
-                if (clock() >= pins.due()) {
-                    pins.tick(clock());
+                if (clock() >= reads.due()) {
+                    reads.tick(clock());
                 }
             });
-            after(50 * MS, () -> tick(mine));
+            after(50 * MS, () -> tick(startedIn));
         }
 
         /** The board's frames: events that are still to come, or an empty one each second. */
-        private void board(int mine) {
-            if (mine != life || !alive) {
+        private void deliverDiscovery(int startedIn) {
+            if (startedIn != incarnation || !alive) {
                 return;
             }
-            if (now >= boardCut) {
-                int upTo = published.size();
+            if (now >= discoveryCutUntil) {
+                int upTo = purgesSent.size();
                 after(
-                        way(),
+                        delay(),
                         () -> run(() -> {
-                            if (mine != life) {
+                            if (startedIn != incarnation) {
                                 return;
                             }
                             // One frame for each event, some ms apart, as after a time without the board.
-                            if (told < upTo) {
-                                long[] one = published.get(told++);
+                            if (delivered < upTo) {
+                                long[] one = purgesSent.get(delivered++);
                                 purges.merge((int) one[0], one[1], Math::max);
-                                pins.objectPurged(clock(), one[0], 0, one[1]);
+                                reads.objectPurged(clock(), one[0], 0, one[1]);
                             }
-                            pins.discoveryHeard(clock());
+                            reads.discoveryHeard(clock());
                         }));
             }
-            after(told < published.size() ? 60 * MS : 500 * MS, () -> board(mine));
+            after(delivered < purgesSent.size() ? 60 * MS : 500 * MS, () -> deliverDiscovery(startedIn));
         }
 
         void kill() {
             alive = false;
-            life++;
-            waiting.clear();
+            incarnation++;
+            deferred.clear();
         }
 
         void resume() {
             if (paused) {
                 paused = false;
-                while (!waiting.isEmpty() && !paused) {
-                    waiting.remove().run();
+                while (!deferred.isEmpty() && !paused) {
+                    deferred.remove().run();
                 }
             }
         }
 
         /** At once, or when the process goes on. */
-        void run(Runnable does) {
+        void run(Runnable action) {
             if (!alive) {
                 return;
             }
             if (paused) {
-                waiting.add(does);
+                deferred.add(action);
             } else {
-                does.run();
+                action.run();
             }
         }
 
-        void list() {
-            ready = new ArrayList<>();
+        void updateReplicas() {
+            readyCaches = new ArrayList<>();
             List<Replica> all = new ArrayList<>();
             for (long id = 1; id <= CACHES; id++) {
-                Node node = nodes.get(id);
-                if (!node.gone) {
-                    all.add(new Replica(id, node.draining, 1, node.startedUs));
-                    if (!node.draining) {
-                        ready.add(id);
+                Endpoint endpoint = endpoints.get(id);
+                if (!endpoint.removed) {
+                    all.add(new Replica(id, endpoint.draining, 1, endpoint.startedUs));
+                    if (!endpoint.draining) {
+                        readyCaches.add(id);
                     }
                 }
             }
-            if (pins != null) {
-                pins.replicasChanged(clock(), all);
+            if (reads != null) {
+                reads.replicasChanged(clock(), all);
             }
         }
 
         private List<Long> order(int object) {
-            List<Long> order = new ArrayList<>(ready);
+            List<Long> order = new ArrayList<>(readyCaches);
             order.sort(Comparator.comparingLong(id -> SetAssociativeTable.keyOf(object, id, 7)));
             return order;
         }
 
         void read(ReadHint hint, int object, Consumer<Reply> to) {
-            long came = clock();
+            long arrivedAt = clock();
             long purge = purges.getOrDefault(object, 0L);
-            StalenessBound bound = pins.boundOf(came, hint, FRESH, GRACE, purge);
+            StalenessBound bound = reads.boundOf(arrivedAt, hint, FRESH, GRACE, purge);
             if (bound.strict() && !bound.provable()) {
-                tally.atOnce++;
+                tally.rejectedAtOnce++;
                 to.accept(new Reply(null, -1, false));
                 return;
             }
-            Copy mine = own.get(object);
-            if (mine != null
-                    && came - mine.mintedMs() * MS <= FRESH
-                    && (bound.isBounded() || mine.mintedMs() * MS >= purge)
-                    && pins.accepts(came, bound, mine.mintedMs() * MS)) {
-                to.accept(new Reply(mine, 0, true));
+            Copy localCopy = localCopies.get(object);
+            if (localCopy != null
+                    && arrivedAt - localCopy.originTimeMs() * MS <= FRESH
+                    && (bound.isBounded() || localCopy.originTimeMs() * MS >= purge)
+                    && reads.accepts(arrivedAt, bound, localCopy.originTimeMs() * MS)) {
+                to.accept(new Reply(localCopy, 0, true));
                 return;
             }
-            if (!pins.requiresOriginResponse(came, bound)) {
+            if (!reads.requiresOriginResponse(arrivedAt, bound)) {
                 attempt(hint, object, bound, purge, 0, to);
-            } else if (BoundedStalenessReads.mayReadOrigin(learning)) {
-                learning++;
-                tally.learning++;
+            } else if (BoundedStalenessReads.mayReadOrigin(originReads)) {
+                originReads++;
+                tally.originClockReads++;
                 attempt(hint, object, bound, purge, 0, reply -> {
-                    learning--;
+                    originReads--;
                     to.accept(reply);
                 });
             } else {
-                tally.atOnce++;
+                tally.rejectedAtOnce++;
                 to.accept(new Reply(null, -1, false));
             }
         }
@@ -474,111 +478,113 @@
                 return;
             }
             long sent = clock();
-            long picked = pins.preferredReplica(sent, hint, object, 0, order, bound);
-            long node = picked != 0 ? picked : order.get(0);
+            long preferred = reads.preferredReplica(sent, hint, object, 0, order, bound);
+            long endpoint = preferred != 0 ? preferred : order.get(0);
             long parent = 101 + object % PARENTS;
-            boolean only = pins.requiresOriginResponse(sent, bound);
-            boolean byParent =
-                    tries == 0 && !only && (!bound.isBounded() || pins.mayBeAcceptable(sent, object, 0, parent, bound));
+            boolean originOnly = reads.requiresOriginResponse(sent, bound);
+            boolean viaParent = tries == 0
+                    && !originOnly
+                    && (!bound.isBounded() || reads.mayBeAcceptable(sent, object, 0, parent, bound));
             long limit = FRESH;
-            long asked = pins.maxAgeUs(sent, object, 0, node, bound);
-            limit = asked > 0 ? Math.min(limit, asked) : limit;
+            long maxAgeUs = reads.maxAgeUs(sent, object, 0, endpoint, bound);
+            limit = maxAgeUs > 0 ? Math.min(limit, maxAgeUs) : limit;
             limit = purge > 0 ? Math.min(limit, Math.max(1, sent - purge)) : limit;
-            limit = tries > 0 || only ? 1 : limit;
+            limit = tries > 0 || originOnly ? 1 : limit;
             long fresh = Math.max(MS, limit);
             actions.add(now)
-                    .add((long) me)
+                    .add((long) routerId)
                     .add((long) object)
-                    .add(node)
-                    .add(byParent)
+                    .add(endpoint)
+                    .add(viaParent)
                     .add(fresh);
-            int mine = life;
+            int startedIn = incarnation;
             boolean[] ended = new boolean[1];
             after(
                     300 * MS,
                     () -> run(() -> {
-                        if (mine == life && !ended[0]) {
+                        if (startedIn == incarnation && !ended[0]) {
                             ended[0] = true;
-                            again(hint, object, bound, purge, tries, null, to);
+                            retry(hint, object, bound, purge, tries, null, to);
                         }
                     }));
-            if (lost()) {
+            if (isLost()) {
                 return;
             }
-            int itsLife = nodes.get(node).life;
+            int endpointIncarnation = endpoints.get(endpoint).incarnation;
             after(
-                    way(),
-                    () -> nodes.get(node)
-                            .read(object, fresh, byParent ? parent : ORIGIN, tries == 0 && !only, answer -> {
-                                if (lost() || itsLife != nodes.get(node).life) {
+                    delay(),
+                    () -> endpoints
+                            .get(endpoint)
+                            .read(object, fresh, viaParent ? parent : ORIGIN, tries == 0 && !originOnly, answer -> {
+                                if (isLost() || endpointIncarnation != endpoints.get(endpoint).incarnation) {
                                     return;
                                 }
                                 after(
-                                        way(),
+                                        delay(),
                                         () -> run(() -> {
-                                            if (mine != life || ended[0]) {
+                                            if (startedIn != incarnation || ended[0]) {
                                                 return;
                                             }
                                             ended[0] = true;
-                                            answered(hint, object, bound, purge, tries, sent, node, answer, to);
+                                            handle(hint, object, bound, purge, tries, sent, endpoint, answer, to);
                                         }));
                             }));
         }
 
-        private void answered(
+        private void handle(
                 ReadHint hint,
                 int object,
                 StalenessBound bound,
                 long purge,
                 int tries,
                 long sent,
-                long node,
-                Answer answer,
+                long endpoint,
+                Response answer,
                 Consumer<Reply> to) {
             long got = clock();
-            long minted = answer.copy().mintedMs() * MS;
-            pins.responseReceived(sent, got, minted, answer.direct());
-            pins.responseServed(got, hint, object, 0, node, minted);
+            long originTimeUs = answer.copy().originTimeMs() * MS;
+            reads.responseReceived(sent, got, originTimeUs, answer.viaOrigin());
+            reads.responseServed(got, hint, object, 0, endpoint, originTimeUs);
             if (answer.parent() != 0) {
-                pins.responseServed(got, ReadHint.NONE, object, 0, answer.parent(), minted);
+                reads.responseServed(got, ReadHint.NONE, object, 0, answer.parent(), originTimeUs);
             }
-            if ((bound.isBounded() || minted >= purge) && pins.accepts(got, bound, minted)) {
-                Copy held = own.get(object);
-                if (held == null || held.mintedMs() < answer.copy().mintedMs()) {
-                    own.put(object, answer.copy());
+            if ((bound.isBounded() || originTimeUs >= purge) && reads.accepts(got, bound, originTimeUs)) {
+                Copy previous = localCopies.get(object);
+                if (previous == null || previous.originTimeMs() < answer.copy().originTimeMs()) {
+                    localCopies.put(object, answer.copy());
                 }
                 to.accept(new Reply(answer.copy(), 0, answer.hit()));
             } else {
-                again(hint, object, bound, purge, tries, answer.copy(), to);
+                retry(hint, object, bound, purge, tries, answer.copy(), to);
             }
         }
 
-        private void again(
+        private void retry(
                 ReadHint hint, int object, StalenessBound bound, long purge, int tries, Copy got, Consumer<Reply> to) {
             if (tries < 2) {
                 attempt(hint, object, bound, purge, tries + 1, to);
             } else if (bound.strict() || got == null) {
                 to.accept(new Reply(null, -1, false));
             } else {
-                to.accept(new Reply(got, pins.violatingAgeMs(clock(), bound, got.mintedMs() * MS), false));
+                to.accept(new Reply(got, reads.violatingAgeMs(clock(), bound, got.originTimeMs() * MS), false));
             }
         }
 
         void write(int object, Consumer<Reply> to) {
             long sent = clock();
-            int mine = life;
-            if (lost()) {
+            int startedIn = incarnation;
+            if (isLost()) {
                 return;
             }
-            after(way() + way(), () -> {
+            after(delay() + delay(), () -> {
                 versions[object]++;
                 written.get(object).add(originClock());
                 Copy copy = new Copy(versions[object], originClock() / MS);
                 after(
-                        way() + way(),
+                        delay() + delay(),
                         () -> run(() -> {
-                            if (mine == life) {
-                                pins.writeAnswered(sent, clock(), copy.mintedMs() * MS);
+                            if (startedIn == incarnation) {
+                                reads.writeAnswered(sent, clock(), copy.originTimeMs() * MS);
                                 to.accept(new Reply(copy, 0, false));
                             }
                         }));
@@ -588,8 +594,8 @@
         // ------------------------------------------------------------ who is there, as the membership would have it
 
         @Override
-        public MemberStatus status(int front) {
-            return fronts[front].alive ? MemberStatus.ALIVE : MemberStatus.DEAD;
+        public MemberStatus status(int router) {
+            return routers[router].alive ? MemberStatus.ALIVE : MemberStatus.DEAD;
         }
 
         @Override
@@ -598,15 +604,15 @@
         }
 
         @Override
-        public int zone(int front) {
+        public int zone(int router) {
             return 0;
         }
 
         @Override
         public List<Integer> runningMembers() {
             List<Integer> heard = new ArrayList<>();
-            for (int i = 0; i < FRONTS; i++) {
-                if (i != me && fronts[i] != null && fronts[i].alive && !cut[i][me]) {
+            for (int i = 0; i < ROUTERS; i++) {
+                if (i != routerId && routers[i] != null && routers[i].alive && !cut[i][routerId]) {
                     heard.add(i);
                 }
             }
@@ -625,12 +631,12 @@
 
         @Override
         public double quotaDivisor(long time) {
-            return FRONTS;
+            return ROUTERS;
         }
 
         @Override
         public double quotaDivisorIn(long time, int zone) {
-            return FRONTS;
+            return ROUTERS;
         }
 
         @Override
@@ -645,53 +651,55 @@
     // ---------------------------------------------------------------- sessions and the checker
 
     /** A client that reads and writes, and hands back the marks it was given. */
-    private final class Session {
+    private final class Client {
         final long id;
-        int front;
+        int router;
         final Map<Integer, Long> marks = new HashMap<>();
         /** The newest version that was seen, by object. */
-        final Map<Integer, Integer> seen = new HashMap<>();
+        final Map<Integer, Integer> newestVersions = new HashMap<>();
 
         final int kind;
-        int asks;
+        int requests;
 
-        Session(int number) {
+        Client(int number) {
             id = 1_000_000L + number;
             kind = number % 6;
-            front = number % FRONTS;
+            router = number % ROUTERS;
         }
 
         void next() {
-            int mine = ++asks;
+            int number = ++requests;
             if (random.nextInt(20) == 0) {
-                front = random.nextInt(FRONTS);
+                router = random.nextInt(ROUTERS);
             }
             int object = 1 + Math.min(OBJECTS - 1, (int) (OBJECTS * random.nextDouble() * random.nextDouble()));
-            after(PATIENCE, () -> {
-                if (mine == asks) {
-                    front = random.nextInt(FRONTS);
+            after(CLIENT_TIMEOUT, () -> {
+                if (number == requests) {
+                    router = random.nextInt(ROUTERS);
                     next();
                 }
             });
             boolean writes = random.nextInt(16) == 0;
             ReadHint hint = hint(object);
-            Front asked = fronts[front];
-            after(way(), () -> {
-                long came = originClock();
-                if (!asked.alive) {
+            Router contacted = routers[router];
+            after(delay(), () -> {
+                long arrivedAt = originClock();
+                if (!contacted.alive) {
                     return;
                 }
                 if (writes) {
-                    asked.run(() -> asked.write(object, reply -> after(way(), () -> wrote(mine, object, reply))));
+                    contacted.run(() -> contacted.write(
+                            object, reply -> after(delay(), () -> writeCompleted(number, object, reply))));
                 } else {
-                    count(hint);
-                    Map<Integer, Integer> before = new HashMap<>(seen);
-                    asked.run(() -> asked.read(
+                    countRead(hint);
+                    Map<Integer, Integer> before = new HashMap<>(newestVersions);
+                    contacted.run(() -> contacted.read(
                             hints == HintUse.NONE ? ReadHint.NONE : hint,
                             object,
                             reply -> after(
-                                    way(),
-                                    () -> read(mine, object, hint, came, before.getOrDefault(object, 0), reply))));
+                                    delay(),
+                                    () -> read(
+                                            number, object, hint, arrivedAt, before.getOrDefault(object, 0), reply))));
                 }
             });
         }
@@ -699,89 +707,89 @@
         private ReadHint hint(int object) {
             long pin = hints == HintUse.PINS ? id : 0;
             long mark = marks.getOrDefault(object, 0L);
-            long most = List.of(100L, 500L, 1_500L, 5_000L).get((int) (id / 6 % 4)) * MS;
+            long maxAgeUs = List.of(100L, 500L, 1_500L, 5_000L).get((int) (id / 6 % 4)) * MS;
             return switch (kind) {
                 case 0, 1 -> new ReadHint(0, mark, pin, mark > 0);
-                case 2 -> new ReadHint(most, 0, pin, true);
-                case 3 -> new ReadHint(most, mark, pin, true);
-                case 4 -> new ReadHint(most, mark, pin, false);
+                case 2 -> new ReadHint(maxAgeUs, 0, pin, true);
+                case 3 -> new ReadHint(maxAgeUs, mark, pin, true);
+                case 4 -> new ReadHint(maxAgeUs, mark, pin, false);
                 default -> ReadHint.NONE;
             };
         }
 
-        private void count(ReadHint hint) {
-            tally.strict += hint.strict() ? 1 : 0;
-            tally.preferred += hint.isBounded() && !hint.strict() ? 1 : 0;
+        private void countRead(ReadHint hint) {
+            tally.strictReads += hint.strict() ? 1 : 0;
+            tally.preferReads += hint.isBounded() && !hint.strict() ? 1 : 0;
         }
 
-        private void wrote(int mine, int object, Reply reply) {
-            if (mine != asks) {
+        private void writeCompleted(int number, int object, Reply reply) {
+            if (number != requests) {
                 return;
             }
-            seen.merge(object, reply.copy().version(), Math::max);
-            marks.merge(object, BoundedStalenessReads.markOf(reply.copy().mintedMs() * MS, true), Math::max);
-            again(reply);
+            newestVersions.merge(object, reply.copy().version(), Math::max);
+            marks.merge(object, BoundedStalenessReads.markOf(reply.copy().originTimeMs() * MS, true), Math::max);
+            scheduleNext(reply);
         }
 
-        private void read(int mine, int object, ReadHint hint, long came, int before, Reply reply) {
-            if (mine != asks) {
+        private void read(int number, int object, ReadHint hint, long arrivedAt, int before, Reply reply) {
+            if (number != requests) {
                 return;
             }
             if (reply.copy() == null) {
-                tally.strictRefused += hint.strict() ? 1 : 0;
+                tally.strictRejected += hint.strict() ? 1 : 0;
             } else {
-                tally.answers++;
+                tally.repliesWithCopy++;
                 tally.hits += reply.hit() ? 1 : 0;
                 tally.strictServed += hint.strict() ? 1 : 0;
-                tally.preferredOld += reply.aged() != 0 ? 1 : 0;
+                tally.preferViolations += reply.aged() != 0 ? 1 : 0;
                 if (hints != HintUse.NONE) {
-                    check(object, hint, came, before, reply);
+                    check(object, hint, arrivedAt, before, reply);
                 }
-                seen.merge(object, reply.copy().version(), Math::max);
-                marks.merge(object, BoundedStalenessReads.markOf(reply.copy().mintedMs() * MS, false), Math::max);
+                newestVersions.merge(object, reply.copy().version(), Math::max);
+                marks.merge(object, BoundedStalenessReads.markOf(reply.copy().originTimeMs() * MS, false), Math::max);
             }
             actions.add(now)
                     .add(id)
-                    .add(reply.copy() == null ? 0 : reply.copy().mintedMs())
+                    .add(reply.copy() == null ? 0 : reply.copy().originTimeMs())
                     .add(reply.aged());
-            again(reply);
+            scheduleNext(reply);
         }
 
-        private void check(int object, ReadHint hint, long came, int before, Reply reply) {
+        private void check(int object, ReadHint hint, long arrivedAt, int before, Reply reply) {
             Copy copy = reply.copy();
-            long age = came - copy.mintedMs() * MS;
-            boolean promised = reply.aged() == 0 && hint.isBounded();
-            if (promised && hint.atMostUs() > 0 && age > hint.atMostUs()
-                    || promised && hint.afterMs() > 0 && copy.mintedMs() < hint.afterMs()) {
-                tally.beyond.add(
+            long age = arrivedAt - copy.originTimeMs() * MS;
+            boolean boundClaimed = reply.aged() == 0 && hint.isBounded();
+            if (boundClaimed && hint.atMostUs() > 0 && age > hint.atMostUs()
+                    || boundClaimed && hint.afterMs() > 0 && copy.originTimeMs() < hint.afterMs()) {
+                tally.boundViolations.add(
                         now / MS + " ms: object " + object + ", " + hint + ", age " + age + " us, minted " + copy);
             }
             if (reply.aged() > 0 && hint.atMostUs() > 0 && age > reply.aged() * MS) {
-                tally.odd.add(now / MS + " ms: told " + reply.aged() + " ms, age " + age + " us");
+                tally.understatedAges.add(now / MS + " ms: told " + reply.aged() + " ms, age " + age + " us");
             }
-            if (promised && hint.afterMs() > 0 && copy.version() < before) {
+            if (boundClaimed && hint.afterMs() > 0 && copy.version() < before) {
                 long newer = written.get(object).get(copy.version() + 1);
                 if (newer / MS == hint.afterMs()) {
-                    tally.ties++;
+                    tally.markTies++;
                 } else {
-                    tally.back.add(
+                    tally.sessionRegressions.add(
                             now / MS + " ms: object " + object + " fell from " + before + " to " + copy + ", " + hint);
                 }
             }
-            long oldest = copy.mintedMs() * MS;
+            long oldest = copy.originTimeMs() * MS;
             if (hint.strict()
-                    && published.stream()
+                    && purgesSent.stream()
                             .anyMatch(one -> one[0] == object
                                     && one[1] > oldest
-                                    && one[2] + 2_500 * MS + 200 * MS < came - originOff)) {
-                tally.purged.add(now / MS + " ms: object " + object + " is older than a purge, " + hint);
+                                    && one[2] + 2_500 * MS + 200 * MS < arrivedAt - originOffset)) {
+                tally.purgeViolations.add(now / MS + " ms: object " + object + " is older than a purge, " + hint);
             }
         }
 
-        private void again(Reply reply) {
-            asks++;
+        private void scheduleNext(Reply reply) {
+            requests++;
             if (reply.copy() == null) {
-                front = random.nextInt(FRONTS);
+                router = random.nextInt(ROUTERS);
             }
             after(reply.copy() == null ? 300 * MS : 30 * MS + random.nextLong(250 * MS), this::next);
         }
