--- a/src/test/java/magpiewheel/staleness/BoundedStalenessReadsTest.java
+++ b/src/test/java/magpiewheel/staleness/BoundedStalenessReadsTest.java
@@ -15,7 +15,7 @@
     private final BoundedStalenessReads reads =
             new BoundedStalenessReads(NOW - 10_000 * MS, 0, 0, new FixedMembershipView(), (router, message) -> {});
 
-    /** The origin's clock is 300 ms ahead, as a fetch of 10 ms and the board of both seconds tell. */
+    /** A fetch of 10 ms shows that the origin's clock is about 300 ms ahead; discovery was heard throughout. */
     private void makeOriginClockAndDiscoveryKnown() {
         reads.responseReceived(NOW - 20 * MS, NOW - 10 * MS, NOW + 285 * MS, true);
         reads.discoveryHeard(NOW - 2_000 * MS);
@@ -37,7 +37,7 @@
         makeOriginClockAndDiscoveryKnown();
         StalenessBound bound = reads.boundOf(NOW, new ReadHint(1_000 * MS, 0, 0, true), FRESH, GRACE, 0);
         assertTrue(bound.provable());
-        // Latest: minted and its ms, less the moment of sending, and 24 us of drift over 20 ms.
+        // The origin time plus its resolution of 1 ms, advanced by the 20 ms since sending, plus 24 us of drift.
         long latest = NOW + 285 * MS + 20 * MS + MS + 24;
         assertEquals(latest - 1_000 * MS, bound.oldestAcceptableUs());
         assertFalse(reads.accepts(NOW, bound, latest - 1_000 * MS - 1));
@@ -59,10 +59,10 @@
         assertFalse(reads.accepts(NOW, prefer, NOW));
         assertFalse(reads.requiresOriginResponse(NOW, prefer));
         assertEquals(-1, reads.violatingAgeMs(NOW, prefer, NOW));
-        // A parent's copy, or one that joined a fill, proves nothing.
+        // A parent's copy, or one that joined another fill, may have been issued before this request.
         reads.responseReceived(NOW + 1 * MS, NOW + 900 * MS, NOW - 399 * MS, false);
         assertFalse(reads.accepts(NOW + 900 * MS, strict, NOW - 399 * MS));
-        // The origin gave it out for a request sent after the read came: whatever the clocks.
+        // The origin issued it for a request that was sent after the read arrived: young enough by any clock.
         reads.responseReceived(NOW + 1 * MS, NOW + 900 * MS, NOW - 399 * MS, true);
         assertTrue(reads.accepts(NOW + 900 * MS, prefer, NOW - 399 * MS));
         assertTrue(reads.accepts(NOW + 900 * MS, strict, NOW - 399 * MS));
@@ -70,7 +70,8 @@
     }
 
     /**
-     * One read teaches the clock: a second would only load the origin. Marks need no clock while the board is heard.
+     * One response makes the origin's clock known; a second read would only load the origin. Marks do not need the
+     * clock while discovery is heard.
      */
     @Test
     void onlyOneReadAtATimeLearnsTheOriginClock() {
@@ -83,7 +84,7 @@
         long late = NOW + 3_000 * MS;
         assertTrue(
                 reads.requiresOriginResponse(late, reads.boundOf(late, mark, FRESH, GRACE, 0)),
-                "a silent board bounds the age");
+                "without discovery the age is bounded, which needs the clock");
     }
 
     @Test
--- a/src/test/java/magpiewheel/staleness/CaseWorld.java
+++ b/src/test/java/magpiewheel/staleness/CaseWorld.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** One front with four caches and a parent, whose origin's clock is 300 ms ahead; for the cases of the design page. */
+/** One router with four caches and a parent; the origin's clock is 300 ms ahead. Runs the cases of the design page. */
 final class CaseWorld {
     static final long MS = 1_000;
     static final long OBJECT = 7;
@@ -25,7 +25,7 @@
     String error = "";
     ReadHint hint = ReadHint.NONE;
     StalenessBound bound;
-    /** What the origin gave out for this read. */
+    /** The origin time of the copy that was fetched for this read. */
     long originTimeOfResponse;
 
     CaseWorld() {
@@ -71,7 +71,7 @@
         now += ms * MS;
     }
 
-    /** Frames each half second, the last one now. */
+    /** Advances the time with a discovery frame every 100 ms, the last one at the end. */
     void hearDiscoveryFor(long ms) {
         long from = now;
         reads.discoveryHeard(from);
@@ -81,10 +81,10 @@
         }
     }
 
-    /** The read comes; marks are ms of the origin's clock, counted from now. */
+    /** A read with a hint arrives; marks in the text are ms relative to the origin's current time. */
     void read(String text) {
         if (clockWidthMs > 0) {
-            // So long a fetch leaves so much open at the upper end, and nothing at the lower.
+            // The fetch time, plus the resolution of 1 ms, is the uncertainty of the upper bound; the lower is exact.
             reads.responseReceived(now - (clockWidthMs - 1) * MS, now, originClock(), true);
         }
         try {
--- a/src/test/java/magpiewheel/staleness/CasesTest.java
+++ b/src/test/java/magpiewheel/staleness/CasesTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The cases of the page on pinned reads, run as they stand, and its other tables held against the code. */
+/** Runs the cases of the page on pinned reads and compares the page's other tables with the code. */
 class CasesTest {
     private static final Path PAGE = Path.of("docs/design/pins.md");
     private static final long MS = CaseWorld.MS;
@@ -56,7 +56,7 @@
             .act("a read comes with (\\S+)", (w, m) -> w.read(m.group(1)))
             .act("a read without a hint comes", (w, m) -> w.read(""))
             .act("(the origin|a parent) answers a fetch of this read (\\d+) ms later", (w, m) -> {
-                // The origin's clock showed this when the fetch came to it, right after it was sent.
+                // The fetch reaches the origin right after it was sent, so this is the time of the copy.
                 long sent = w.now;
                 w.originTimeOfResponse = w.originClock() / MS * MS;
                 w.now += number(m, 2) * MS;
--- a/src/test/java/magpiewheel/staleness/FixedMembershipView.java
+++ b/src/test/java/magpiewheel/staleness/FixedMembershipView.java
@@ -5,7 +5,7 @@
 import magpiewheel.membership.MembershipView;
 import magpiewheel.membership.PartitionVerdict;
 
-/** The view of a front that has some peers in its branch, or none. */
+/** The membership view of a router with fixed running peers in its zone. */
 record FixedMembershipView(List<Integer> peers) implements MembershipView {
     FixedMembershipView() {
         this(List.of());
--- a/src/test/java/magpiewheel/staleness/HintUse.java
+++ b/src/test/java/magpiewheel/staleness/HintUse.java
@@ -1,6 +1,6 @@
 package magpiewheel.staleness;
 
-/** What of the reads' hints counts: nothing, bounds and marks, or these with pins. */
+/** Which parts of the read hints are used: none, bounds and marks, or these and sticky sessions. */
 enum HintUse {
     NONE,
     BOUNDS,
--- a/src/test/java/magpiewheel/staleness/HistoryFault.java
+++ b/src/test/java/magpiewheel/staleness/HistoryFault.java
@@ -1,6 +1,6 @@
 package magpiewheel.staleness;
 
-/** What goes wrong in a history. */
+/** The kind of fault that is injected into a simulated history. */
 enum HistoryFault {
     NONE,
     LOSS,
--- a/src/test/java/magpiewheel/staleness/ReplicaGossipGoldenTest.java
+++ b/src/test/java/magpiewheel/staleness/ReplicaGossipGoldenTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The octets of the datagrams of bounded reads: other versions of the program read them. */
+/** The exact bytes of the gossip datagrams, which other versions of the program must be able to read. */
 class ReplicaGossipGoldenTest {
     private static final long NOW = 1_764_576_000_000_000L;
     private final List<String> sent = new ArrayList<>();
--- a/src/test/java/magpiewheel/staleness/StalenessComponentsTest.java
+++ b/src/test/java/magpiewheel/staleness/StalenessComponentsTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The parts of pinned reads, each by itself. */
+/** Unit tests of the origin clock, the tables of replicas and sticky replicas, and the gossip. */
 class StalenessComponentsTest {
     private static final long NOW = 1_764_576_000_000_000L;
     private static final long MS = 1_000;
@@ -28,7 +28,7 @@
         assertFalse(clock.isKnown(NOW));
         assertEquals(-1, clock.widthUs(NOW));
         clock.raiseLowerBound(NOW, NOW + 100 * MS);
-        assertFalse(clock.isKnown(NOW), "a lower bound alone is no use");
+        assertFalse(clock.isKnown(NOW), "a lower bound alone is not enough");
         clock.lowerUpperBound(NOW, NOW + 110 * MS);
         assertTrue(clock.isKnown(NOW));
         assertEquals(10 * MS, clock.widthUs(NOW));
@@ -39,7 +39,7 @@
         assertEquals(NOW + 10 * S + 111 * MS, clock.latest(NOW + 10 * S));
         clock.lowerUpperBound(NOW + 10 * S, NOW + 10 * S + 500 * MS);
         assertEquals(NOW + 10 * S + 111 * MS, clock.latest(NOW + 10 * S), "a looser bound changes nothing");
-        assertFalse(clock.isKnown(NOW + 1_000 * S), "past 2 s it is of no use");
+        assertFalse(clock.isKnown(NOW + 1_000 * S), "an interval wider than 2 s counts as unknown");
     }
 
     @Test
@@ -63,7 +63,9 @@
                 new BoundedStalenessReads(NOW, 0, 0, new FixedMembershipView(), (to, bytes) -> {});
         reads.writeAnswered(NOW, NOW + 5 * MS, NOW - 90 * S);
         assertEquals(
-                -1, reads.clockUncertaintyUs(NOW + 5 * MS), "a keyed write done long ago would set the clock back");
+                -1,
+                reads.clockUncertaintyUs(NOW + 5 * MS),
+                "the origin time may be that of an earlier execution of the write");
         reads.responseReceived(NOW, NOW + 5 * MS, NOW + 2 * MS, true);
         assertTrue(reads.clockUncertaintyUs(NOW + 5 * MS) > 0);
     }
@@ -75,7 +77,7 @@
         assertEquals(0, BoundedStalenessReads.markOf(0, true));
     }
 
-    // ---------------------------------------------------------------- the table
+    // ---------------------------------------------------------------- tables
 
     @Test
     void leastRecentlyUsedEntryIsReplacedAndOldEntriesExpire() {
@@ -103,12 +105,12 @@
         assertEquals(0, replicas.originTimeOf(NOW, 1, 1, 5));
         replicas.removeOlder(2, NOW + 1);
         replicas.removeOlder(1, NOW);
-        assertEquals(NOW, replicas.originTimeOf(NOW, 1, 0, 5), "as old as the purge is not older");
+        assertEquals(NOW, replicas.originTimeOf(NOW, 1, 0, 5), "a copy as old as the purge stays");
         replicas.removeOlder(1, NOW + 1);
         assertEquals(0, replicas.originTimeOf(NOW, 1, 0, 5));
     }
 
-    // ---------------------------------------------------------------- pins
+    // ---------------------------------------------------------------- sticky replicas
 
     static List<Replica> caches(int count, long draining) {
         return IntStream.rangeClosed(1, count)
@@ -133,7 +135,7 @@
         for (int i = 0; i < 8_000; i++) {
             moved += stickyReplicas.admitsMigration(NOW, 2) ? 1 : 0;
         }
-        assertEquals(16, moved, "reads that leave the module's order for one cache");
+        assertEquals(16, moved, "reads that prefer a cache that is not first in order");
         assertTrue(stickyReplicas.admitsMigration(NOW + 2 * S, 2));
     }
 
@@ -147,7 +149,10 @@
         assertEquals(List.of(), stickyReplicas.replicasChanged(NOW + 1, caches(4, 2)));
         assertEquals(0, stickyReplicas.assignedTo(2));
         for (int i = 0; i < 4_000; i++) {
-            assertEquals(i % 4 == 1 ? 0 : 1 + i % 4, stickyReplicas.replicaOf(NOW + 1, 1 + i, 9), "no other pin moves");
+            assertEquals(
+                    i % 4 == 1 ? 0 : 1 + i % 4,
+                    stickyReplicas.replicaOf(NOW + 1, 1 + i, 9),
+                    "assignments to other replicas stay");
         }
         for (int i = 1; i < 4_000; i += 4) {
             assertTrue(stickyReplicas.assign(NOW + 2, 1 + i, 9, 3 + i / 4 % 2));
@@ -181,9 +186,9 @@
         assertEquals(0, reads.stickyReplicas());
     }
 
-    // ---------------------------------------------------------------- between fronts
+    // ---------------------------------------------------------------- gossip
 
-    /** Two fronts and the way between them, at once and in order. */
+    /** Two routers in virtual time; messages arrive in order at the end of each step. */
     private static final class RouterPair {
         final ArrayDeque<Runnable> messagesInFlight = new ArrayDeque<>();
         final BoundedStalenessReads[] routers = new BoundedStalenessReads[2];
@@ -243,10 +248,12 @@
                 1 + 17 % 4, pair.routers[0].preferredReplica(pair.now, hint, 18, 0, List.of(4L, 3L, 2L, 1L), bound));
         assertTrue(pair.routers[0].mayBeAcceptable(pair.now, 18, 0, 1 + 17 % 4, bound));
         long error = pair.routers[0].clockUncertaintyUs(pair.now);
-        assertTrue(error >= 0 && error < 100 * MS, "the clock is known within " + error);
-        // Front 1's clock is 400 ms behind, and the origin's 700 ms ahead of that one.
+        assertTrue(error >= 0 && error < 100 * MS, "uncertainty of the origin's clock: " + error + " us");
+        // Router 1's clock is 400 ms behind that of router 0, and the origin's 700 ms ahead of router 1's.
         StalenessBound young = pair.routers[0].boundOf(pair.now, new ReadHint(1_000 * MS, 0, 0, false), 900 * S, S, 0);
-        assertTrue(young.oldestAcceptableUs() >= pair.now + 300 * MS - 1_000 * MS, "the bound is on the safe side");
+        assertTrue(
+                young.oldestAcceptableUs() >= pair.now + 300 * MS - 1_000 * MS,
+                "the bound is at least as strict as the exact one");
     }
 
     @Test
@@ -264,7 +271,7 @@
             pair.run(ReplicaGossip.TICK_US);
             assertTrue(
                     pair.sent <= 2 * (ReplicaGossip.MAX_DATAGRAMS_PER_TICK + 2),
-                    pair.sent + " datagrams in a tick of two fronts");
+                    pair.sent + " datagrams in a tick of two routers");
         }
     }
 
@@ -289,7 +296,7 @@
         }
         assertEquals(ReplicaGossip.RECEIVERS_PER_MESSAGE, maxReceivers[0]);
         assertEquals(10, replicas.size());
-        assertEquals(20, messagesByReceiver.size(), "the turn goes round");
+        assertEquals(20, messagesByReceiver.size(), "every router is reached in turn");
     }
 
     @Test
@@ -309,7 +316,7 @@
         all.forEach(bytes -> reads.messageReceived(NOW, 1, bytes));
         assertEquals(all.size(), reads.malformedMessages());
         assertEquals(0, reads.stickyReplicas());
-        // An answer that nobody asked for.
+        // A clock answer without a request.
         byte[] answer = java.nio.ByteBuffer.allocate(28)
                 .put(ReplicaGossip.PROTOCOL_BYTE)
                 .put((byte) 1)
--- a/src/test/java/magpiewheel/staleness/StalenessFigures.java
+++ b/src/test/java/magpiewheel/staleness/StalenessFigures.java
@@ -10,7 +10,8 @@
 import java.util.stream.LongStream;
 
 /**
- * The figures of docs/measurements/pins.md. Arguments: how many histories of each fault, and for hits; none: neither.
+ * Prints the figures of docs/measurements/pins.md. Arguments: the number of histories per fault and the number of
+ * histories for the hit shares; without arguments neither is run.
  */
 final class StalenessFigures {
     private static final long NOW = 1_764_576_000_000_000L;
@@ -58,7 +59,9 @@
         }
     }
 
-    /** The same seeds without hints, with bounds and marks alone, and with pins. */
+    /**
+     * Compares hit shares of the same seeds without hints, with bounds and marks only, and with sticky sessions too.
+     */
     private static void measureHitShares(int histories) {
         for (HistoryFault fault : List.of(HistoryFault.NONE, HistoryFault.CACHES, HistoryFault.ALL)) {
             for (HintUse hints : HintUse.values()) {
@@ -77,7 +80,7 @@
         }
     }
 
-    /** Pins that move when one of eight caches drains and comes back. */
+    /** Counts the assignments that move when one of eight caches drains and becomes available again. */
     private static void measureDrain() {
         StickyReplicaTable pins = new StickyReplicaTable(1 << 14, 600_000_000);
         pins.replicasChanged(NOW, StalenessComponentsTest.caches(8, 0));
@@ -123,7 +126,7 @@
         long minted;
     }
 
-    /** Known copies in arrays of eight against the library's map in order of use. */
+    /** Compares the set-associative table with a LinkedHashMap in access order. */
     private static void measureTables() {
         int most = 1 << 15;
         usedHeapBytes();
@@ -190,7 +193,8 @@
     }
 
     /**
-     * One hinted read's decisions: bound, pick of eight caches, parent, age limit, proof, and what was served noted.
+     * Measures the decisions of one read with a hint: bound, selection among eight caches, parent check, age limit,
+     * proof, and recording of the served copy.
      */
     private static void measureDecisions() {
         BoundedStalenessReads pins =
@@ -252,7 +256,7 @@
     }
 
     private static double round(Operation operation) {
-        // The thread's own time: others may have the processor meanwhile.
+        // CPU time of this thread, since other threads may use the processor meanwhile.
         long from = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
         for (int i = 0; i < OPERATIONS_PER_ROUND; i++) {
             sink += operation.run(i);
--- a/src/test/java/magpiewheel/staleness/StalenessFingerprintTest.java
+++ b/src/test/java/magpiewheel/staleness/StalenessFingerprintTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Fingerprints of all messages, attempts and replies of seeded histories; names and shape leave them as they are. */
+/** Fingerprints of all messages, attempts and replies of seeded histories; renaming and restructuring keep them. */
 class StalenessFingerprintTest {
     private static final int SECONDS = 12;
 
--- a/src/test/java/magpiewheel/staleness/StalenessMutationsTest.java
+++ b/src/test/java/magpiewheel/staleness/StalenessMutationsTest.java
@@ -19,9 +19,9 @@
 import org.junit.platform.launcher.core.LauncherFactory;
 
 /**
- * Each promise of pinned reads is seen to fail: a deliberate mistake is made in a copy of the package's sources, which
- * are compiled apart and played in a process of their own. Takes minutes, so only with {@code -Dpins.mutations=true};
- * {@code -Dpins.mistake=PATTERN} makes only those that it matches.
+ * Checks that the tests detect faults: each mutation is applied to a copy of the package's sources, which is compiled
+ * separately and tested in its own process. Takes minutes, so it runs only with {@code -Dpins.mutations=true};
+ * {@code -Dpins.mistake=PATTERN} selects mutations by their description.
  */
 @EnabledIfSystemProperty(named = "pins.mutations", matches = "true")
 class StalenessMutationsTest {
@@ -34,229 +34,229 @@
         String boundViolation = "noReadViolatesItsBoundOrMark";
         return List.of(
                 new SourceMutation(
-                        "the earliest that the origin's clock may show is taken",
+                        "ages are checked against the earliest possible origin time",
                         "BoundedStalenessReads",
                         "originTimeUs >= originClock.latest(bound.requestedAt())",
                         "originTimeUs >= originClock.earliest(bound.requestedAt())",
                         boundViolation),
                 new SourceMutation(
-                        "the own clock is taken for the origin's",
+                        "the router's clock is used as the origin's",
                         "OriginClock",
                         "return now + upperOffsetAt(now);",
                         "return now;",
                         boundViolation),
                 new SourceMutation(
-                        "any copy counts as given out for this request",
+                        "any copy counts as issued for this request",
                         "BoundedStalenessReads",
                         "if (viaOrigin) {",
                         "if (true) {",
                         boundViolation),
                 new SourceMutation(
-                        "an upper bound counts from when the answer came",
+                        "the upper clock bound is measured at the receipt of the response",
                         "BoundedStalenessReads",
                         "originClock.lowerUpperBound(sentUs,",
                         "originClock.lowerUpperBound(receivedUs,",
                         boundViolation),
                 new SourceMutation(
-                        "a front's word counts from when it came",
+                        "a peer's upper clock bound is measured at the receipt of its answer",
                         "ReplicaGossip",
                         "originClock.lowerUpperBound(echo,",
                         "originClock.lowerUpperBound(now,",
                         boundViolation),
                 new SourceMutation(
-                        "marks are not looked at",
+                        "marks are ignored",
                         "BoundedStalenessReads",
                         "hint.afterMs() * 1000, purgeUs",
                         "0, purgeUs",
                         "noSessionReadsAnOlderVersion"),
                 new SourceMutation(
-                        "a mark is good for a second before it",
+                        "copies up to a second older than a mark are accepted",
                         "BoundedStalenessReads",
                         "hint.afterMs() * 1000, purgeUs",
                         "hint.afterMs() * 1000 - 1_000_000, purgeUs",
                         "noSessionReadsAnOlderVersion"),
                 new SourceMutation(
-                        "a mark is not proved, only asked for",
+                        "marks are sent to endpoints but not verified",
                         "BoundedStalenessReads",
                         "originTimeUs < bound.notBeforeUs() ||",
                         "",
                         "noSessionReadsAnOlderVersion"),
                 new SourceMutation(
-                        "the age is not proved, only asked for",
+                        "the age is sent to endpoints but not verified",
                         "BoundedStalenessReads",
                         "return bound.maxAgeUs() == 0",
                         "return bound.maxAgeUs() >= 0",
                         boundViolation),
                 new SourceMutation(
-                        "purges are not looked at",
+                        "purges are ignored",
                         "BoundedStalenessReads",
                         "hint.afterMs() * 1000, purgeUs",
                         "hint.afterMs() * 1000, 0",
                         "noStrictReadPredatesADeliveredPurge"),
                 new SourceMutation(
-                        "a silent board changes nothing",
+                        "silent discovery is ignored",
                         "DiscoveryFreshness",
                         "return silenceUs > SILENT_AFTER_US ||",
                         "return silenceUs > CUT_OFF_AFTER_US ||",
                         "noStrictReadPredatesADeliveredPurge"),
                 new SourceMutation(
-                        "a board heard again counts as caught up",
+                        "discovery counts as caught up with the first frame",
                         "DiscoveryFreshness",
                         "CATCH_UP_US = 1_200_000",
                         "CATCH_UP_US = 0",
                         "caseHolds"),
                 new SourceMutation(
-                        "a board is never cut off",
+                        "discovery is never cut off",
                         "DiscoveryFreshness",
                         "if (silenceUs > CUT_OFF_AFTER_US) {",
                         "if (false) {",
                         "caseHolds"),
                 new SourceMutation(
-                        "an age is told without the error",
+                        "a reported age leaves out the clock uncertainty",
                         "BoundedStalenessReads",
                         "(originClock.latest(bound.requestedAt()) - originTimeUs + 999)",
                         "(originClock.earliest(bound.requestedAt()) - originTimeUs)",
                         "noReportedAgeIsTooSmall"),
                 new SourceMutation(
-                        "clocks do not drift",
+                        "clock drift is ignored",
                         "OriginClock",
                         "DRIFT_PPM = 1_200",
                         "DRIFT_PPM = 0",
                         "clockBoundsWidenByDriftAndNarrowByMeasurements"),
                 new SourceMutation(
-                        "a clock that was stepped is not found",
+                        "a stepped clock is not detected",
                         "OriginClock",
                         "if (upperOffsetUs != Long.MAX_VALUE && lowerOffsetUs > upperOffsetAt(now)) {",
                         "if (false) {",
                         "steppedClockIsDetectedAndMeasuredAgain"),
                 new SourceMutation(
-                        "a write bounds the clock from above",
+                        "a write lowers the upper clock bound",
                         "BoundedStalenessReads",
                         "responseReceived(sentUs, receivedUs, originTimeUs, false);",
                         "responseReceived(sentUs, receivedUs, originTimeUs, true);",
                         "writeSetsOnlyTheLowerBoundOfTheClock"),
                 new SourceMutation(
-                        "a write's mark is its answer's time",
+                        "the mark of a write is its origin time",
                         "BoundedStalenessReads",
                         "(write ? 1 : 0)",
                         "0",
                         "markOfAWriteIsOneMillisecondLater"),
                 new SourceMutation(
-                        "at_most outlasts the class",
+                        "at_most may exceed the fresh time and grace of the class",
                         "BoundedStalenessReads",
                         "Math.min(hint.atMostUs(), freshUs + graceUs)",
                         "hint.atMostUs()",
                         "caseHolds"),
                 new SourceMutation(
-                        "a node may answer older than the class's fresh time",
+                        "the age limit may exceed the fresh time of the class",
                         "BoundedStalenessReads",
                         "Math.min(allowedAgeUs, bound.freshUs()) : allowedAgeUs",
                         "allowedAgeUs : allowedAgeUs",
                         "caseHolds"),
                 new SourceMutation(
-                        "a strict read may go by a parent of which nothing is known",
+                        "a strict read may use a parent without a known copy",
                         "BoundedStalenessReads",
                         "originTimeUs == 0 ? !bound.strict()",
                         "originTimeUs == 0 ? true",
                         "caseHolds"),
                 new SourceMutation(
-                        "a mark ahead of the origin is waited for",
+                        "a mark ahead of the origin's clock counts as provable",
                         "BoundedStalenessReads",
                         "&& !markAhead;",
                         ";",
                         "caseHolds"),
                 new SourceMutation(
-                        "what is not known of the pinned cache frees the session",
+                        "a sticky replica without a known copy is not used",
                         "BoundedStalenessReads",
                         "if (originTimeUs == 0 || originTimeUs > 0 && accepts",
                         "if (originTimeUs > 0 && accepts",
                         "caseHolds"),
                 new SourceMutation(
-                        "a cache takes any number of pins",
+                        "a replica takes any number of assignments",
                         "StickyReplicaTable",
                         "if (state.assigned >= capacity(state)) {",
                         "if (false) {",
                         "stickyReplicasAndMigrationsAreCappedPerReplica"),
                 new SourceMutation(
-                        "any number of reads leave the module's order",
+                        "the number of reads that leave the order of preference is unlimited",
                         "StickyReplicaTable",
                         "state.migrations++;",
                         "",
                         "stickyReplicasAndMigrationsAreCappedPerReplica"),
                 new SourceMutation(
-                        "pins stay at a draining cache",
+                        "assignments stay at a draining replica",
                         "StickyReplicaTable",
                         "if (state.ready && replica.draining()) {",
                         "if (false) {",
                         "assignmentsLeaveADrainingReplicaAtOnceAndReturnGradually"),
                 new SourceMutation(
-                        "pins come home at once",
+                        "assignments return to their home all at once",
                         "StickyReplicaTable",
                         "RETURN_US = 20_000_000",
                         "RETURN_US = 0",
                         "assignmentsLeaveADrainingReplicaAtOnceAndReturnGradually"),
                 new SourceMutation(
-                        "pins do not come home",
+                        "assignments do not return to their home",
                         "StickyReplicaTable",
                         "if (home != endpoint && isHomeAvailable(now, home, key)) {",
                         "if (false) {",
                         "assignmentsLeaveADrainingReplicaAtOnceAndReturnGradually"),
                 new SourceMutation(
-                        "a cache that started again has what it had",
+                        "a restarted cache keeps its known copies",
                         "StickyReplicaTable",
                         "replica.startedUs() != state.startedUs",
                         "false",
                         "restartedCacheHoldsNothing"),
                 new SourceMutation(
-                        "an older word counts",
+                        "a late report of an older copy replaces a newer one",
                         "ReplicaIndex",
                         "Math.max(originTimeUs, table.first(index))",
                         "originTimeUs",
                         "olderCopiesAndPurgesOfOtherObjectsChangeNothing"),
                 new SourceMutation(
-                        "a purge leaves what is known",
+                        "a purge removes no known copies",
                         "ReplicaIndex",
                         "table.first(i) < purgedAtUs",
                         "table.first(i) < 0",
                         "olderCopiesAndPurgesOfOtherObjectsChangeNothing"),
                 new SourceMutation(
-                        "the newest of a full set gives way",
+                        "the most recently used entry of a full set is replaced",
                         "SetAssociativeTable",
                         "lastUsedAt[i] < lastUsedAt[oldest]",
                         "lastUsedAt[i] > lastUsedAt[oldest]",
                         "leastRecentlyUsedEntryIsReplacedAndOldEntriesExpire"),
                 new SourceMutation(
-                        "who starts asks nobody",
+                        "a router that starts does not request the state of others",
                         "ReplicaGossip",
                         "fullStateRequestsLeft = FULL_STATE_REQUESTS;",
                         "fullStateRequestsLeft = 0;",
                         "restartedRouterLearnsReplicasStickyReplicasAndClockFromPeer"),
                 new SourceMutation(
-                        "ticks have no limit",
+                        "the number of datagrams per tick is unlimited",
                         "ReplicaGossip",
                         "int messagesLeft = MAX_DATAGRAMS_PER_TICK;",
                         "int messagesLeft = 1_000_000;",
                         "gossipPerTickIsBounded"),
                 new SourceMutation(
-                        "a copy is told to every front",
+                        "a message goes to more routers than allowed",
                         "ReplicaGossip",
                         "int to = Math.min(RECEIVERS_PER_MESSAGE, routers.size());",
                         "int to = Math.min(MAX_DATAGRAMS_PER_TICK, routers.size());",
                         "eachReplicaMessageGoesToFourRoutersInTurn"),
                 new SourceMutation(
-                        "any version is read",
+                        "messages of any version are accepted",
                         "ReplicaGossip",
                         "|| bytes.get() != VERSION",
                         "|| bytes.get() < 0",
                         "malformedAndUnrequestedMessagesChangeNothing"),
                 new SourceMutation(
-                        "an answer counts that nobody asked for",
+                        "a clock answer without a request is accepted",
                         "ReplicaGossip",
                         "sent == null || sent != echo || ",
                         "",
                         "malformedAndUnrequestedMessagesChangeNothing"),
                 new SourceMutation(
-                        "hints are matched in any case",
+                        "hint words are matched regardless of case",
                         "ReadHint",
                         "switch (name) {",
                         "switch (name.toLowerCase(java.util.Locale.ROOT)) {",
@@ -271,7 +271,7 @@
                 .map(mutation -> mutation.detectionTest(folder, SOURCES, StalenessMutationsTest.class));
     }
 
-    /** Plays the test that has to notice, with the others of its class, and says which ones fail. */
+    /** Runs the test class that contains the detecting test and prints the names of the tests that fail. */
     public static void main(String[] args) {
         LauncherConfig jupiterOnly = LauncherConfig.builder()
                 .enableTestEngineAutoRegistration(false)
--- a/src/test/java/magpiewheel/staleness/StalenessProperties.java
+++ b/src/test/java/magpiewheel/staleness/StalenessProperties.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The promises of hinted reads over seeded histories of each fault; {@code -Dpins.histories=N} plays N of each. */
+/**
+ * Guarantees of reads with hints, checked over seeded histories of each fault; {@code -Dpins.histories=N} runs N of
+ * each.
+ */
 class StalenessProperties {
     private static final int HISTORIES = Integer.getInteger("pins.histories", 4);
     private static final long SECONDS = 20;
@@ -27,7 +30,7 @@
         });
     }
 
-    /** Nothing of a kind in any history; the first that has some is named by its seed. */
+    /** Asserts that no history has violations of a kind; a failure names the fault and the seed. */
     private static void assertNone(HistoryFault fault, Function<StalenessTally, List<String>> violations) {
         List<StalenessTally> tallies = talliesOf(fault);
         for (int i = 0; i < tallies.size(); i++) {
@@ -41,7 +44,7 @@
         assertNone(fault, tally -> tally.boundViolations);
         long served =
                 talliesOf(fault).stream().mapToLong(tally -> tally.strictServed).sum();
-        assertTrue(served > 500L * HISTORIES, "hardly anything was served: " + served);
+        assertTrue(served > 500L * HISTORIES, "too few strict reads were served: " + served);
     }
 
     @ParameterizedTest
@@ -62,15 +65,16 @@
         assertNone(fault, tally -> tally.understatedAges);
         assertTrue(
                 fault != HistoryFault.CLOCKS || talliesOf(fault).stream().anyMatch(tally -> tally.preferViolations > 0),
-                "none told");
+                "no reply reported an age");
     }
 
     @ParameterizedTest
     @EnumSource(HistoryFault.class)
     void gossipIsBoundedInSizeAndRate(HistoryFault fault) {
         for (StalenessTally tally : talliesOf(fault)) {
-            assertTrue(tally.maxMessageBytes <= 256, "a message of " + tally.maxMessageBytes);
-            assertTrue(tally.messagesSent <= 40 * SECONDS * StalenessWorld.ROUTERS, tally.messagesSent + " messages");
+            assertTrue(tally.maxMessageBytes <= 256, "largest message: " + tally.maxMessageBytes + " bytes");
+            assertTrue(
+                    tally.messagesSent <= 40 * SECONDS * StalenessWorld.ROUTERS, tally.messagesSent + " messages sent");
         }
     }
 
@@ -84,10 +88,10 @@
         long rejected = talliesOf(fault).stream()
                 .mapToLong(tally -> tally.strictRejected)
                 .sum();
-        assertTrue(rejected < strict * 0.02, rejected + " of " + strict);
+        assertTrue(rejected < strict * 0.02, rejected + " of " + strict + " strict reads rejected");
     }
 
-    /** Fronts begin without the origin's clock; the first strict reads go for it, and hardly any after them. */
+    /** Routers start without the origin's clock; the first strict reads learn it, and hardly any later ones need to. */
     @ParameterizedTest
     @EnumSource(
             value = HistoryFault.class,
@@ -96,7 +100,7 @@
         for (StalenessTally tally : talliesOf(fault)) {
             assertTrue(
                     tally.originClockReads > 0 && tally.originClockReads <= 2 * StalenessWorld.ROUTERS,
-                    tally.originClockReads + " went");
+                    tally.originClockReads + " reads sent to the origin to learn its clock");
         }
     }
 }
--- a/src/test/java/magpiewheel/staleness/StalenessTally.java
+++ b/src/test/java/magpiewheel/staleness/StalenessTally.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One history: what is asked of it and what came of it. */
+/** Counts of reads and replies in one history, and descriptions of the violations found. */
 final class StalenessTally {
     long strictReads;
     long strictServed;
     long strictRejected;
     long rejectedAtOnce;
-    /** Reads that went to the origin itself for want of its clock. */
+    /** Reads that were sent to the origin because its clock was unknown. */
     long originClockReads;
 
     long preferReads;
--- a/src/test/java/magpiewheel/staleness/StalenessWorld.java
+++ b/src/test/java/magpiewheel/staleness/StalenessWorld.java
@@ -15,8 +15,8 @@
 import magpiewheel.support.Fingerprint;
 
 /**
- * Fronts with their pins, caches, parents, an origin that takes writes, a board and sessions, in virtual time. Whether
- * an answer is right is judged by the origin's own clock and versions, which no front sees.
+ * Simulates routers, caches, parents, an origin that takes writes, discovery and client sessions in virtual time.
+ * Replies are checked against the origin's own clock and versions, which no router sees.
  */
 final class StalenessWorld {
 
@@ -32,10 +32,10 @@
     private static final long CLIENT_TIMEOUT = 1_500 * MS;
     private static final long ORIGIN = 900;
 
-    /** A copy: which version, and the ms at which the origin gave it out. */
+    /** A copy: its version, and the origin time in ms at which it was issued. */
     private record Copy(int version, long originTimeMs) {}
 
-    /** A node's answer; direct if the origin gave it out for this very request. */
+    /** An endpoint's response; {@code viaOrigin} if the origin issued the copy for this request. */
     private record Response(Copy copy, boolean hit, boolean viaOrigin, long parent) {}
 
     private record Event(long at, long number, Runnable action) {}
@@ -49,17 +49,17 @@
     private long now;
     private final long originOffset;
     private final int[] versions = new int[OBJECTS + 1];
-    /** When, in us of the origin, each version came to be. */
+    /** The time of the origin's clock, us, at which each version was written, by object. */
     private final List<List<Long>> written = new ArrayList<>();
 
     private final Router[] routers = new Router[ROUTERS];
     private final Map<Long, Endpoint> endpoints = new HashMap<>();
     private final boolean[][] cut = new boolean[ROUTERS][ROUTERS];
-    /** Purges in the order of their publication. */
+    /** Purges in the order of publication: object, origin time, virtual time of publication. */
     private final List<long[]> purgesSent = new ArrayList<>();
 
     final StalenessTally tally = new StalenessTally();
-    /** Of all messages between fronts, attempts and replies, with their times. */
+    /** Fingerprint of all messages between routers, attempts and replies, with their times. */
     final Fingerprint actions = new Fingerprint();
 
     StalenessWorld(long seed, HistoryFault fault, HintUse hints) {
@@ -104,7 +104,7 @@
         return now + originOffset;
     }
 
-    /** A way between machines. */
+    /** Returns a random one-way network delay. */
     private long delay() {
         return 300 + random.nextLong(random.nextInt(20) == 0 ? 150 * MS : 6 * MS);
     }
@@ -113,7 +113,7 @@
         return has(HistoryFault.LOSS) && random.nextInt(10) == 0;
     }
 
-    /** Plays some seconds. */
+    /** Runs the history for some seconds of virtual time. */
     StalenessTally play(long seconds) {
         for (int i = 0; i < SESSIONS; i++) {
             Client session = new Client(i);
@@ -189,16 +189,16 @@
         long late = has(HistoryFault.LATE_PURGES) ? random.nextLong(5_000 * MS) : random.nextLong(20 * MS);
         after(late, () -> {
             purgesSent.add(new long[] {object, at, now});
-            // Nodes drop what is older by themselves, some time later.
+            // Caches and parents drop older copies on their own, some time later.
             after(
                     random.nextLong(2_000 * MS),
                     () -> endpoints.values().forEach(endpoint -> endpoint.purged(object, at)));
         });
     }
 
-    // ---------------------------------------------------------------- nodes
+    // ---------------------------------------------------------------- caches and parents
 
-    /** A cache or a parent. */
+    /** A simulated cache or parent. */
     private final class Endpoint {
         final long id;
         final long clockOffset = EPOCH + (has(HistoryFault.CLOCKS) ? randomOffset(400 * MS) : randomOffset(5 * MS));
@@ -250,7 +250,7 @@
             }
         }
 
-        /** Answers with a copy that is young enough by its own clock, or fills it. */
+        /** Responds with a copy that is young enough by the endpoint's own clock, or fills it. */
         void read(int object, long limitUs, long via, boolean mayJoin, Consumer<Response> to) {
             Copy copy = copies.get(object);
             if (copy != null && clock() - copy.originTimeMs() * MS <= limitUs) {
@@ -283,7 +283,7 @@
                     Copy fresh = new Copy(versions[object], originClock() / MS);
                     after(delay(), () -> filled.accept(new Response(fresh, false, true, 0)));
                 } else {
-                    // A parent goes by its class: the bound is not known to it.
+                    // A parent uses the fresh time of the class, since it does not know the bound.
                     endpoints
                             .get(via)
                             .read(object, FRESH, ORIGIN, true, answer -> after(delay(), () -> filled.accept(answer)));
@@ -292,9 +292,9 @@
         }
     }
 
-    // ---------------------------------------------------------------- fronts
+    // ---------------------------------------------------------------- routers
 
-    /** A front: what the module does for a read, as far as pins have a say. */
+    /** A simulated router: the routing of a read, as far as bounded staleness affects it. */
     private final class Router implements MembershipView {
         final int routerId;
         final long clockOffset;
@@ -308,7 +308,7 @@
         final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
         final Map<Integer, Long> purges = new HashMap<>();
         final Map<Integer, Copy> localCopies = new HashMap<>();
-        /** Reads under way to the origin itself for want of its clock. */
+        /** Reads in flight to the origin to learn its clock. */
         int originReads;
 
         List<Long> readyCaches = new ArrayList<>();
@@ -363,7 +363,7 @@
             after(50 * MS, () -> tick(startedIn));
         }
 
-        /** The board's frames: events that are still to come, or an empty one each second. */
+        /** Delivers discovery frames: one for each outstanding purge, otherwise an empty one each half second. */
         private void deliverDiscovery(int startedIn) {
             if (startedIn != incarnation || !alive) {
                 return;
@@ -376,7 +376,7 @@
                             if (startedIn != incarnation) {
                                 return;
                             }
-                            // One frame for each event, some ms apart, as after a time without the board.
+                            // One frame per purge, some ms apart, as after an interruption of discovery.
                             if (delivered < upTo) {
                                 long[] one = purgesSent.get(delivered++);
                                 purges.merge((int) one[0], one[1], Math::max);
@@ -403,7 +403,7 @@
             }
         }
 
-        /** At once, or when the process goes on. */
+        /** Runs an action at once, or when the paused process resumes. */
         void run(Runnable action) {
             if (!alive) {
                 return;
@@ -591,7 +591,7 @@
             });
         }
 
-        // ------------------------------------------------------------ who is there, as the membership would have it
+        // ------------------------------------------------------------ membership view
 
         @Override
         public MemberStatus status(int router) {
@@ -645,17 +645,17 @@
         }
     }
 
-    /** What a client gets: no copy, refused; aged other than 0: served with its age told. */
+    /** A router's reply: rejected if there is no copy; with {@code aged} other than 0 the copy violates the bound. */
     private record Reply(Copy copy, long aged, boolean hit) {}
 
-    // ---------------------------------------------------------------- sessions and the checker
+    // ---------------------------------------------------------------- clients and checks
 
-    /** A client that reads and writes, and hands back the marks it was given. */
+    /** A simulated client session that reads and writes, and sends the marks that it received. */
     private final class Client {
         final long id;
         int router;
         final Map<Integer, Long> marks = new HashMap<>();
-        /** The newest version that was seen, by object. */
+        /** The newest version received, by object. */
         final Map<Integer, Integer> newestVersions = new HashMap<>();
 
         final int kind;
@@ -762,10 +762,11 @@
             if (boundClaimed && hint.atMostUs() > 0 && age > hint.atMostUs()
                     || boundClaimed && hint.afterMs() > 0 && copy.originTimeMs() < hint.afterMs()) {
                 tally.boundViolations.add(
-                        now / MS + " ms: object " + object + ", " + hint + ", age " + age + " us, minted " + copy);
+                        now / MS + " ms: object " + object + ", " + hint + ", age " + age + " us, " + copy);
             }
             if (reply.aged() > 0 && hint.atMostUs() > 0 && age > reply.aged() * MS) {
-                tally.understatedAges.add(now / MS + " ms: told " + reply.aged() + " ms, age " + age + " us");
+                tally.understatedAges.add(
+                        now / MS + " ms: reported age " + reply.aged() + " ms, actual age " + age + " us");
             }
             if (boundClaimed && hint.afterMs() > 0 && copy.version() < before) {
                 long newer = written.get(object).get(copy.version() + 1);
