--- a/src/main/java/magpiewheel/Main.java
+++ b/src/main/java/magpiewheel/Main.java
@@ -96,7 +96,7 @@
             Runtime.getRuntime().halt(exitCode);
         }
         long from = System.nanoTime();
-        engine.leave();
+        engine.stopServing();
         front.answerWithin(ANSWERS_AFTER_TERM_US);
         try {
             if (front.handedOn()) {
@@ -108,7 +108,7 @@
             // A request that is read is answered, so connections end before the process does.
             for (long ms = 0;
                     ms < LONGEST_DEADLINE_MS
-                            && (engine.open() > 0 || front.busy() || front.hasClients() && ms < LAST_LEAVE_MS);
+                            && (engine.inFlight() > 0 || front.busy() || front.hasClients() && ms < LAST_LEAVE_MS);
                     ms = (System.nanoTime() - from) / 1_000_000) {
                 Thread.sleep(10);
             }
@@ -119,7 +119,7 @@
             Thread.currentThread().interrupt();
         }
         // Halting waits 0.3 s for threads that are inside a socket.
-        engine.end(List.of());
+        engine.shutDown(List.of());
         sockets.forEach(Runnable::run);
         System.err.println("magpiewheel: counters " + counters);
         Runtime.getRuntime().halt(0);
--- a/src/main/java/magpiewheel/Startup.java
+++ b/src/main/java/magpiewheel/Startup.java
@@ -80,10 +80,11 @@
         app = AppConfig.read(appFile);
         config = FrontConfig.read(env);
         settings = config.settings().module();
-        clock = app.pins() ? UnixClock.even() : new UnixClock();
+        clock = app.pins() ? UnixClock.monotonic() : new UnixClock();
         crew = new WorkerPool();
         // Half of the buffers for what is under way, half for copies of the front's own; with little memory, fewer.
-        int buffers = (int) Math.min(app.buffers(), Runtime.getRuntime().maxMemory() / BUFFERS_PART / BufferPool.SIZE);
+        int buffers = (int)
+                Math.min(app.buffers(), Runtime.getRuntime().maxMemory() / BUFFERS_PART / BufferPool.BUFFER_BYTES);
         pool = new BufferPool(buffers, counters);
         ResponseCache copies = new ResponseCache(buffers / 2, config.flowBytesPerS(), config.linkBytesPerS());
         descriptors = DescriptorShares.of(config.sockets(), app, RespServer::descriptors);
@@ -110,7 +111,7 @@
         applyNotices();
         DiscoveryClient board = startBoard();
         if (peers != null) {
-            peers.start(engine::heard, engine::refused, crew);
+            peers.start(engine::peerMessageReceived, engine::reachabilityRefused, crew);
         }
         RespServer front = respFront(figures);
         sockets.add(board::end);
@@ -137,7 +138,7 @@
         }
         warm.set(true);
         System.err.println("magpiewheel: " + config.name() + " has practised");
-        engine.announce();
+        engine.startServing();
         return front;
     }
 
@@ -157,7 +158,7 @@
     private Engine engine(UpstreamPool nodes, ResponseCache copies) {
         MembershipConfig setup = settings.topology()
                 .membershipConfig(
-                        Ipv4.number(config.listen()),
+                        Ipv4.toInt(config.listen()),
                         app.beatMs() * 1_000L,
                         clock.now() / 1_000,
                         app.refusals() && peers != null);
@@ -188,7 +189,7 @@
                 ring,
                 clock,
                 settings.topology(),
-                Ipv4.number(config.listen()),
+                Ipv4.toInt(config.listen()),
                 config.listen().getPort());
     }
 
@@ -216,14 +217,14 @@
 
     private void startExport() {
         if (exporter != null) {
-            engine.watch(metering);
+            engine.setAttemptListener(metering);
             exporter.start();
         }
     }
 
     private ServiceStats startEngine() {
         ServiceStats figures = new ServiceStats(config.settings().classes(), counters);
-        engine.show(figures);
+        engine.publishStats(figures);
         engine.start();
         return figures;
     }
@@ -233,10 +234,10 @@
         boolean first = true;
         for (FrontConfig.Notice notice : config.notices()) {
             if (notice.nodes() != null) {
-                engine.members(listMode(notice, first), notice.nodes());
+                engine.endpointsChanged(listMode(notice, first), notice.nodes());
                 first = false;
             } else {
-                engine.purged(notice.object(), notice.group(), notice.atMs());
+                engine.objectsPurged(notice.object(), notice.group(), notice.atMs());
             }
         }
     }
@@ -281,7 +282,7 @@
     // Static, so that what is kept for as long as the process runs holds neither the start nor its configuration.
 
     private static BooleanSupplier ready(AtomicBoolean warm, Engine engine) {
-        return () -> warm.get() && engine.ready();
+        return () -> warm.get() && engine.hasReadyEndpoint();
     }
 
     private static void endOnSignal(
@@ -323,19 +324,19 @@
 
         @Override
         public String figures() {
-            return shown.text(front.inFlight());
+            return shown.format(front.inFlight());
         }
 
         @Override
         public void quiesce() {
             front.quiesce();
-            engine.leave();
+            engine.stopServing();
         }
 
         @Override
         public void resume() {
             front.resume();
-            engine.announce();
+            engine.startServing();
         }
     }
 }
--- a/src/main/java/magpiewheel/WarmUp.java
+++ b/src/main/java/magpiewheel/WarmUp.java
@@ -71,7 +71,7 @@
         BufferPool pool = new BufferPool(BUFFERS, counters);
         Engine engine = engine(config, crew, clock, pool, counters);
         engine.start();
-        engine.members(EndpointListMode.CACHED, listed(config));
+        engine.endpointsChanged(EndpointListMode.CACHED, listed(config));
         RespServer front = front(config, crew, clock, pool, counters, engine);
         try (ClientLine client = new ClientLine()) {
             front.take(client);
@@ -80,7 +80,7 @@
                 client.ask(request(i, classes.get(i % classes.size())));
             }
         } finally {
-            engine.end(List.of());
+            engine.shutDown(List.of());
         }
     }
 
--- a/src/main/java/magpiewheel/admin/AdminServer.java
+++ b/src/main/java/magpiewheel/admin/AdminServer.java
@@ -69,7 +69,7 @@
 
     /** Starts to take calls. */
     public void start() {
-        Actor.thread("admin", this::accept).start();
+        Actor.daemonThread("admin", this::accept).start();
     }
 
     /** Takes no further calls, and ends those in hand. */
@@ -94,7 +94,7 @@
                 counters.add(Counter.DOOR_CALLS);
                 makeRoom();
                 callers.add(caller);
-                crew.read(() -> serve(caller));
+                crew.runReader(() -> serve(caller));
             } catch (SocketTimeoutException e) {
                 // Time to look at the others.
             } catch (IOException e) {
@@ -160,7 +160,7 @@
             socket.getOutputStream().write(answer.text().getBytes(StandardCharsets.ISO_8859_1));
             socket.shutdownOutput();
             socket.setSoTimeout(LINGER_MS);
-            LingeringClose.drop(socket.getInputStream());
+            LingeringClose.drain(socket.getInputStream());
         } catch (IOException e) {
             // Gone, or closed to make room.
         } catch (RuntimeException e) {
--- a/src/main/java/magpiewheel/collector/Collector.java
+++ b/src/main/java/magpiewheel/collector/Collector.java
@@ -65,8 +65,8 @@
             streams.close();
             throw e;
         }
-        Actor.thread("collect-udp", this::receive).start();
-        Actor.thread("collect-tcp", this::accept).start();
+        Actor.daemonThread("collect-udp", this::receive).start();
+        Actor.daemonThread("collect-tcp", this::accept).start();
     }
 
     /** Where it listens. */
@@ -118,7 +118,7 @@
                     // Let in while close() went through those that were open: nobody else would close it.
                     socket.close();
                 }
-                Actor.thread("collect-stream", () -> read(socket)).start();
+                Actor.daemonThread("collect-stream", () -> read(socket)).start();
             } catch (IOException e) {
                 // Closed, or one that went before it was taken.
             }
--- a/src/main/java/magpiewheel/config/FrontConfig.java
+++ b/src/main/java/magpiewheel/config/FrontConfig.java
@@ -161,7 +161,7 @@
                         .state(state)
                         .cell(at.whole("cell", 0))
                         .build(),
-                Ipv4.number(address),
+                Ipv4.toInt(address),
                 address.getPort());
     }
 }
--- a/src/main/java/magpiewheel/config/Reload.java
+++ b/src/main/java/magpiewheel/config/Reload.java
@@ -103,12 +103,12 @@
     }
 
     @Override
-    protected long idleUs() {
+    protected long untilDueWorkUs() {
         return retries ? Math.max(0, (retryAt - System.nanoTime()) / 1_000) : -1;
     }
 
     @Override
-    protected void due() {
+    protected void runDueWork() {
         if (retries && System.nanoTime() - retryAt >= 0) {
             read();
         }
--- a/src/main/java/magpiewheel/discovery/DiscoveryClient.java
+++ b/src/main/java/magpiewheel/discovery/DiscoveryClient.java
@@ -70,7 +70,7 @@
     }
 
     private void startReader() {
-        thread("board-reader", this::read).start();
+        daemonThread("board-reader", this::read).start();
     }
 
     /** The board is to be found elsewhere from now on; the events go on behind the last one known. */
@@ -178,7 +178,7 @@
         long heardAt = engine.now();
         Runnable event = kind == 0 ? null : event(kind, ByteBuffer.wrap(payload));
         if (event != null) {
-            putAndTurn(() -> {
+            putAndRun(() -> {
                 // After a reconnect the board may repeat what is known here.
                 if (number > last) {
                     last = number;
@@ -189,7 +189,7 @@
         }
         if (tells) {
             // Behind the event, and behind all that came before it.
-            putAndTurn(() -> engine.boardHeard(heardAt));
+            putAndRun(() -> engine.discoveryHeard(heardAt));
         }
     }
 
@@ -203,7 +203,7 @@
             Long object = kind == 3 ? at.getLong() : null;
             int group = kind == 3 ? 0 : Short.toUnsignedInt(at.getShort());
             long ms = at.getLong();
-            return () -> engine.purged(object, group, ms);
+            return () -> engine.objectsPurged(object, group, ms);
         }
         List<ListedEndpoint> nodes = new ArrayList<>();
         while (at.hasRemaining()) {
@@ -229,6 +229,6 @@
                     ip,
                     port));
         }
-        return () -> engine.members(kind == 1 ? EndpointListMode.FULL : EndpointListMode.DELTA, nodes);
+        return () -> engine.endpointsChanged(kind == 1 ? EndpointListMode.FULL : EndpointListMode.DELTA, nodes);
     }
 }
--- a/src/main/java/magpiewheel/dns/DnsServer.java
+++ b/src/main/java/magpiewheel/dns/DnsServer.java
@@ -89,8 +89,8 @@
     @Override
     public void start() {
         super.start();
-        thread("dns-udp", this::readUdp).start();
-        thread("dns-tcp", this::accept).start();
+        daemonThread("dns-udp", this::readUdp).start();
+        daemonThread("dns-tcp", this::accept).start();
     }
 
     // ---------------------------------------------------------------- UDP
@@ -130,7 +130,7 @@
             try {
                 Socket socket = tcp.accept();
                 if (tcpRoom.tryAcquire()) {
-                    thread("dns-client", () -> serve(socket)).start();
+                    daemonThread("dns-client", () -> serve(socket)).start();
                 } else {
                     counters.add(Counter.DNS_DROPPED);
                     socket.close();
--- a/src/main/java/magpiewheel/engine/Actor.java
+++ b/src/main/java/magpiewheel/engine/Actor.java
@@ -13,22 +13,22 @@
 public abstract class Actor {
     private static final long STACK_BYTES = 192 * 1024;
     /** Messages worked off in one turn, so that a busy actor leaves the others theirs. */
-    private static final int TURN = 32;
+    private static final int MAX_MESSAGES_PER_TURN = 32;
     /** us; an actor that has nothing to wait for looks around so often, on a thread of its own. */
-    private static final long IDLE_US = TimeUnit.SECONDS.toMicros(1);
+    private static final long DEFAULT_WAIT_US = TimeUnit.SECONDS.toMicros(1);
 
     private final ArrayDeque<Runnable> mailbox = new ArrayDeque<>();
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition filled = lock.newCondition();
-    private final Condition roomy = lock.newCondition();
+    private final Condition notEmpty = lock.newCondition();
+    private final Condition notFull = lock.newCondition();
     private final String name;
     private final int capacity;
     private final int reserve;
     private final Counters counters;
-    private WorkerPool crew;
-    private boolean inTurn;
-    private boolean ended;
-    private long wakeAt = Long.MAX_VALUE;
+    private WorkerPool workerPool;
+    private boolean scheduled;
+    private boolean terminated;
+    private long wakeUpAtNanos = Long.MAX_VALUE;
     private volatile boolean stopped;
 
     /** An actor without a reserve. */
@@ -45,7 +45,7 @@
     }
 
     /** A daemon thread of the program's one kind. */
-    public static Thread thread(String name, Runnable body) {
+    public static Thread daemonThread(String name, Runnable body) {
         Thread thread = new Thread(null, body, name, STACK_BYTES);
         thread.setDaemon(true);
         return thread;
@@ -53,16 +53,16 @@
 
     /** Starts to work the mailbox off, on a thread of its own. */
     public void start() {
-        thread(name, this::loop).start();
+        daemonThread(name, this::runLoop).start();
     }
 
     /** Starts to work the mailbox off in turns. */
-    public void start(WorkerPool with) {
+    public void start(WorkerPool pool) {
         lock.lock();
         try {
-            crew = with;
+            workerPool = pool;
             if (!mailbox.isEmpty() || stopped) {
-                ask();
+                scheduleTurn();
             }
         } finally {
             lock.unlock();
@@ -79,13 +79,13 @@
         return offer(message, capacity + reserve);
     }
 
-    private boolean offer(Runnable message, int most) {
+    private boolean offer(Runnable message, int limit) {
         lock.lock();
         try {
-            if (stopped || mailbox.size() >= most) {
+            if (stopped || mailbox.size() >= limit) {
                 return false;
             }
-            add(message);
+            enqueue(message);
             return true;
         } finally {
             lock.unlock();
@@ -97,10 +97,10 @@
         lock.lock();
         try {
             while (!stopped && mailbox.size() >= capacity) {
-                roomy.await();
+                notFull.await();
             }
             if (!stopped) {
-                add(message);
+                enqueue(message);
                 return true;
             }
         } catch (InterruptedException e) {
@@ -116,35 +116,35 @@
      * has nothing else to do but to wait for more saves the change to another thread. It works off its own message
      * alone: others may wait in a write, and the reader would not hear its peer meanwhile.
      */
-    protected final boolean putAndTurn(Runnable message) {
-        boolean mine;
+    protected final boolean putAndRun(Runnable message) {
+        boolean runsHere;
         lock.lock();
         try {
-            mine = crew != null && !inTurn && !stopped && mailbox.isEmpty();
-            if (mine) {
-                inTurn = true;
+            runsHere = workerPool != null && !scheduled && !stopped && mailbox.isEmpty();
+            if (runsHere) {
+                scheduled = true;
                 mailbox.addLast(message);
             }
         } finally {
             lock.unlock();
         }
-        if (mine) {
-            turn(1);
+        if (runsHere) {
+            runTurn(1);
         }
-        return mine || put(message);
+        return runsHere || put(message);
     }
 
-    private void add(Runnable message) {
+    private void enqueue(Runnable message) {
         mailbox.addLast(message);
-        ask();
+        scheduleTurn();
     }
 
     /** Asks for a turn; under the lock. */
-    private void ask() {
-        filled.signal();
-        if (crew != null && !inTurn && !ended) {
-            inTurn = true;
-            crew.add(this);
+    private void scheduleTurn() {
+        notEmpty.signal();
+        if (workerPool != null && !scheduled && !terminated) {
+            scheduled = true;
+            workerPool.schedule(this);
         }
     }
 
@@ -153,28 +153,28 @@
         lock.lock();
         try {
             stopped = true;
-            filled.signalAll();
-            roomy.signalAll();
-            ask();
+            notEmpty.signalAll();
+            notFull.signalAll();
+            scheduleTurn();
         } finally {
             lock.unlock();
         }
     }
 
     /** Likewise, and takes the last turn on the caller's thread if nobody has it. */
-    protected final void stopAndTurn() {
-        boolean mine;
+    protected final void stopAndRun() {
+        boolean runsHere;
         lock.lock();
         try {
-            mine = crew != null && !inTurn && !ended;
-            inTurn |= mine;
+            runsHere = workerPool != null && !scheduled && !terminated;
+            scheduled |= runsHere;
             stopped = true;
-            roomy.signalAll();
+            notFull.signalAll();
         } finally {
             lock.unlock();
         }
-        if (mine) {
-            turn();
+        if (runsHere) {
+            runTurn();
         } else {
             stop();
         }
@@ -185,28 +185,28 @@
         return stopped;
     }
 
-    /** Microseconds until {@link #due} wants to be called, be there messages or not; below 0 for never. */
-    protected long idleUs() {
+    /** Microseconds until {@link #runDueWork} wants to be called, be there messages or not; below 0 for never. */
+    protected long untilDueWorkUs() {
         return -1;
     }
 
     /** Called between messages. */
-    protected void due() {}
+    protected void runDueWork() {}
 
     /** Called once, on the actor's thread, when it has ended. */
-    protected void left() {}
+    protected void onTerminated() {}
 
     /** The next message; null when the wait is over, or with nothing left. */
-    private Runnable next(long waitUs) throws InterruptedException {
-        long left = TimeUnit.MICROSECONDS.toNanos(waitUs);
+    private Runnable takeNext(long waitUs) throws InterruptedException {
+        long remainingNanos = TimeUnit.MICROSECONDS.toNanos(waitUs);
         lock.lock();
         try {
-            while (mailbox.isEmpty() && !stopped && left > 0) {
-                left = filled.awaitNanos(left);
+            while (mailbox.isEmpty() && !stopped && remainingNanos > 0) {
+                remainingNanos = notEmpty.awaitNanos(remainingNanos);
             }
             Runnable message = mailbox.pollFirst();
             if (message != null && mailbox.size() < capacity) {
-                roomy.signal();
+                notFull.signal();
             }
             return message;
         } finally {
@@ -215,7 +215,7 @@
     }
 
     /** Nothing from outside ends the program: a fault costs the message that met it. */
-    private void safely(Runnable work) {
+    private void runGuarded(Runnable work) {
         try {
             work.run();
         } catch (RuntimeException e) {
@@ -224,81 +224,81 @@
         }
     }
 
-    private void loop() {
+    private void runLoop() {
         try {
             boolean ending = false;
             for (Runnable message = null; !ending || message != null; ) {
                 // Read before the mailbox: what was let in before the stop is there to be found.
                 ending = stopped;
-                long idle = ending ? 0 : idleUs();
-                message = next(idle < 0 ? IDLE_US : idle);
+                long untilDueUs = ending ? 0 : untilDueWorkUs();
+                message = takeNext(untilDueUs < 0 ? DEFAULT_WAIT_US : untilDueUs);
                 if (message != null) {
-                    safely(message);
+                    runGuarded(message);
                 }
                 if (!ending) {
-                    safely(this::due);
+                    runGuarded(this::runDueWork);
                 }
             }
         } catch (InterruptedException e) {
             stop();
         }
-        safely(this::left);
+        runGuarded(this::onTerminated);
     }
 
     /** One turn, of a hand of the crew or of a reader; never two at once. */
-    final void turn() {
-        turn(TURN);
+    final void runTurn() {
+        runTurn(MAX_MESSAGES_PER_TURN);
     }
 
-    private void turn(int most) {
+    private void runTurn(int limit) {
         try {
-            for (int i = 0; i < most; i++) {
-                Runnable message = next(0);
+            for (int i = 0; i < limit; i++) {
+                Runnable message = takeNext(0);
                 if (message == null) {
                     break;
                 }
-                safely(message);
+                runGuarded(message);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         if (!stopped) {
-            safely(this::due);
+            runGuarded(this::runDueWork);
         }
-        long idle = stopped ? -1 : idleUs();
+        long untilDueUs = stopped ? -1 : untilDueWorkUs();
         boolean last;
         lock.lock();
         try {
-            inTurn = false;
-            last = stopped && mailbox.isEmpty() && !ended;
-            ended |= last;
+            scheduled = false;
+            last = stopped && mailbox.isEmpty() && !terminated;
+            terminated |= last;
             if (!mailbox.isEmpty()) {
-                ask();
-            } else if (idle >= 0 && !stopped) {
-                alarm(System.nanoTime() + idle * 1_000, idle);
+                scheduleTurn();
+            } else if (untilDueUs >= 0 && !stopped) {
+                scheduleWakeUp(System.nanoTime() + untilDueUs * 1_000, untilDueUs);
             }
         } finally {
             lock.unlock();
         }
         if (last) {
-            safely(this::left);
+            runGuarded(this::onTerminated);
         }
     }
 
     /** One alarm is out at most, but for one that would come too late. */
-    private void alarm(long at, long afterUs) {
-        if (wakeAt == Long.MAX_VALUE || at < wakeAt) {
-            wakeAt = at;
-            crew.wake(this, afterUs);
+    private void scheduleWakeUp(long atNanos, long afterUs) {
+        if (wakeUpAtNanos == Long.MAX_VALUE || atNanos < wakeUpAtNanos) {
+            wakeUpAtNanos = atNanos;
+            workerPool.scheduleWakeUp(this, afterUs);
         }
     }
 
-    final void woken() {
+    final void onWakeUp() {
         lock.lock();
         try {
-            wakeAt = Long.MAX_VALUE;
+            wakeUpAtNanos = Long.MAX_VALUE;
             if (!stopped) {
-                ask();
+                scheduleTurn();
             }
         } finally {
             lock.unlock();
--- a/src/main/java/magpiewheel/engine/Attempt.java
+++ b/src/main/java/magpiewheel/engine/Attempt.java
@@ -4,35 +4,35 @@
 
 /** One try of a call at a node. The module's actor owns it; the node's actor reads what does not change. */
 public final class Attempt {
-    private final PendingRequest call;
+    private final PendingRequest request;
     final int index;
-    private final long node;
+    private final long endpointId;
     private final AttemptPlan plan;
-    private final long sentAt;
-    private final long stopAt;
-    private Object carrier;
-    Timers.Timer stopTimer;
+    private final long sentAtUs;
+    private final long timeoutAtUs;
+    private Object upstreamContext;
+    Timers.Timer timeoutTimer;
     boolean ended;
     boolean timedOut;
-    private volatile boolean calledOff;
+    private volatile boolean cancelled;
 
-    Attempt(PendingRequest call, int index, long node, AttemptPlan plan, long sentAt, long stopAt) {
-        this.call = call;
+    Attempt(PendingRequest request, int index, long endpointId, AttemptPlan plan, long sentAtUs, long timeoutAtUs) {
+        this.request = request;
         this.index = index;
-        this.node = node;
+        this.endpointId = endpointId;
         this.plan = plan;
-        this.sentAt = sentAt;
-        this.stopAt = stopAt;
+        this.sentAtUs = sentAtUs;
+        this.timeoutAtUs = timeoutAtUs;
     }
 
     /** The request it is for. */
-    public PendingRequest call() {
-        return call;
+    public PendingRequest request() {
+        return request;
     }
 
     /** Where it goes. */
-    public long node() {
-        return node;
+    public long endpointId() {
+        return endpointId;
     }
 
     /** How it is to be served. */
@@ -41,44 +41,44 @@
     }
 
     /** When the module decided on it. */
-    public long sentAt() {
-        return sentAt;
+    public long sentAtUs() {
+        return sentAtUs;
     }
 
     /** When it will be called off. */
-    public long stopAt() {
-        return stopAt;
+    public long timeoutAtUs() {
+        return timeoutAtUs;
     }
 
     /** From when on it may not begin any more: what its module decided by may not hold any longer. */
-    public long beginBy() {
+    public long startByUs() {
         return plan.startByUs();
     }
 
     /** Whether it is to be given up. */
-    public boolean calledOff() {
-        return calledOff;
+    public boolean cancelled() {
+        return cancelled;
     }
 
     /** Whether it may still be written to its node at a time; looked at right before that, on the node's actor. */
-    public boolean mayBegin(long now) {
-        return !calledOff && !call.abandoned() && now < plan.startByUs();
+    public boolean mayStart(long nowUs) {
+        return !cancelled && !request.abandoned() && nowUs < plan.startByUs();
     }
 
     /** Marks it; false where it was marked before, so that it is called off once. */
-    boolean callOff() {
-        boolean first = !calledOff;
-        calledOff = true;
+    boolean markCancelled() {
+        boolean first = !cancelled;
+        cancelled = true;
         return first;
     }
 
     /** Whatever the upstream side wants to find again when the attempt is called off. */
-    public Object carrier() {
-        return carrier;
+    public Object upstreamContext() {
+        return upstreamContext;
     }
 
     /** Sets it; on the module's actor. */
-    public void carrier(Object value) {
-        carrier = value;
+    public void upstreamContext(Object value) {
+        upstreamContext = value;
     }
 }
--- a/src/main/java/magpiewheel/engine/Body.java
+++ b/src/main/java/magpiewheel/engine/Body.java
@@ -13,7 +13,7 @@
     private final BufferPool pool;
     private final List<byte[]> buffers;
     private final int length;
-    private final AtomicInteger holders = new AtomicInteger(1);
+    private final AtomicInteger references = new AtomicInteger(1);
 
     Body(BufferPool pool, List<byte[]> buffers, int length) {
         this.pool = pool;
@@ -32,48 +32,48 @@
     }
 
     /** The first of its buffers, for those who want just a buffer. */
-    public byte[] first() {
+    public byte[] firstBuffer() {
         return buffers.get(0);
     }
 
     /** One holder more. */
     public void retain() {
-        holders.incrementAndGet();
+        references.incrementAndGet();
     }
 
     /** One holder less. */
     public void release() {
-        int left = holders.decrementAndGet();
-        if (left == 0) {
-            pool.give(buffers);
-        } else if (left < 0) {
+        int remaining = references.decrementAndGet();
+        if (remaining == 0) {
+            pool.release(buffers);
+        } else if (remaining < 0) {
             throw new IllegalStateException("a body was released twice");
         }
     }
 
     /** Fills it from a stream. */
     public void readFrom(InputStream in) throws IOException {
-        for (int i = 0, rest = length; rest > 0; i++) {
-            int part = Math.min(rest, BufferPool.SIZE);
-            if (in.readNBytes(buffers.get(i), 0, part) < part) {
+        for (int i = 0, remaining = length; remaining > 0; i++) {
+            int chunkBytes = Math.min(remaining, BufferPool.BUFFER_BYTES);
+            if (in.readNBytes(buffers.get(i), 0, chunkBytes) < chunkBytes) {
                 throw new EOFException("the body ends early");
             }
-            rest -= part;
+            remaining -= chunkBytes;
         }
     }
 
     /** Writes it all to a stream. */
     public void writeTo(OutputStream out) throws IOException {
-        writeTo(out, octets -> {});
+        writeTo(out, writtenBytes -> {});
     }
 
     /** Likewise, and tells after each part how long that was. */
     public void writeTo(OutputStream out, IntConsumer written) throws IOException {
-        for (int i = 0, rest = length; rest > 0; i++) {
-            int part = Math.min(rest, BufferPool.SIZE);
-            out.write(buffers.get(i), 0, part);
-            written.accept(part);
-            rest -= part;
+        for (int i = 0, remaining = length; remaining > 0; i++) {
+            int chunkBytes = Math.min(remaining, BufferPool.BUFFER_BYTES);
+            out.write(buffers.get(i), 0, chunkBytes);
+            written.accept(chunkBytes);
+            remaining -= chunkBytes;
         }
     }
 }
--- a/src/main/java/magpiewheel/engine/Counters.java
+++ b/src/main/java/magpiewheel/engine/Counters.java
@@ -14,8 +14,8 @@
     }
 
     /** Adds some. */
-    public void add(Counter counter, long some) {
-        values.addAndGet(counter.ordinal(), some);
+    public void add(Counter counter, long amount) {
+        values.addAndGet(counter.ordinal(), amount);
     }
 
     /** The value now. */
--- a/src/main/java/magpiewheel/engine/Engine.java
+++ b/src/main/java/magpiewheel/engine/Engine.java
@@ -21,156 +21,161 @@
  */
 public final class Engine extends Actor {
     /** Sends messages to other fronts; called on the module's actor, so it must not wait. */
-    public interface Peers {
+    public interface PeerTransport {
         /** One message to one front. */
-        void tell(int recipient, byte[] message);
+        void send(int recipient, byte[] message);
 
-        /** Whether anybody listens at a front's address; an answer, if one comes, is {@link Engine#refused}. */
-        default void knock(int recipient, long at) {}
+        /**
+         * Whether anybody listens at a front's address; an answer, if one comes, is {@link Engine#reachabilityRefused}.
+         */
+        default void probe(int recipient, long atUs) {}
     }
 
-    private static final int MAILBOX = 4_096;
+    private static final int MAILBOX_CAPACITY = 4_096;
     /** us; operators' figures may be half a second old. */
-    private static final long SHOW_US = 150_000;
+    private static final long STATS_INTERVAL_US = 150_000;
     /** The module reads object 0 as a whole group, so an object of that number goes by another. */
-    private static final long ZERO_OBJECT = 0x5bd1e9955bd1e995L;
+    private static final long ROUTING_ID_OF_OBJECT_ZERO = 0x5bd1e9955bd1e995L;
 
     private final UnixClock clock;
-    private final ResponseCache copies;
+    private final ResponseCache responseCache;
     private final Counters counters;
     private final Upstream upstream;
-    private final RoutingPolicy director;
+    private final RoutingPolicy routingPolicy;
     private final Timers timers;
-    private final RequestLifecycle requests;
-    private final Map<Long, ListedEndpoint> listed = new HashMap<>();
-    private volatile boolean nodesReady;
+    private final RequestLifecycle requestLifecycle;
+    private final Map<Long, ListedEndpoint> endpoints = new HashMap<>();
+    private volatile boolean anyEndpointReady;
 
     /** An engine for the module that the function makes from the engine's actions. */
     public Engine(
             RoutingSettings settings,
-            Function<RoutingActions, RoutingPolicy> module,
+            Function<RoutingActions, RoutingPolicy> policyFactory,
             UnixClock clock,
             Counters counters,
             Upstream upstream,
-            Peers peers,
-            ResponseCache copies) {
-        super("module", MAILBOX, counters);
+            PeerTransport peers,
+            ResponseCache responseCache) {
+        super("module", MAILBOX_CAPACITY, counters);
         this.clock = clock;
         this.counters = counters;
         this.upstream = upstream;
-        this.copies = copies;
+        this.responseCache = responseCache;
         this.timers = new Timers(clock);
-        this.requests = new RequestLifecycle(settings, clock, timers, counters, upstream, copies, listed::get);
-        EngineRoutingActions actions = new EngineRoutingActions(clock, timers, requests, peers);
-        this.director = module.apply(actions);
-        actions.module(director);
-        requests.module(director);
+        this.requestLifecycle =
+                new RequestLifecycle(settings, clock, timers, counters, upstream, responseCache, endpoints::get);
+        EngineRoutingActions actions = new EngineRoutingActions(clock, timers, requestLifecycle, peers);
+        this.routingPolicy = policyFactory.apply(actions);
+        actions.setRoutingPolicy(routingPolicy);
+        requestLifecycle.setRoutingPolicy(routingPolicy);
     }
 
     /** Sets who sees every attempt end; only before the start. */
-    public void watch(AttemptListener watcher) {
-        requests.watch(watcher);
+    public void setAttemptListener(AttemptListener listener) {
+        requestLifecycle.setAttemptListener(listener);
     }
 
     /** Keeps the figures of the nodes up to date; only before the start. */
-    public void show(ServiceStats figures) {
-        timers.at(clock.now() + SHOW_US, () -> {
-            figures.nodes(listed.size(), director.avoidedEndpoints(clock.now()));
-            figures.fleet(
-                    director.membership().verdict().ordinal(),
-                    director.membership().runningMembers().size());
-            figures.parts(director.statistics(clock.now()));
-            show(figures);
+    public void publishStats(ServiceStats stats) {
+        timers.schedule(clock.now() + STATS_INTERVAL_US, () -> {
+            stats.endpoints(endpoints.size(), routingPolicy.avoidedEndpoints(clock.now()));
+            stats.membership(
+                    routingPolicy.membership().verdict().ordinal(),
+                    routingPolicy.membership().runningMembers().size());
+            stats.optionalFigures(routingPolicy.statistics(clock.now()));
+            publishStats(stats);
         });
     }
 
     // ---------------------------------------------------------------- what others tell it
 
     /** Takes a request, or answers it at once where there is no room. */
-    public void take(PendingRequest call) {
+    public void submit(PendingRequest request) {
         counters.add(Counter.REQUESTS);
-        if (!offer(() -> requests.taken(call))) {
+        if (!offer(() -> requestLifecycle.accept(request))) {
             // This is the asker's thread: nothing of the module's actor may be touched here.
             counters.add(Counter.MAILBOX_FULL);
             counters.add(Counter.REFUSED);
-            if (call.ask.body() != null) {
-                call.ask.body().release();
+            if (request.request.body() != null) {
+                request.request.body().release();
             }
-            call.asker.answer(call, PendingRequest.Answer.refused(requests.pauseUs()));
+            request.responder.respond(request, PendingRequest.Response.rejected(requestLifecycle.retryAfterUs()));
         }
     }
 
     /** The client no longer waits; no answer is owed. With a full mailbox this waits, the mark on the call does not. */
-    public void gone(PendingRequest call) {
-        call.abandon();
-        put(() -> requests.left(call));
+    public void clientDisconnected(PendingRequest request) {
+        request.abandon();
+        put(() -> requestLifecycle.clientDisconnected(request));
     }
 
     /** An attempt has ended. */
-    public void ended(Attempt attempt, UpstreamOutcome outcome) {
-        if (!put(() -> requests.ending(attempt, outcome)) && outcome.body() != null) {
+    public void attemptEnded(Attempt attempt, UpstreamOutcome outcome) {
+        if (!put(() -> requestLifecycle.attemptEnded(attempt, outcome)) && outcome.body() != null) {
             outcome.body().release();
         }
     }
 
     /** The list of nodes has changed. */
-    public void members(EndpointListMode mode, List<ListedEndpoint> nodes) {
+    public void endpointsChanged(EndpointListMode mode, List<ListedEndpoint> changed) {
         put(() -> {
-            upstream.listed(nodes, mode != EndpointListMode.DELTA);
+            upstream.endpointsChanged(changed, mode != EndpointListMode.DELTA);
             if (mode != EndpointListMode.DELTA) {
-                listed.clear();
+                endpoints.clear();
             }
-            for (ListedEndpoint node : nodes) {
-                if (node.member().state() == EndpointState.REMOVED) {
-                    listed.remove(node.member().id());
+            for (ListedEndpoint endpoint : changed) {
+                if (endpoint.info().state() == EndpointState.REMOVED) {
+                    endpoints.remove(endpoint.info().id());
                 } else {
-                    listed.put(node.member().id(), node);
+                    endpoints.put(endpoint.info().id(), endpoint);
                 }
             }
-            director.endpointsChanged(
+            routingPolicy.endpointsChanged(
                     clock.now(),
                     mode,
-                    nodes.stream().map(ListedEndpoint::member).toList());
-            nodesReady = listed.values().stream().anyMatch(node -> node.member().state() == EndpointState.READY);
+                    changed.stream().map(ListedEndpoint::info).toList());
+            anyEndpointReady = endpoints.values().stream()
+                    .anyMatch(endpoint -> endpoint.info().state() == EndpointState.READY);
         });
     }
 
     /** A purge was made at a Unix millisecond: of an object, or with null of the whole group. */
-    public void purged(Long object, int group, long atMs) {
+    public void objectsPurged(Long object, int group, long purgedAtMs) {
         put(() -> {
             long now = clock.now();
             // A purge stamped ahead of this clock counts as made now.
-            long ago = Math.max(0, now - atMs * 1000);
-            copies.purge(object, group);
-            director.objectsPurged(now, new Purge(ago, object == null ? 0 : number(object), group, atMs));
+            long ageUs = Math.max(0, now - purgedAtMs * 1000);
+            responseCache.purge(object, group);
+            routingPolicy.objectsPurged(
+                    now, new Purge(ageUs, object == null ? 0 : routingObjectId(object), group, purgedAtMs));
         });
     }
 
     /** The board was heard at a time, with all that it told before. */
-    public void boardHeard(long at) {
-        put(() -> director.boundedReads().discoveryHeard(Math.min(clock.now(), at)));
+    public void discoveryHeard(long atUs) {
+        put(() -> routingPolicy.boundedReads().discoveryHeard(Math.min(clock.now(), atUs)));
     }
 
     /** A message from another front. */
-    public void heard(int sender, byte[] message) {
-        if (!offer(() -> director.peerMessageReceived(clock.now(), sender, message))) {
+    public void peerMessageReceived(int sender, byte[] message) {
+        if (!offer(() -> routingPolicy.peerMessageReceived(clock.now(), sender, message))) {
             counters.add(Counter.PEER_DROPPED);
         }
     }
 
     /** The machine of another front said that nobody listens there. */
-    public void refused(int front, long askedAt) {
-        offer(() -> director.reachabilityRefused(clock.now(), front, askedAt));
+    public void reachabilityRefused(int routerId, long probedAtUs) {
+        offer(() -> routingPolicy.reachabilityRefused(clock.now(), routerId, probedAtUs));
     }
 
     /** The front may be named to clients from now on. */
-    public void announce() {
-        put(() -> director.setServing(clock.now(), true));
+    public void startServing() {
+        put(() -> routingPolicy.setServing(clock.now(), true));
     }
 
     /** The front wants no more clients: the others are told at once, and again with each beat. */
-    public void leave() {
-        put(() -> director.setServing(clock.now(), false));
+    public void stopServing() {
+        put(() -> routingPolicy.setServing(clock.now(), false));
     }
 
     /**
@@ -178,24 +183,24 @@
      * the cache that the module would pick. Empty where nothing lives.
      */
     public void lookup(int zone, Long object, Consumer<List<Integer>> reply) {
-        if (!offer(() -> reply.accept(found(zone, object)))) {
+        if (!offer(() -> reply.accept(resolve(zone, object)))) {
             counters.add(Counter.MAILBOX_FULL);
             reply.accept(List.of());
         }
     }
 
-    private List<Integer> found(int zone, Long object) {
+    private List<Integer> resolve(int zone, Long object) {
         long now = clock.now();
         if (object == null) {
-            return director.membership().servingAddresses(zone);
+            return routingPolicy.membership().servingAddresses(zone);
         }
-        ListedEndpoint node = listed.get(director.selectCache(now, zone, number(object)));
-        return node == null ? List.of() : List.of(node.address());
+        ListedEndpoint endpoint = endpoints.get(routingPolicy.selectCache(now, zone, routingObjectId(object)));
+        return endpoint == null ? List.of() : List.of(endpoint.address());
     }
 
     /** Ends the actor and lets go of all nodes but these. */
-    public void end(List<ListedEndpoint> left) {
-        put(() -> upstream.listed(left, true));
+    public void shutDown(List<ListedEndpoint> drainingEndpoints) {
+        put(() -> upstream.endpointsChanged(drainingEndpoints, true));
         stop();
     }
 
@@ -205,32 +210,32 @@
     }
 
     /** How long a client is asked to stay away where the front itself turns it away; 0 where that may not be said. */
-    public long pauseUs() {
-        return requests.pauseUs();
+    public long retryAfterUs() {
+        return requestLifecycle.retryAfterUs();
     }
 
     /** Requests taken and not yet answered. */
-    public int open() {
-        return requests.open();
+    public int inFlight() {
+        return requestLifecycle.inFlight();
     }
 
     /** Whether it knows of a node that requests may be sent to. */
-    public boolean ready() {
-        return nodesReady;
+    public boolean hasReadyEndpoint() {
+        return anyEndpointReady;
     }
 
     /** The number by which the module knows an object. */
-    static long number(long object) {
-        return object == 0 ? ZERO_OBJECT : object;
+    static long routingObjectId(long object) {
+        return object == 0 ? ROUTING_ID_OF_OBJECT_ZERO : object;
     }
 
     @Override
-    protected long idleUs() {
-        return timers.untilNextUs();
+    protected long untilDueWorkUs() {
+        return timers.untilDueUs();
     }
 
     @Override
-    protected void due() {
-        timers.run();
+    protected void runDueWork() {
+        timers.runDue();
     }
 }
--- a/src/main/java/magpiewheel/engine/EngineRoutingActions.java
+++ b/src/main/java/magpiewheel/engine/EngineRoutingActions.java
@@ -8,65 +8,66 @@
 final class EngineRoutingActions implements RoutingActions {
     private final UnixClock clock;
     private final Timers timers;
-    private final RequestLifecycle requests;
-    private final Engine.Peers peers;
-    private RoutingPolicy director;
+    private final RequestLifecycle requestLifecycle;
+    private final Engine.PeerTransport peerTransport;
+    private RoutingPolicy routingPolicy;
 
-    EngineRoutingActions(UnixClock clock, Timers timers, RequestLifecycle requests, Engine.Peers peers) {
+    EngineRoutingActions(
+            UnixClock clock, Timers timers, RequestLifecycle requestLifecycle, Engine.PeerTransport peerTransport) {
         this.clock = clock;
         this.timers = timers;
-        this.requests = requests;
-        this.peers = peers;
+        this.requestLifecycle = requestLifecycle;
+        this.peerTransport = peerTransport;
     }
 
     /** Names the module that its timers are told to; before the first of them is due. */
-    void module(RoutingPolicy asks) {
-        director = asks;
+    void setRoutingPolicy(RoutingPolicy policy) {
+        routingPolicy = policy;
     }
 
     @Override
-    public void startAttempt(long request, long node, AttemptPlan plan) {
-        requests.attempt(request, node, plan);
+    public void startAttempt(long request, long endpointId, AttemptPlan plan) {
+        requestLifecycle.startAttempt(request, endpointId, plan);
     }
 
     @Override
     public void cancelAttempt(long request, int attempt) {
-        requests.cancel(request, attempt);
+        requestLifecycle.cancelAttempt(request, attempt);
     }
 
     @Override
     public void serveLocalCopy(long request) {
-        requests.serveOwn(request);
+        requestLifecycle.serveLocalCopy(request);
     }
 
     @Override
     public void reject(long request, long backoffUs) {
-        requests.refuse(request, backoffUs);
+        requestLifecycle.reject(request, backoffUs);
     }
 
     @Override
     public void fail(long request) {
-        requests.fail(request);
+        requestLifecycle.fail(request);
     }
 
     @Override
     public void setTimer(long atUs, long handle) {
-        timers.at(atUs, () -> director.timerExpired(clock.now(), handle));
+        timers.schedule(atUs, () -> routingPolicy.timerExpired(clock.now(), handle));
     }
 
     @Override
-    public void checkHealth(long node) {
+    public void checkHealth(long endpointId) {
         // Nodes are never probed on this platform; the module knows from its settings.
     }
 
     @Override
     public void sendToPeer(int recipient, byte[] message) {
-        peers.tell(recipient, message);
+        peerTransport.send(recipient, message);
     }
 
     @Override
-    public void probeReachability(int recipient, long at) {
-        peers.knock(recipient, at);
+    public void probeReachability(int recipient, long atUs) {
+        peerTransport.probe(recipient, atUs);
     }
 
     @Override
--- a/src/main/java/magpiewheel/engine/Ipv4.java
+++ b/src/main/java/magpiewheel/engine/Ipv4.java
@@ -10,13 +10,13 @@
     private Ipv4() {}
 
     /** The number of an address; 0 where it has another length. */
-    public static int number(InetSocketAddress address) {
+    public static int toInt(InetSocketAddress address) {
         byte[] bytes = address.getAddress().getAddress();
         return bytes.length == Integer.BYTES ? ByteBuffer.wrap(bytes).getInt() : 0;
     }
 
     /** The address of a number. */
-    public static InetAddress address(int number) throws UnknownHostException {
+    public static InetAddress toAddress(int number) throws UnknownHostException {
         return InetAddress.getByAddress(
                 ByteBuffer.allocate(Integer.BYTES).putInt(number).array());
     }
--- a/src/main/java/magpiewheel/engine/PendingRequest.java
+++ b/src/main/java/magpiewheel/engine/PendingRequest.java
@@ -8,22 +8,22 @@
 
 /** A client's request from when it was taken until its last attempt has ended. The module's actor owns it. */
 public final class PendingRequest {
-    /** What a front was asked for; {@code nonce} and {@code held} may be null, {@code body} too. */
-    public record Ask(
+    /** What a front was asked for; {@code nonce} and {@code heldTag} may be null, {@code body} too. */
+    public record ClientRequest(
             String trace,
-            int profile,
+            int classIndex,
             String className,
             long object,
             int part,
             int group,
-            double kbytes,
-            long patienceUs,
+            double sizeKb,
+            long timeBudgetUs,
             String nonce,
-            String held,
+            String heldTag,
             Body body,
             ReadHint hint) {
         /** Without a hint. */
-        public Ask(
+        public ClientRequest(
                 String trace,
                 int profile,
                 String className,
@@ -40,72 +40,81 @@
     }
 
     /** The four ends that a request can have. */
-    public enum End {
+    public enum Outcome {
         SERVED,
         UNCHANGED,
-        REFUSED,
+        REJECTED,
         FAILED
     }
 
     /**
-     * A final answer. Who gets it releases the body, which is null but for {@code SERVED}. {@code own} marks a copy of
-     * the front's own, {@code note} is what the cache said of its. {@code markMs} and {@code agedMs} are told where
-     * they are not 0.
+     * A final answer. Who gets it releases the body, which is null but for {@code SERVED}. {@code fromLocalCopy} marks
+     * a copy of the front's own, {@code cacheStatus} is what the cache said of its. {@code markMs} and {@code ageMs}
+     * are told where they are not 0.
      */
-    public record Answer(
-            End end, Body body, String tag, long pauseUs, boolean own, CacheStatus note, long markMs, long agedMs) {
+    public record Response(
+            Outcome outcome,
+            Body body,
+            String tag,
+            long retryAfterUs,
+            boolean fromLocalCopy,
+            CacheStatus cacheStatus,
+            long markMs,
+            long ageMs) {
         /** Turned away before anything was done. */
-        public static Answer refused(long pauseUs) {
-            return new Answer(End.REFUSED, null, null, pauseUs, false, CacheStatus.UNKNOWN, 0, 0);
+        public static Response rejected(long retryAfterUs) {
+            return new Response(Outcome.REJECTED, null, null, retryAfterUs, false, CacheStatus.UNKNOWN, 0, 0);
         }
 
         /** Failed. */
-        public static Answer failed() {
-            return new Answer(End.FAILED, null, null, 0, false, CacheStatus.UNKNOWN, 0, 0);
+        public static Response failed() {
+            return new Response(Outcome.FAILED, null, null, 0, false, CacheStatus.UNKNOWN, 0, 0);
         }
     }
 
     /** The addresses and ports at both ends of a client's connection. */
-    public record Ends(int front, int frontPort, int client, int clientPort) {}
+    public record ConnectionAddresses(int routerAddress, int routerPort, int clientAddress, int clientPort) {}
 
     /** Where the one final answer goes; called on the module's actor, so it must not wait. */
-    public interface Asker {
+    public interface Responder {
         /** The final answer. */
-        void answer(PendingRequest call, Answer answer);
+        void respond(PendingRequest request, Response response);
 
         /** Where the client is; null where that is not known. */
-        Ends ends();
+        ConnectionAddresses addresses();
     }
 
-    final Ask ask;
-    final Asker asker;
-    final long takenAt;
-    final long patientUntil;
-    final long deadline;
+    final ClientRequest request;
+    final Responder responder;
+    final long receivedAtUs;
+    final long clientDeadlineUs;
+    final long deadlineUs;
     long id;
     Timers.Timer overdueTimer;
-    ResponseCache.Copy own;
+    ResponseCache.Copy localCopy;
     boolean answered;
-    boolean bodyFreed;
+    boolean requestBodyReleased;
     private volatile boolean abandoned;
-    int open;
+    int openAttempts;
     final List<Attempt> attempts = new ArrayList<>(2);
-    private final List<Object> carriers = new CopyOnWriteArrayList<>();
+    private final List<Object> connections = new CopyOnWriteArrayList<>();
 
     /**
      * A call taken at a time, to be answered before its deadline: the client's patience, or less where the front ends.
      */
-    public PendingRequest(Ask ask, Asker asker, long takenAt, long patientUntil, long deadline) {
-        this.ask = ask;
-        this.asker = asker;
-        this.takenAt = takenAt;
-        this.patientUntil = patientUntil;
-        this.deadline = deadline;
+    public PendingRequest(
+            ClientRequest request, Responder responder, long receivedAtUs, long clientDeadlineUs, long deadlineUs) {
+        this.request = request;
+        this.responder = responder;
+        this.receivedAtUs = receivedAtUs;
+        this.clientDeadlineUs = clientDeadlineUs;
+        this.deadlineUs = deadlineUs;
     }
 
     /**
      * The client waits no longer. It counts from this moment, on whichever thread it is noticed and however full the
-     * mailboxes on the way to the module are: no attempt of this request begins any more. {@link Engine#gone} follows.
+     * mailboxes on the way to the module are: no attempt of this request begins any more.
+     * {@link Engine#clientDisconnected} follows.
      */
     public void abandon() {
         abandoned = true;
@@ -117,27 +126,27 @@
     }
 
     /** A connection carries a try of it. */
-    public void carriedBy(Object connection) {
-        carriers.add(connection);
+    public void addConnection(Object connection) {
+        connections.add(connection);
     }
 
     /** Whether a connection carried an earlier try: a late second copy of that answer would pass for the next one's. */
-    public boolean wasCarriedBy(Object connection) {
-        return carriers.contains(connection);
+    public boolean usedConnection(Object connection) {
+        return connections.contains(connection);
     }
 
     /** What was asked for. */
-    public Ask ask() {
-        return ask;
+    public ClientRequest request() {
+        return request;
     }
 
     /** Where its client is. */
-    public Ends ends() {
-        return asker.ends();
+    public ConnectionAddresses addresses() {
+        return responder.addresses();
     }
 
     /** When it was taken, in Unix microseconds. */
-    public long takenAt() {
-        return takenAt;
+    public long receivedAtUs() {
+        return receivedAtUs;
     }
 }
--- a/src/main/java/magpiewheel/engine/RequestLifecycle.java
+++ b/src/main/java/magpiewheel/engine/RequestLifecycle.java
@@ -23,136 +23,140 @@
  * promise that what was taken gets exactly one final answer.
  */
 final class RequestLifecycle {
-    private static final int MOST_OPEN = 2_048;
+    private static final int MAX_IN_FLIGHT = 2_048;
     /** us; what is not answered this long past its deadline is failed here, inside the 50 ms of slack. */
-    private static final long OVERDUE_US = 20_000;
+    private static final long OVERDUE_GRACE_US = 20_000;
 
-    private static final long PAUSE_US = 300_000;
+    private static final long DEFAULT_RETRY_AFTER_US = 300_000;
     /** Telling a client that its copy holds costs this part of the transfer. */
-    private static final int HOLDS_PART = 20;
+    private static final int UNCHANGED_COST_DIVISOR = 20;
 
     private final UnixClock clock;
     private final Timers timers;
-    private final ResponseCache copies;
+    private final ResponseCache responseCache;
     private final Counters counters;
     private final Upstream upstream;
-    private final LongFunction<ListedEndpoint> listed;
-    private final Map<Long, PendingRequest> calls = new HashMap<>();
-    private final Set<String> traces = new HashSet<>();
-    private final int mostOpen;
-    private final long pauseUs;
-    private final List<RequestClass> profiles;
-    private RoutingPolicy director;
-    private AttemptListener watch = (ask, target, source, result, note, sentAt, endedAt, octets) -> {};
-    private long lastId;
-    private volatile int open;
+    private final LongFunction<ListedEndpoint> endpointById;
+    private final Map<Long, PendingRequest> requests = new HashMap<>();
+    private final Set<String> tracesInUse = new HashSet<>();
+    private final int maxInFlight;
+    private final long retryAfterUs;
+    private final List<RequestClass> requestClasses;
+    private RoutingPolicy routingPolicy;
+    private AttemptListener attemptListener =
+            (request, endpoint, fillSource, result, cacheStatus, sentAt, endedAt, responseBytes) -> {};
+    private long lastRequestId;
+    private volatile int inFlight;
 
-    /** Requests by these settings; {@code listed} gives a node of the list by its id, or null. */
+    /** Requests by these settings; {@code endpointById} gives a node of the list by its id, or null. */
     RequestLifecycle(
             RoutingSettings settings,
             UnixClock clock,
             Timers timers,
             Counters counters,
             Upstream upstream,
-            ResponseCache copies,
-            LongFunction<ListedEndpoint> listed) {
+            ResponseCache responseCache,
+            LongFunction<ListedEndpoint> endpointById) {
         this.clock = clock;
         this.timers = timers;
         this.counters = counters;
         this.upstream = upstream;
-        this.copies = copies;
-        this.listed = listed;
-        this.profiles = settings.requestClasses();
-        this.mostOpen = Math.min(settings.limits().maxInFlight(), MOST_OPEN);
-        this.pauseUs = settings.limits().retryAfterUs(PAUSE_US);
+        this.responseCache = responseCache;
+        this.endpointById = endpointById;
+        this.requestClasses = settings.requestClasses();
+        this.maxInFlight = Math.min(settings.limits().maxInFlight(), MAX_IN_FLIGHT);
+        this.retryAfterUs = settings.limits().retryAfterUs(DEFAULT_RETRY_AFTER_US);
     }
 
     /** Names the module that is asked; before anything else. */
-    void module(RoutingPolicy asked) {
-        director = asked;
+    void setRoutingPolicy(RoutingPolicy policy) {
+        routingPolicy = policy;
     }
 
     /** Sets who sees every attempt end. */
-    void watch(AttemptListener watcher) {
-        watch = watcher;
+    void setAttemptListener(AttemptListener listener) {
+        attemptListener = listener;
     }
 
     /** How long a client is asked to stay away where the front itself turns it away; 0 where that may not be said. */
-    long pauseUs() {
-        return pauseUs;
+    long retryAfterUs() {
+        return retryAfterUs;
     }
 
     /** Requests taken and not yet answered; for other threads, too. */
-    int open() {
-        return open;
+    int inFlight() {
+        return inFlight;
     }
 
     /** Takes a request, or answers it at once where there is no room. */
-    void taken(PendingRequest call) {
+    void accept(PendingRequest pending) {
         long now = clock.now();
-        PendingRequest.Ask ask = call.ask;
-        if (call.abandoned()) {
-            leftEarly(call);
+        PendingRequest.ClientRequest request = pending.request;
+        if (pending.abandoned()) {
+            disconnectedBeforeRouting(pending);
             return;
         }
-        if (calls.size() >= mostOpen) {
-            answer(call, PendingRequest.Answer.refused(pauseUs));
+        if (requests.size() >= maxInFlight) {
+            respond(pending, PendingRequest.Response.rejected(retryAfterUs));
             return;
         }
-        if (now >= call.deadline) {
-            answer(call, outOfTime(now, call));
+        if (now >= pending.deadlineUs) {
+            respond(pending, timeoutResponse(now, pending));
             return;
         }
-        if (!traces.add(ask.trace())) {
+        if (!tracesInUse.add(request.trace())) {
             // Nodes tell attempts apart by the trace: two that are out under one could get each other's answers.
             counters.add(Counter.BAD_REQUESTS);
-            answer(call, PendingRequest.Answer.failed());
+            respond(pending, PendingRequest.Response.failed());
             return;
         }
-        call.id = ++lastId;
-        calls.put(call.id, call);
-        open = calls.size();
-        call.overdueTimer = timers.at(call.deadline + OVERDUE_US, () -> overdue(call));
-        boolean write = profiles.get(ask.profile()).write();
-        if (!write && !ask.hint().equals(ReadHint.NONE)) {
+        pending.id = ++lastRequestId;
+        requests.put(pending.id, pending);
+        inFlight = requests.size();
+        pending.overdueTimer = timers.schedule(pending.deadlineUs + OVERDUE_GRACE_US, () -> endOverdue(pending));
+        boolean write = requestClasses.get(request.classIndex()).write();
+        if (!write && !request.hint().equals(ReadHint.NONE)) {
             counters.add(Counter.HINTED);
         }
-        director.requestArrived(
+        routingPolicy.requestArrived(
                 now,
-                RoutingRequest.builder(call.id, ask.profile(), Engine.number(ask.object()))
-                        .group(ask.group())
-                        .sizeKb(ask.kbytes())
-                        .timeBudgetUs(call.deadline - now)
-                        .part(ask.part())
+                RoutingRequest.builder(pending.id, request.classIndex(), Engine.routingObjectId(request.object()))
+                        .group(request.group())
+                        .sizeKb(request.sizeKb())
+                        .timeBudgetUs(pending.deadlineUs - now)
+                        .part(request.part())
                         .write(write)
-                        .hint(ask.hint())
+                        .hint(request.hint())
                         .build(),
-                write ? null : own(now, call));
+                write ? null : retainLocalCopy(now, pending));
     }
 
     /** What this front holds itself of what is asked for; held on to until the request is over. */
-    private LocalCopy own(long now, PendingRequest call) {
-        ResponseCache.Copy copy = copies.find(call.ask);
+    private LocalCopy retainLocalCopy(long now, PendingRequest pending) {
+        ResponseCache.Copy copy = responseCache.find(pending.request);
         if (copy == null) {
             return null;
         }
         copy.body().retain();
-        call.own = copy;
-        int bytes = unchanged(call)
-                ? copy.body().length() / HOLDS_PART
+        pending.localCopy = copy;
+        int bytes = clientCopyIsCurrent(pending)
+                ? copy.body().length() / UNCHANGED_COST_DIVISOR
                 : copy.body().length();
-        return new LocalCopy(Math.max(0, now - copy.mintedMs() * 1_000), copies.flowUs(bytes), copies.linkUs(bytes));
+        return new LocalCopy(
+                Math.max(0, now - copy.originTimeMs() * 1_000),
+                responseCache.transferUs(bytes),
+                responseCache.linkUs(bytes));
     }
 
     /** Whether the client's copy is the one that is held here, too. */
-    private static boolean unchanged(PendingRequest call) {
-        return call.own.tag().equals(call.ask.held());
+    private static boolean clientCopyIsCurrent(PendingRequest pending) {
+        return pending.localCopy.tag().equals(pending.request.heldTag());
     }
 
-    private static void letGo(PendingRequest call) {
-        if (call.own != null) {
-            call.own.body().release();
-            call.own = null;
+    private static void releaseLocalCopy(PendingRequest pending) {
+        if (pending.localCopy != null) {
+            pending.localCopy.body().release();
+            pending.localCopy = null;
         }
     }
 
@@ -161,27 +165,27 @@
      * off: to the module it has ended now, so that it refuses what may be asked for again without harm. Nor does it
      * hang on the module: what that leaves open is failed here.
      */
-    private void overdue(PendingRequest call) {
-        if (call.answered) {
+    private void endOverdue(PendingRequest pending) {
+        if (pending.answered) {
             return;
         }
         counters.add(Counter.OVERDUE);
         long now = clock.now();
-        for (Attempt attempt : List.copyOf(call.attempts)) {
-            if (!attempt.ended && !call.answered) {
+        for (Attempt attempt : List.copyOf(pending.attempts)) {
+            if (!attempt.ended && !pending.answered) {
                 AttemptResult result =
-                        attempt.calledOff() && !attempt.timedOut ? AttemptResult.CANCELLED : AttemptResult.TIMEOUT;
-                director.attemptEnded(
+                        attempt.cancelled() && !attempt.timedOut ? AttemptResult.CANCELLED : AttemptResult.TIMEOUT;
+                routingPolicy.attemptEnded(
                         now,
-                        AttemptOutcome.builder(call.id, attempt.index, attempt.node(), result)
-                                .durationUs(now - attempt.sentAt())
+                        AttemptOutcome.builder(pending.id, attempt.index, attempt.endpointId(), result)
+                                .durationUs(now - attempt.sentAtUs())
                                 .build());
             }
         }
-        if (!call.answered) {
-            answer(call, outOfTime(clock.now(), call));
-            director.clientDisconnected(clock.now(), call.id);
-            forget(call);
+        if (!pending.answered) {
+            respond(pending, timeoutResponse(clock.now(), pending));
+            routingPolicy.clientDisconnected(clock.now(), pending.id);
+            removeIfFinished(pending);
         }
     }
 
@@ -189,68 +193,70 @@
      * Failed; but refused where only the front's own end took the time, and nothing was sent: another front may serve
      * it.
      */
-    private PendingRequest.Answer outOfTime(long now, PendingRequest call) {
-        return call.attempts.isEmpty() && call.deadline < call.patientUntil && now < call.patientUntil
-                ? PendingRequest.Answer.refused(pauseUs)
-                : PendingRequest.Answer.failed();
+    private PendingRequest.Response timeoutResponse(long now, PendingRequest pending) {
+        return pending.attempts.isEmpty()
+                        && pending.deadlineUs < pending.clientDeadlineUs
+                        && now < pending.clientDeadlineUs
+                ? PendingRequest.Response.rejected(retryAfterUs)
+                : PendingRequest.Response.failed();
     }
 
     /** The client left before the module heard of its request: it never does. */
-    private void leftEarly(PendingRequest call) {
+    private void disconnectedBeforeRouting(PendingRequest pending) {
         counters.add(Counter.GIVEN_UP_BY_CLIENT);
-        call.answered = true;
-        forget(call);
+        pending.answered = true;
+        removeIfFinished(pending);
     }
 
     /** The client of a request has left. */
-    void left(PendingRequest call) {
-        if (!call.answered) {
+    void clientDisconnected(PendingRequest pending) {
+        if (!pending.answered) {
             counters.add(Counter.GIVEN_UP_BY_CLIENT);
-            call.answered = true;
-            letGo(call);
-            director.clientDisconnected(clock.now(), call.id);
-            forget(call);
+            pending.answered = true;
+            releaseLocalCopy(pending);
+            routingPolicy.clientDisconnected(clock.now(), pending.id);
+            removeIfFinished(pending);
         }
     }
 
-    private void answer(PendingRequest call, PendingRequest.Answer answer) {
-        if (call.answered) {
-            if (answer.body() != null) {
-                answer.body().release();
+    private void respond(PendingRequest pending, PendingRequest.Response response) {
+        if (pending.answered) {
+            if (response.body() != null) {
+                response.body().release();
             }
             return;
         }
-        call.answered = true;
+        pending.answered = true;
         counters.add(
-                switch (answer.end()) {
+                switch (response.outcome()) {
                     case SERVED -> Counter.SERVED;
                     case UNCHANGED -> Counter.UNCHANGED;
-                    case REFUSED -> Counter.REFUSED;
+                    case REJECTED -> Counter.REFUSED;
                     case FAILED -> Counter.FAILED;
                 });
-        counters.add(Counter.AGED, answer.agedMs() != 0 ? 1 : 0);
-        call.asker.answer(call, answer);
-        letGo(call);
-        forget(call);
+        counters.add(Counter.AGED, response.ageMs() != 0 ? 1 : 0);
+        pending.responder.respond(pending, response);
+        releaseLocalCopy(pending);
+        removeIfFinished(pending);
     }
 
-    private void forget(PendingRequest call) {
-        if (call.answered && call.open == 0) {
-            if (calls.remove(call.id, call)) {
-                open = calls.size();
-                traces.remove(call.ask.trace());
-                call.overdueTimer.cancel();
+    private void removeIfFinished(PendingRequest pending) {
+        if (pending.answered && pending.openAttempts == 0) {
+            if (requests.remove(pending.id, pending)) {
+                inFlight = requests.size();
+                tracesInUse.remove(pending.request.trace());
+                pending.overdueTimer.cancel();
             }
-            if (call.ask.body() != null && !call.bodyFreed) {
-                call.bodyFreed = true;
-                call.ask.body().release();
+            if (pending.request.body() != null && !pending.requestBodyReleased) {
+                pending.requestBodyReleased = true;
+                pending.request.body().release();
             }
         }
     }
 
     /** An attempt has ended. */
-    void ending(Attempt attempt, UpstreamOutcome outcome) {
-        PendingRequest call = attempt.call();
+    void attemptEnded(Attempt attempt, UpstreamOutcome outcome) {
+        PendingRequest pending = attempt.request();
         if (attempt.ended) {
             if (outcome.body() != null) {
                 outcome.body().release();
@@ -258,74 +264,76 @@
             return;
         }
         attempt.ended = true;
-        if (attempt.stopTimer != null) {
-            attempt.stopTimer.cancel();
+        if (attempt.timeoutTimer != null) {
+            attempt.timeoutTimer.cancel();
         }
-        call.open--;
-        if (call.abandoned()) {
+        pending.openAttempts--;
+        if (pending.abandoned()) {
             // The word of it may be behind this one: the module must not try again for nobody.
-            left(call);
+            clientDisconnected(pending);
         }
         AttemptResult result = outcome.result() == AttemptResult.CANCELLED && attempt.timedOut
                 ? AttemptResult.TIMEOUT
                 : outcome.result();
         long now = clock.now();
-        int octets = outcome.body() == null ? 0 : outcome.body().length();
-        long minted = result != AttemptResult.OK ? 0 : outcome.mintedMs() > 0 ? outcome.mintedMs() : -1;
-        long at = Math.min(now, Math.max(attempt.sentAt(), outcome.atUs()));
+        int responseBytes = outcome.body() == null ? 0 : outcome.body().length();
+        long originTimeMs = result != AttemptResult.OK ? 0 : outcome.originTimeMs() > 0 ? outcome.originTimeMs() : -1;
+        long endedAtUs = Math.min(now, Math.max(attempt.sentAtUs(), outcome.endedAtUs()));
         if (result == AttemptResult.OK) {
-            director.boundedReads().responseReceived(call.id, attempt.index, at, outcome.note(), minted);
-            result = passOn(now, call, outcome, minted) ? AttemptResult.OK : AttemptResult.MISS;
+            routingPolicy
+                    .boundedReads()
+                    .responseReceived(pending.id, attempt.index, endedAtUs, outcome.cacheStatus(), originTimeMs);
+            result = deliver(now, pending, outcome, originTimeMs) ? AttemptResult.OK : AttemptResult.MISS;
         }
-        count(result, outcome.unchanged());
-        watch.ended(
-                call.ask,
-                listed.apply(attempt.node()),
-                listed.apply(attempt.plan().fillSource()),
+        countResult(result, outcome.unchanged());
+        attemptListener.attemptEnded(
+                pending.request,
+                endpointById.apply(attempt.endpointId()),
+                endpointById.apply(attempt.plan().fillSource()),
                 result,
-                outcome.note(),
-                attempt.sentAt(),
+                outcome.cacheStatus(),
+                attempt.sentAtUs(),
                 now,
-                octets);
-        director.attemptEnded(
+                responseBytes);
+        routingPolicy.attemptEnded(
                 now,
-                AttemptOutcome.builder(call.id, attempt.index, attempt.node(), result)
-                        .durationUs(at - attempt.sentAt())
-                        .requestCompleted(call.answered)
-                        .cacheStatus(outcome.note())
+                AttemptOutcome.builder(pending.id, attempt.index, attempt.endpointId(), result)
+                        .durationUs(endedAtUs - attempt.sentAtUs())
+                        .requestCompleted(pending.answered)
+                        .cacheStatus(outcome.cacheStatus())
                         .firstByteUs(outcome.firstByteUs())
-                        .originTimeMs(minted)
+                        .originTimeMs(originTimeMs)
                         .build());
-        forget(call);
+        removeIfFinished(pending);
     }
 
     /** Passes an answer on, if its copy will do; else nothing of it is kept, and to the module its cache lacked it. */
-    private boolean passOn(long now, PendingRequest call, UpstreamOutcome outcome, long mintedMs) {
-        DeliveryDecision passing = director.evaluateDelivery(now, call.id, mintedMs);
-        if (!passing.deliver()) {
+    private boolean deliver(long now, PendingRequest pending, UpstreamOutcome outcome, long originTimeMs) {
+        DeliveryDecision decision = routingPolicy.evaluateDelivery(now, pending.id, originTimeMs);
+        if (!decision.deliver()) {
             if (outcome.body() != null) {
                 outcome.body().release();
             }
             return false;
         }
         if (outcome.body() != null && outcome.tag() != null) {
-            copies.keep(call.ask, outcome.body(), outcome.tag(), outcome.mintedMs());
+            responseCache.store(pending.request, outcome.body(), outcome.tag(), outcome.originTimeMs());
         }
-        answer(
-                call,
-                new PendingRequest.Answer(
-                        outcome.unchanged() ? PendingRequest.End.UNCHANGED : PendingRequest.End.SERVED,
+        respond(
+                pending,
+                new PendingRequest.Response(
+                        outcome.unchanged() ? PendingRequest.Outcome.UNCHANGED : PendingRequest.Outcome.SERVED,
                         outcome.body(),
                         outcome.tag(),
                         0,
                         false,
-                        outcome.note(),
-                        passing.markMs(),
-                        passing.ageMs()));
+                        outcome.cacheStatus(),
+                        decision.markMs(),
+                        decision.ageMs()));
         return true;
     }
 
-    private void count(AttemptResult result, boolean unchanged) {
+    private void countResult(AttemptResult result, boolean unchanged) {
         counters.add(
                 switch (result) {
                     case OK -> unchanged ? Counter.KEPT : Counter.DONE;
@@ -344,91 +352,92 @@
     // ---------------------------------------------------------------- what the module asks for
 
     /** An attempt of a request is to go to a node. */
-    void attempt(long request, long node, AttemptPlan plan) {
-        PendingRequest call = calls.get(request);
-        if (call == null || call.answered) {
+    void startAttempt(long requestId, long endpointId, AttemptPlan plan) {
+        PendingRequest pending = requests.get(requestId);
+        if (pending == null || pending.answered) {
             return;
         }
         long now = clock.now();
-        long stop = plan.deadlineUs() > 0 ? Math.min(plan.deadlineUs(), call.deadline) : call.deadline;
-        Attempt attempt = new Attempt(call, call.attempts.size(), node, plan, now, stop);
-        call.attempts.add(attempt);
-        call.open++;
+        long timeoutAtUs = plan.deadlineUs() > 0 ? Math.min(plan.deadlineUs(), pending.deadlineUs) : pending.deadlineUs;
+        Attempt attempt = new Attempt(pending, pending.attempts.size(), endpointId, plan, now, timeoutAtUs);
+        pending.attempts.add(attempt);
+        pending.openAttempts++;
         counters.add(Counter.ATTEMPTS);
-        if (call.abandoned()) {
-            timers.afterwards(() -> ending(attempt, UpstreamOutcome.of(AttemptResult.CANCELLED)));
+        if (pending.abandoned()) {
+            timers.runNext(() -> attemptEnded(attempt, UpstreamOutcome.of(AttemptResult.CANCELLED)));
             return;
         }
         if (!upstream.send(attempt)) {
-            timers.afterwards(() -> ending(attempt, UpstreamOutcome.of(AttemptResult.REJECTED)));
+            timers.runNext(() -> attemptEnded(attempt, UpstreamOutcome.of(AttemptResult.REJECTED)));
             return;
         }
-        attempt.stopTimer = timers.at(stop, () -> {
-            attempt.timedOut = !attempt.ended && !attempt.calledOff();
-            callOff(attempt);
+        attempt.timeoutTimer = timers.schedule(timeoutAtUs, () -> {
+            attempt.timedOut = !attempt.ended && !attempt.cancelled();
+            cancelOnce(attempt);
         });
     }
 
     /** An attempt is to be called off. */
-    void cancel(long request, int attempt) {
-        PendingRequest call = calls.get(request);
-        if (call != null && attempt < call.attempts.size()) {
-            callOff(call.attempts.get(attempt));
+    void cancelAttempt(long requestId, int attempt) {
+        PendingRequest pending = requests.get(requestId);
+        if (pending != null && attempt < pending.attempts.size()) {
+            cancelOnce(pending.attempts.get(attempt));
         }
     }
 
     /** The front's own copy is to be served. */
-    void serveOwn(long request) {
-        PendingRequest call = calls.get(request);
-        if (call != null && call.own != null && !call.answered) {
-            DeliveryDecision passing = director.evaluateDelivery(clock.now(), request, call.own.mintedMs());
-            if (!passing.deliver()) {
+    void serveLocalCopy(long requestId) {
+        PendingRequest pending = requests.get(requestId);
+        if (pending != null && pending.localCopy != null && !pending.answered) {
+            DeliveryDecision decision =
+                    routingPolicy.evaluateDelivery(clock.now(), requestId, pending.localCopy.originTimeMs());
+            if (!decision.deliver()) {
                 counters.add(Counter.REFUSED_BY_HINT);
-                answer(call, PendingRequest.Answer.refused(pauseUs));
+                respond(pending, PendingRequest.Response.rejected(retryAfterUs));
                 return;
             }
             counters.add(Counter.OWN_COPIES);
-            boolean unchanged = unchanged(call);
+            boolean unchanged = clientCopyIsCurrent(pending);
             if (!unchanged) {
-                call.own.body().retain();
+                pending.localCopy.body().retain();
             }
-            answer(
-                    call,
-                    new PendingRequest.Answer(
-                            unchanged ? PendingRequest.End.UNCHANGED : PendingRequest.End.SERVED,
-                            unchanged ? null : call.own.body(),
-                            call.own.tag(),
+            respond(
+                    pending,
+                    new PendingRequest.Response(
+                            unchanged ? PendingRequest.Outcome.UNCHANGED : PendingRequest.Outcome.SERVED,
+                            unchanged ? null : pending.localCopy.body(),
+                            pending.localCopy.tag(),
                             0,
                             true,
                             CacheStatus.UNKNOWN,
-                            passing.markMs(),
-                            passing.ageMs()));
+                            decision.markMs(),
+                            decision.ageMs()));
         }
     }
 
     /** A request is to be refused. */
-    void refuse(long request, long backoffUs) {
-        counters.add(Counter.REFUSED_BY_HINT, director.boundedReads().isUnproven(request) ? 1 : 0);
-        end(request, PendingRequest.Answer.refused(backoffUs));
+    void reject(long requestId, long backoffUs) {
+        counters.add(Counter.REFUSED_BY_HINT, routingPolicy.boundedReads().isUnproven(requestId) ? 1 : 0);
+        respondIfPending(requestId, PendingRequest.Response.rejected(backoffUs));
     }
 
     /** A request is to be failed. */
-    void fail(long request) {
-        PendingRequest call = calls.get(request);
-        if (call != null) {
-            answer(call, outOfTime(clock.now(), call));
+    void fail(long requestId) {
+        PendingRequest pending = requests.get(requestId);
+        if (pending != null) {
+            respond(pending, timeoutResponse(clock.now(), pending));
         }
     }
 
-    private void end(long request, PendingRequest.Answer answer) {
-        PendingRequest call = calls.get(request);
-        if (call != null) {
-            answer(call, answer);
+    private void respondIfPending(long requestId, PendingRequest.Response response) {
+        PendingRequest pending = requests.get(requestId);
+        if (pending != null) {
+            respond(pending, response);
         }
     }
 
-    private void callOff(Attempt attempt) {
-        if (!attempt.ended && attempt.callOff()) {
+    private void cancelOnce(Attempt attempt) {
+        if (!attempt.ended && attempt.markCancelled()) {
             upstream.cancel(attempt);
         }
     }
--- a/src/main/java/magpiewheel/engine/ResponseCache.java
+++ b/src/main/java/magpiewheel/engine/ResponseCache.java
@@ -11,37 +11,37 @@
  */
 public final class ResponseCache {
     /** One part of an object. Its age counts from when the origin gave it out. */
-    record Copy(long object, int part, int profile, int group, Body body, String tag, long mintedMs) {
-        boolean is(PendingRequest.Ask ask) {
-            return object == ask.object() && part == ask.part() && profile == ask.profile();
+    record Copy(long object, int part, int classIndex, int group, Body body, String tag, long originTimeMs) {
+        boolean matches(PendingRequest.ClientRequest request) {
+            return object == request.object() && part == request.part() && classIndex == request.classIndex();
         }
     }
 
     private static final float LOAD_FACTOR = 0.75f;
     /** A copy takes at most this part of all room. */
-    private static final int LARGEST_PART = 16;
+    private static final int MAX_COPY_DIVISOR = 16;
 
     private final LinkedHashMap<Long, Copy> copies = new LinkedHashMap<>(16, LOAD_FACTOR, true);
-    private final int most;
-    private final double flowBytesPerS;
+    private final int maxBuffers;
+    private final double transferBytesPerS;
     private final double linkBytesPerS;
-    private int held;
+    private int heldBuffers;
 
     /** Holds at most so many buffers of the pool; the paces of one transfer and of the front's link in bytes. */
-    public ResponseCache(int most, double flowBytesPerS, double linkBytesPerS) {
-        this.most = flowBytesPerS > 0 && linkBytesPerS > 0 ? most : 0;
-        this.flowBytesPerS = flowBytesPerS;
+    public ResponseCache(int maxBuffers, double transferBytesPerS, double linkBytesPerS) {
+        this.maxBuffers = transferBytesPerS > 0 && linkBytesPerS > 0 ? maxBuffers : 0;
+        this.transferBytesPerS = transferBytesPerS;
         this.linkBytesPerS = linkBytesPerS;
     }
 
     /** Holds nothing. */
-    public static ResponseCache none() {
+    public static ResponseCache disabled() {
         return new ResponseCache(0, 0, 0);
     }
 
     /** How long a transfer of so many bytes takes by itself. */
-    long flowUs(int bytes) {
-        return (long) (bytes / flowBytesPerS * 1e6);
+    long transferUs(int bytes) {
+        return (long) (bytes / transferBytesPerS * 1e6);
     }
 
     /** How long it takes the front's link up. */
@@ -50,53 +50,62 @@
     }
 
     /** What it holds of what is asked for; null for nothing. */
-    Copy find(PendingRequest.Ask ask) {
-        Copy copy = copies.get(key(ask));
+    Copy find(PendingRequest.ClientRequest request) {
+        Copy copy = copies.get(key(request));
         // Different parts may share a key: then the newer has it.
-        return copy != null && copy.is(ask) ? copy : null;
+        return copy != null && copy.matches(request) ? copy : null;
     }
 
     /** Takes an answer in; it holds on to the body by itself. */
-    void keep(PendingRequest.Ask ask, Body body, String tag, long mintedMs) {
-        if (body.buffers() > most / LARGEST_PART) {
+    void store(PendingRequest.ClientRequest request, Body body, String tag, long originTimeMs) {
+        if (body.buffers() > maxBuffers / MAX_COPY_DIVISOR) {
             return;
         }
-        drop(copies.remove(key(ask)));
+        release(copies.remove(key(request)));
         body.retain();
-        held += body.buffers();
-        copies.put(key(ask), new Copy(ask.object(), ask.part(), ask.profile(), ask.group(), body, tag, mintedMs));
-        for (Iterator<Copy> eldest = copies.values().iterator(); held > most; ) {
-            Copy first = eldest.next();
+        heldBuffers += body.buffers();
+        copies.put(
+                key(request),
+                new Copy(
+                        request.object(),
+                        request.part(),
+                        request.classIndex(),
+                        request.group(),
+                        body,
+                        tag,
+                        originTimeMs));
+        for (Iterator<Copy> eldest = copies.values().iterator(); heldBuffers > maxBuffers; ) {
+            Copy oldest = eldest.next();
             eldest.remove();
-            drop(first);
+            release(oldest);
         }
     }
 
     /** Lets go of an object or, with null, of a whole group. */
     void purge(Long object, int group) {
-        Predicate<Copy> meant = copy -> object == null ? copy.group() == group : copy.object() == object;
+        Predicate<Copy> purged = copy -> object == null ? copy.group() == group : copy.object() == object;
         for (Iterator<Map.Entry<Long, Copy>> all = copies.entrySet().iterator(); all.hasNext(); ) {
             Copy copy = all.next().getValue();
-            if (meant.test(copy)) {
+            if (purged.test(copy)) {
                 all.remove();
-                drop(copy);
+                release(copy);
             }
         }
     }
 
     /** Buffers held. */
-    int held() {
-        return held;
+    int heldBuffers() {
+        return heldBuffers;
     }
 
-    private void drop(Copy copy) {
+    private void release(Copy copy) {
         if (copy != null) {
-            held -= copy.body().buffers();
+            heldBuffers -= copy.body().buffers();
             copy.body().release();
         }
     }
 
-    private static Long key(PendingRequest.Ask ask) {
-        return (ask.object() * 31 + ask.part()) * 31 + ask.profile();
+    private static Long key(PendingRequest.ClientRequest request) {
+        return (request.object() * 31 + request.part()) * 31 + request.classIndex();
     }
 }
--- a/src/main/java/magpiewheel/engine/ResponseListener.java
+++ b/src/main/java/magpiewheel/engine/ResponseListener.java
@@ -3,19 +3,19 @@
 /** Sees every answer once it was written to its client. Called on the client's actor, so it must not wait. */
 public interface ResponseListener {
     /** One that sees nothing. */
-    ResponseListener NONE = (ends, ask, profile, answer, takenAtUs, octets, whole) -> {};
+    ResponseListener NONE = (addresses, request, classIndex, response, receivedAtUs, bytesSent, complete) -> {};
 
     /**
-     * An answer went out: {@code octets} of it were given to the socket, frame included; {@code whole} says whether
-     * that was all. {@code ask} is null for what was turned away before its fields were read, {@code profile} then
-     * negative if unknown.
+     * An answer went out: {@code bytesSent} of it were given to the socket, frame included; {@code complete} says
+     * whether that was all. {@code request} is null for what was turned away before its fields were read,
+     * {@code classIndex} then negative if unknown.
      */
-    void sent(
-            PendingRequest.Ends ends,
-            PendingRequest.Ask ask,
-            int profile,
-            PendingRequest.Answer answer,
-            long takenAtUs,
-            long octets,
-            boolean whole);
+    void responseSent(
+            PendingRequest.ConnectionAddresses addresses,
+            PendingRequest.ClientRequest request,
+            int classIndex,
+            PendingRequest.Response response,
+            long receivedAtUs,
+            long bytesSent,
+            boolean complete);
 }
--- a/src/main/java/magpiewheel/engine/Timers.java
+++ b/src/main/java/magpiewheel/engine/Timers.java
@@ -6,13 +6,13 @@
 final class Timers {
     /** One that is cancelled lets go of its action at once: requests are answered long before their deadline. */
     static final class Timer implements Comparable<Timer> {
-        private final long at;
-        private final long order;
+        private final long dueAtUs;
+        private final long sequence;
         private Runnable action;
 
-        private Timer(long at, long order, Runnable action) {
-            this.at = at;
-            this.order = order;
+        private Timer(long dueAtUs, long sequence, Runnable action) {
+            this.dueAtUs = dueAtUs;
+            this.sequence = sequence;
             this.action = action;
         }
 
@@ -23,45 +23,47 @@
 
         @Override
         public int compareTo(Timer other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+            return dueAtUs != other.dueAtUs
+                    ? Long.compare(dueAtUs, other.dueAtUs)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
     private final UnixClock clock;
     private final PriorityQueue<Timer> queue = new PriorityQueue<>();
-    private long lastOrder;
+    private long lastSequence;
 
     Timers(UnixClock clock) {
         this.clock = clock;
     }
 
     /** Does something at a time. */
-    Timer at(long time, Runnable action) {
-        Timer timer = new Timer(time, ++lastOrder, action);
+    Timer schedule(long dueAtUs, Runnable action) {
+        Timer timer = new Timer(dueAtUs, ++lastSequence, action);
         queue.add(timer);
         return timer;
     }
 
     /** Does something as soon as the call of the module in hand is over, before anything else. */
-    void afterwards(Runnable action) {
-        at(0, action);
+    void runNext(Runnable action) {
+        schedule(0, action);
     }
 
     /** Microseconds until something is due; below 0 if nothing ever is. */
-    long untilNextUs() {
-        Timer next = next();
-        return next == null ? -1 : Math.max(0, next.at - clock.now());
+    long untilDueUs() {
+        Timer next = nextActive();
+        return next == null ? -1 : Math.max(0, next.dueAtUs - clock.now());
     }
 
     /** Does what is due. */
-    void run() {
-        for (Timer next = next(); next != null && next.at <= clock.now(); next = next()) {
+    void runDue() {
+        for (Timer next = nextActive(); next != null && next.dueAtUs <= clock.now(); next = nextActive()) {
             queue.poll().action.run();
         }
     }
 
     /** The next one that still has something to do. */
-    private Timer next() {
+    private Timer nextActive() {
         while (!queue.isEmpty() && queue.peek().action == null) {
             queue.poll();
         }
--- a/src/main/java/magpiewheel/engine/UnixClock.java
+++ b/src/main/java/magpiewheel/engine/UnixClock.java
@@ -8,40 +8,41 @@
 
 /** Unix microseconds that never go back, whatever the system's clock does. */
 public final class UnixClock {
-    private static final long MICROS = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
     /** What a new clock reads by itself; tests start a front with one that is off. */
-    static volatile Clock standard = Clock.systemUTC();
+    static volatile Clock systemClock = Clock.systemUTC();
 
-    private final AtomicLong last = new AtomicLong();
-    private final InstantSource system;
+    private final AtomicLong lastUs = new AtomicLong();
+    private final InstantSource source;
 
     /** The system's clock. */
     public UnixClock() {
-        this(standard);
+        this(systemClock);
     }
 
     /** A clock that reads another. */
-    public UnixClock(InstantSource system) {
-        this.system = system;
+    public UnixClock(InstantSource source) {
+        this.source = source;
     }
 
     /**
      * Unix time at this moment and even from here on. One that only never goes back stands still where the system's was
      * set back, and what was learnt of another clock by it is off by that.
      */
-    public static UnixClock even() {
-        return even(standard, System::nanoTime);
+    public static UnixClock monotonic() {
+        return monotonic(systemClock, System::nanoTime);
     }
 
-    static UnixClock even(InstantSource system, LongSupplier nanos) {
-        Instant start = system.instant();
-        long from = nanos.getAsLong();
-        return new UnixClock(() -> start.plusNanos(nanos.getAsLong() - from));
+    static UnixClock monotonic(InstantSource source, LongSupplier nanos) {
+        Instant start = source.instant();
+        long startNanos = nanos.getAsLong();
+        return new UnixClock(() -> start.plusNanos(nanos.getAsLong() - startNanos));
     }
 
     /** The time now. */
     public long now() {
-        Instant instant = system.instant();
-        return last.accumulateAndGet(instant.getEpochSecond() * MICROS + instant.getNano() / 1000, Math::max);
+        Instant instant = source.instant();
+        return lastUs.accumulateAndGet(
+                instant.getEpochSecond() * MICROS_PER_SECOND + instant.getNano() / 1000, Math::max);
     }
 }
--- a/src/main/java/magpiewheel/engine/Upstream.java
+++ b/src/main/java/magpiewheel/engine/Upstream.java
@@ -7,9 +7,9 @@
     /** Takes an attempt; false where there is no room, which proves that nothing ran. */
     boolean send(Attempt attempt);
 
-    /** Calls an attempt off; {@link Engine#ended} follows once that is written, or its answer comes first. */
+    /** Calls an attempt off; {@link Engine#attemptEnded} follows once that is written, or its answer comes first. */
     void cancel(Attempt attempt);
 
     /** The list changed; a whole one names every node that is left. */
-    void listed(List<ListedEndpoint> nodes, boolean whole);
+    void endpointsChanged(List<ListedEndpoint> endpoints, boolean complete);
 }
--- a/src/main/java/magpiewheel/engine/UpstreamOutcome.java
+++ b/src/main/java/magpiewheel/engine/UpstreamOutcome.java
@@ -9,13 +9,13 @@
  */
 public record UpstreamOutcome(
         AttemptResult result,
-        CacheStatus note,
+        CacheStatus cacheStatus,
         long firstByteUs,
         Body body,
         String tag,
         boolean unchanged,
-        long atUs,
-        long mintedMs) {
+        long endedAtUs,
+        long originTimeMs) {
     /** An end that brought no copy. */
     public static UpstreamOutcome of(AttemptResult result) {
         return new UpstreamOutcome(result, CacheStatus.UNKNOWN, 0, null, null, false, Long.MAX_VALUE, 0);
--- a/src/main/java/magpiewheel/engine/WorkerPool.java
+++ b/src/main/java/magpiewheel/engine/WorkerPool.java
@@ -15,87 +15,90 @@
  * <p>An actor may wait while it writes to a client that takes nothing. When all hands do so, others are hired.
  */
 public final class WorkerPool {
-    private static final int HANDS = 3;
-    private static final int MOST_HANDS = 64;
-    private static final int LOOK_MS = 20;
+    private static final int MIN_THREADS = 3;
+    private static final int MAX_THREADS = 64;
+    private static final int STALL_CHECK_MS = 20;
     /** Looks without any turn before a hand is hired: a program that is held back as a whole is not short of hands. */
-    private static final int LOOKS = 3;
+    private static final int STALLED_CHECKS_TO_GROW = 3;
     /** ms; a thread that nobody needs for so long ends. */
-    private static final int IDLE_MS = 300;
+    private static final int THREAD_IDLE_MS = 300;
     /** Each actor stands in it once at most. */
-    private final LinkedBlockingQueue<Actor> ready = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Actor> readyActors = new LinkedBlockingQueue<>();
 
-    private final AtomicInteger hands = new AtomicInteger();
+    private final AtomicInteger threads = new AtomicInteger();
     private final AtomicLong turns = new AtomicLong();
-    private final ScheduledThreadPoolExecutor alarms =
-            new ScheduledThreadPoolExecutor(1, body -> Actor.thread("alarms", body));
+    private final ScheduledThreadPoolExecutor timerExecutor =
+            new ScheduledThreadPoolExecutor(1, body -> Actor.daemonThread("alarms", body));
     /** Readers block for as long as their connection lives; a thread that is done takes the next connection. */
     private final ThreadPoolExecutor readers = new ThreadPoolExecutor(
             0,
             Integer.MAX_VALUE,
-            IDLE_MS,
+            THREAD_IDLE_MS,
             TimeUnit.MILLISECONDS,
             new SynchronousQueue<>(),
-            body -> Actor.thread("reader", body));
+            body -> Actor.daemonThread("reader", body));
 
-    private long turnsSeen;
-    private int looksWithout;
+    private long turnsAtLastCheck;
+    private int stalledChecks;
 
     /** Hires the first hands. */
     public WorkerPool() {
-        for (int i = 0; i < HANDS; i++) {
-            hire();
+        for (int i = 0; i < MIN_THREADS; i++) {
+            addThread();
         }
-        alarms.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        timerExecutor.scheduleWithFixedDelay(
+                this::checkForStall, STALL_CHECK_MS, STALL_CHECK_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Runs the reader of a connection, on a thread that it has for itself. Connections bound their number. */
-    public void read(Runnable reader) {
+    public void runReader(Runnable reader) {
         readers.execute(reader);
     }
 
-    void add(Actor actor) {
-        ready.add(actor);
+    void schedule(Actor actor) {
+        readyActors.add(actor);
     }
 
     /** Gives the actor a turn after some time, whether it has a message or not. */
-    void wake(Actor actor, long afterUs) {
-        alarms.schedule(actor::woken, Math.max(0, afterUs), TimeUnit.MICROSECONDS);
+    void scheduleWakeUp(Actor actor, long afterUs) {
+        timerExecutor.schedule(actor::onWakeUp, Math.max(0, afterUs), TimeUnit.MICROSECONDS);
     }
 
     /** Threads at work or waiting for it. */
-    public int hands() {
-        return hands.get();
+    public int threads() {
+        return threads.get();
     }
 
-    private void look() {
+    private void checkForStall() {
         long now = turns.get();
-        looksWithout = ready.isEmpty() || now != turnsSeen ? 0 : looksWithout + 1;
-        if (looksWithout >= LOOKS && hands.get() < MOST_HANDS) {
-            hire();
+        stalledChecks = readyActors.isEmpty() || now != turnsAtLastCheck ? 0 : stalledChecks + 1;
+        if (stalledChecks >= STALLED_CHECKS_TO_GROW && threads.get() < MAX_THREADS) {
+            addThread();
         }
-        turnsSeen = now;
+        turnsAtLastCheck = now;
     }
 
-    private void hire() {
-        hands.incrementAndGet();
-        Actor.thread("hand", this::work).start();
+    private void addThread() {
+        threads.incrementAndGet();
+        Actor.daemonThread("hand", this::runTurns).start();
     }
 
-    private void work() {
+    private void runTurns() {
         try {
             while (true) {
-                Actor next = hands.get() > HANDS ? ready.poll(IDLE_MS, TimeUnit.MILLISECONDS) : ready.take();
+                Actor next = threads.get() > MIN_THREADS
+                        ? readyActors.poll(THREAD_IDLE_MS, TimeUnit.MILLISECONDS)
+                        : readyActors.take();
                 if (next == null) {
                     break;
                 }
-                next.turn();
+                next.runTurn();
                 turns.incrementAndGet();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            hands.decrementAndGet();
+            threads.decrementAndGet();
         }
     }
 }
--- a/src/main/java/magpiewheel/flows/FlowExporter.java
+++ b/src/main/java/magpiewheel/flows/FlowExporter.java
@@ -186,7 +186,7 @@
     private volatile Session sending;
     private volatile long sendingSince;
     private volatile boolean stopping;
-    private final Thread thread = Actor.thread("flows", this::run);
+    private final Thread thread = Actor.daemonThread("flows", this::run);
 
     /** Exports what comes into the ring. */
     public FlowExporter(Settings set, FlowRing ring, Counters counters) {
@@ -205,7 +205,7 @@
     /** Begins. */
     public void start() {
         thread.start();
-        Actor.thread("flows-watch", this::watch).start();
+        Actor.daemonThread("flows-watch", this::watch).start();
     }
 
     /** Sends what is left, as far as a moment allows, and ends. */
--- a/src/main/java/magpiewheel/flows/Metering.java
+++ b/src/main/java/magpiewheel/flows/Metering.java
@@ -34,34 +34,35 @@
     }
 
     @Override
-    public void sent(
-            PendingRequest.Ends ends,
-            PendingRequest.Ask ask,
+    public void responseSent(
+            PendingRequest.ConnectionAddresses ends,
+            PendingRequest.ClientRequest ask,
             int profile,
-            PendingRequest.Answer answer,
+            PendingRequest.Response answer,
             long takenAtUs,
             long octets,
             boolean whole) {
         FlowRecord.End end = !whole
                 ? FlowRecord.End.CUT_OFF
-                : switch (answer.end()) {
+                : switch (answer.outcome()) {
                     case SERVED -> FlowRecord.End.SERVED;
                     case UNCHANGED -> FlowRecord.End.UNCHANGED;
-                    case REFUSED -> FlowRecord.End.REFUSED;
+                    case REJECTED -> FlowRecord.End.REFUSED;
                     case FAILED -> FlowRecord.End.FAILED;
                 };
-        FlowRecord.SourceKind from = answer.own()
+        FlowRecord.SourceKind from = answer.fromLocalCopy()
                 ? FlowRecord.SourceKind.OWN_COPY
-                : answer.end() == PendingRequest.End.SERVED || answer.end() == PendingRequest.End.UNCHANGED
+                : answer.outcome() == PendingRequest.Outcome.SERVED
+                                || answer.outcome() == PendingRequest.Outcome.UNCHANGED
                         ? FlowRecord.SourceKind.CACHE
                         : FlowRecord.SourceKind.NONE;
         ring.offer(
                 FlowRecord.Kind.SEND,
                 takenAtUs / 1_000,
                 clock.now() / 1_000,
-                ends == null ? front : ends.front(),
-                ends == null ? frontPort : ends.frontPort(),
-                ends == null ? 0 : ends.client(),
+                ends == null ? front : ends.routerAddress(),
+                ends == null ? frontPort : ends.routerPort(),
+                ends == null ? 0 : ends.clientAddress(),
                 ends == null ? 0 : ends.clientPort(),
                 octets,
                 0,
@@ -69,15 +70,15 @@
                 place.zone(),
                 from,
                 end,
-                hit(answer.note()),
+                hit(answer.cacheStatus()),
                 ask == null ? 0 : ask.object(),
                 ask == null ? 0 : ask.part(),
                 0);
     }
 
     @Override
-    public void ended(
-            PendingRequest.Ask ask,
+    public void attemptEnded(
+            PendingRequest.ClientRequest ask,
             ListedEndpoint target,
             ListedEndpoint source,
             AttemptResult result,
@@ -105,15 +106,15 @@
                     past ? front : target.address(),
                     past ? 0 : target.port(),
                     octets,
-                    ask.kbytes() > 0 ? (long) (ask.kbytes() * OCTETS_A_KB) : octets,
-                    ask.profile(),
+                    ask.sizeKb() > 0 ? (long) (ask.sizeKb() * OCTETS_A_KB) : octets,
+                    ask.classIndex(),
                     place.zone(),
                     kind(from),
                     FlowRecord.End.SERVED,
                     hit(note),
                     ask.object(),
                     ask.part(),
-                    target.member().id());
+                    target.info().id());
         } else if (result != AttemptResult.CANCELLED
                 && result != AttemptResult.EXPIRED
                 && result != AttemptResult.MISS) {
@@ -127,23 +128,21 @@
                     0,
                     0,
                     0,
-                    ask.profile(),
+                    ask.classIndex(),
                     place.zone(),
                     kind(target),
                     end(result),
                     hit(note),
                     ask.object(),
                     ask.part(),
-                    target.member().id());
+                    target.info().id());
         }
     }
 
     private FlowRecord.SourceKind kind(ListedEndpoint node) {
-        return node.member().kind() == place.originKind()
+        return node.info().kind() == place.originKind()
                 ? FlowRecord.SourceKind.ORIGIN
-                : node.member().kind() == place.parentKind()
-                        ? FlowRecord.SourceKind.PARENT
-                        : FlowRecord.SourceKind.CACHE;
+                : node.info().kind() == place.parentKind() ? FlowRecord.SourceKind.PARENT : FlowRecord.SourceKind.CACHE;
     }
 
     private static FlowRecord.End end(AttemptResult result) {
--- a/src/main/java/magpiewheel/flows/Session.java
+++ b/src/main/java/magpiewheel/flows/Session.java
@@ -73,7 +73,7 @@
                 socket.close();
                 throw e;
             }
-            Actor.thread("flows-ear", this::hear).start();
+            Actor.daemonThread("flows-ear", this::hear).start();
         }
 
         private void hear() {
--- a/src/main/java/magpiewheel/peers/PeerTransport.java
+++ b/src/main/java/magpiewheel/peers/PeerTransport.java
@@ -21,7 +21,7 @@
 import magpiewheel.engine.WorkerPool;
 
 /** Datagrams between the fronts of a tier: an actor for each of them, and one reader for what comes in. */
-public final class PeerTransport implements Engine.Peers {
+public final class PeerTransport implements Engine.PeerTransport {
     /** Hears that nobody listens at a front's address, as was asked at a time. */
     public interface Refusals {
         /** Its machine said so. */
@@ -164,7 +164,7 @@
         refusals = refused;
         peers.values().forEach(peer -> peer.start(crew));
         knocker.start(crew);
-        Actor.thread("peer-reader", this::receive).start();
+        Actor.daemonThread("peer-reader", this::receive).start();
     }
 
     /** Neither sends nor receives any more. */
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public void tell(int recipient, byte[] message) {
+    public void send(int recipient, byte[] message) {
         Peer peer = peers.get(recipient);
         if (message.length > MOST_BYTES) {
             counters.add(Counter.PEER_DROPPED);
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void knock(int recipient, long at) {
+    public void probe(int recipient, long at) {
         Peer peer = peers.get(recipient);
         if (peer != null) {
             knocker.ask(new Question(recipient, peer.address, at));
--- a/src/main/java/magpiewheel/resp/Cancellations.java
+++ b/src/main/java/magpiewheel/resp/Cancellations.java
@@ -29,7 +29,7 @@
         withdrawn.add(tag);
         PendingRequest call = taken.remove(tag);
         if (call != null) {
-            engine.gone(call);
+            engine.clientDisconnected(call);
         }
     }
 
@@ -47,7 +47,7 @@
     /** On the actor: gives a request to the engine. */
     void take(long tag, PendingRequest call) {
         markIfWithdrawn(tag, call);
-        engine.take(call);
+        engine.submit(call);
         taken.put(tag, call);
         // The reader may have looked for it before it was there.
         markIfWithdrawn(tag, call);
@@ -65,7 +65,7 @@
     /** On the actor: the request is given up, unless the reader has told the engine so. */
     void giveUp(long tag, PendingRequest call) {
         if (taken.remove(tag, call)) {
-            engine.gone(call);
+            engine.clientDisconnected(call);
         }
     }
 
--- a/src/main/java/magpiewheel/resp/ClientConnection.java
+++ b/src/main/java/magpiewheel/resp/ClientConnection.java
@@ -8,7 +8,7 @@
 import magpiewheel.engine.Body;
 import magpiewheel.engine.Counter;
 import magpiewheel.engine.PendingRequest;
-import magpiewheel.engine.PendingRequest.Answer;
+import magpiewheel.engine.PendingRequest.Response;
 import magpiewheel.engine.ResponseListener;
 import magpiewheel.resp.RespServer.Shared;
 import magpiewheel.staleness.InvalidHintException;
@@ -19,7 +19,7 @@
  * reader waits; answers come in the reserve, one for each request let in. A connection that says nothing costs its
  * reader's thread and no buffer.
  */
-final class ClientConnection extends Actor implements PendingRequest.Asker, ClientReader.Frames {
+final class ClientConnection extends Actor implements PendingRequest.Responder, ClientReader.Frames {
     private static final int MAILBOX = 64;
     /** Requests that can't be used, or over the bound, that one client may send; behind them it is closed. */
     private static final int MOST_OFFENCES = 16;
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public PendingRequest.Ends ends() {
+    public PendingRequest.ConnectionAddresses addresses() {
         return socket.ends();
     }
 
@@ -60,7 +60,7 @@
         socket.sendAtOnce();
         answers.to(socket.out());
         start(shared.crew());
-        shared.crew().read(this::read);
+        shared.crew().runReader(this::read);
     }
 
     // ---------------------------------------------------------------- looked at by the front's thread
@@ -178,7 +178,7 @@
         } finally {
             close();
             requests.withdrawals().withdrawAll();
-            stopAndTurn();
+            stopAndRun();
         }
     }
 
@@ -188,12 +188,12 @@
             shared.counters().add(Counter.CLIENT_GARBAGE);
         }
         // Behind the frames before it, which are answered.
-        putAndTurn(this::endWhenAnswered);
+        putAndRun(this::endWhenAnswered);
     }
 
     @Override
     public void noRoom() {
-        putAndTurn(this::endWhenAnswered);
+        putAndRun(this::endWhenAnswered);
     }
 
     /** Where the connection was ended first, the client sends the request again elsewhere. */
@@ -211,7 +211,7 @@
             // Ahead of its turn: the actor may be in the middle of an answer that the client is slow to read.
             requests.withdrawals().withdraw(frame.tag());
         }
-        if (!putAndTurn(() -> {
+        if (!putAndRun(() -> {
             try {
                 handle(frame, now);
             } finally {
@@ -283,7 +283,7 @@
             refuse(frame.tag(), profile, null);
             return;
         }
-        PendingRequest.Ask ask;
+        PendingRequest.ClientRequest ask;
         try {
             ask = RequestFields.read(frame, shared.classes(), shared.deadlinesUs(), shared.hints());
         } catch (InvalidHintException e) {
@@ -295,7 +295,7 @@
             return;
         }
         usage.wanted();
-        long patient = now + Math.max(1, ask.patienceUs() - WAY_BACK_US);
+        long patient = now + Math.max(1, ask.timeBudgetUs() - WAY_BACK_US);
         PendingRequest call =
                 new PendingRequest(ask, this, now, patient, shared.leave().deadline(patient));
         requests.add(frame.tag(), call, now);
@@ -308,9 +308,9 @@
     private void unusable(RespParser.Frame frame, int profile, long now, String fields, String why) {
         shared.counters().add(Counter.BAD_REQUESTS);
         release(frame.body());
-        ended(profile, PendingRequest.End.FAILED);
+        ended(profile, PendingRequest.Outcome.FAILED);
         boolean whole = written(() -> answers.write(frame.tag(), "FAILED", fields, why));
-        watched(null, profile, Answer.failed(), now, whole);
+        watched(null, profile, Response.failed(), now, whole);
         offence();
     }
 
@@ -339,13 +339,13 @@
         PendingRequest unsent = requests.takeBack(tag, now);
         if (unsent != null) {
             shared.counters().add(Counter.GIVEN_UP_BY_CLIENT);
-            release(unsent.ask().body());
+            release(unsent.request().body());
         }
         endIfAnswered();
     }
 
     @Override
-    protected long idleUs() {
+    protected long untilDueWorkUs() {
         long next = requests.isEmpty()
                 ? requests.nextAt()
                 : Math.min(requests.nextAt(), shared.leave().answeredBy());
@@ -364,7 +364,7 @@
     }
 
     @Override
-    protected void due() {
+    protected void runDueWork() {
         if (leaves()) {
             leaveIfDone();
         }
@@ -376,8 +376,8 @@
             // Decided early: nothing was sent for it, and the client may still go elsewhere.
             PendingRequest call = late.call();
             shared.counters().add(Counter.CLIENT_BOUND);
-            release(call.ask().body());
-            refuse(late.tag(), call.ask().profile(), call.ask());
+            release(call.request().body());
+            refuse(late.tag(), call.request().classIndex(), call.request());
             requests.ended();
         }
         endIfAnswered();
@@ -387,13 +387,13 @@
     private void failOpen() {
         releaseWaiting();
         for (RequestWindow.Numbered each : requests.dropAll()) {
-            finish(each.tag(), each.call(), Answer.failed());
+            finish(each.tag(), each.call(), Response.failed());
         }
         requests.ended();
     }
 
     private void releaseWaiting() {
-        requests.dropWaiting().forEach(call -> release(call.ask().body()));
+        requests.dropWaiting().forEach(call -> release(call.request().body()));
     }
 
     private static void release(Body body) {
@@ -403,7 +403,7 @@
     }
 
     @Override
-    public void answer(PendingRequest call, Answer answer) {
+    public void respond(PendingRequest call, Response answer) {
         if (!offerReserved(() -> answering(call, answer))) {
             release(answer.body());
             if (!stopped()) {
@@ -414,12 +414,12 @@
         }
     }
 
-    private void answering(PendingRequest call, Answer answer) {
+    private void answering(PendingRequest call, Response answer) {
         Long tag = requests.answered(call);
         if (tag != null) {
             finish(tag, call, answer);
             requests.ended();
-            if (answer.end() == PendingRequest.End.SERVED) {
+            if (answer.outcome() == PendingRequest.Outcome.SERVED) {
                 requests.grow();
             }
             requests.admit();
@@ -428,30 +428,30 @@
         release(answer.body());
     }
 
-    private void finish(long tag, PendingRequest call, Answer answer) {
-        int profile = call.ask().profile();
-        ended(profile, answer.end());
+    private void finish(long tag, PendingRequest call, Response answer) {
+        int profile = call.request().classIndex();
+        ended(profile, answer.outcome());
         boolean whole = written(() -> answers.write(tag, answer));
-        watched(call.ask(), profile, answer, call.takenAt(), whole);
+        watched(call.request(), profile, answer, call.receivedAtUs(), whole);
     }
 
     /** Turned away here, before the module has heard of it; {@code ask} is null where its fields were not read. */
-    private void refuse(long tag, int profile, PendingRequest.Ask ask) {
-        ended(profile, PendingRequest.End.REFUSED);
-        Answer answer = Answer.refused(shared.engine().pauseUs());
+    private void refuse(long tag, int profile, PendingRequest.ClientRequest ask) {
+        ended(profile, PendingRequest.Outcome.REJECTED);
+        Response answer = Response.rejected(shared.engine().retryAfterUs());
         boolean whole = written(() -> answers.write(tag, answer));
         watched(ask, profile, answer, shared.clock().now(), whole);
     }
 
-    private void watched(PendingRequest.Ask ask, int profile, Answer answer, long takenAt, boolean whole) {
+    private void watched(PendingRequest.ClientRequest ask, int profile, Response answer, long takenAt, boolean whole) {
         if (shared.watch() != ResponseListener.NONE) {
-            shared.watch().sent(ends(), ask, profile, answer, takenAt, answers.written(), whole);
+            shared.watch().responseSent(addresses(), ask, profile, answer, takenAt, answers.written(), whole);
         }
     }
 
-    private void ended(int profile, PendingRequest.End end) {
+    private void ended(int profile, PendingRequest.Outcome end) {
         if (profile >= 0) {
-            shared.figures().ended(profile, end);
+            shared.figures().requestEnded(profile, end);
         }
     }
 
@@ -479,7 +479,7 @@
     }
 
     @Override
-    protected void left() {
+    protected void onTerminated() {
         close();
         // The client is gone, and with it whoever waited for these.
         releaseWaiting();
--- a/src/main/java/magpiewheel/resp/ClientReader.java
+++ b/src/main/java/magpiewheel/resp/ClientReader.java
@@ -49,14 +49,14 @@
             if (first < 0) {
                 return;
             }
-            buffer = pool.take(BufferPool.SIZE, 0);
+            buffer = pool.acquire(BufferPool.BUFFER_BYTES, 0);
             if (buffer == null) {
                 to.noRoom();
             } else {
-                reader = new RespParser(in, buffer.first(), first, pool);
+                reader = new RespParser(in, buffer.firstBuffer(), first, pool);
                 handOn(reader, to);
             }
-            LingeringClose.drop(in);
+            LingeringClose.drain(in);
         } catch (IOException e) {
             // Reset or closed.
         } catch (RuntimeException e) {
--- a/src/main/java/magpiewheel/resp/ClientSocket.java
+++ b/src/main/java/magpiewheel/resp/ClientSocket.java
@@ -36,12 +36,13 @@
     }
 
     /** The addresses at both ends; null where they are not known any more. */
-    PendingRequest.Ends ends() {
+    PendingRequest.ConnectionAddresses ends() {
         InetSocketAddress here = (InetSocketAddress) socket.getLocalSocketAddress();
         InetSocketAddress there = (InetSocketAddress) socket.getRemoteSocketAddress();
         return here == null || there == null
                 ? null
-                : new PendingRequest.Ends(Ipv4.number(here), here.getPort(), Ipv4.number(there), there.getPort());
+                : new PendingRequest.ConnectionAddresses(
+                        Ipv4.toInt(here), here.getPort(), Ipv4.toInt(there), there.getPort());
     }
 
     /** Whether bytes have come that nobody has read: on a busy machine a reader may be late for its turn. */
--- a/src/main/java/magpiewheel/resp/RequestFields.java
+++ b/src/main/java/magpiewheel/resp/RequestFields.java
@@ -35,7 +35,8 @@
      * The request, or null where a field that is needed is missing or any can't be used; a hint, where they are heeded,
      * says by itself what is wrong with it.
      */
-    static PendingRequest.Ask read(RespParser.Frame frame, List<String> classes, List<Long> deadlinesUs, boolean hints)
+    static PendingRequest.ClientRequest read(
+            RespParser.Frame frame, List<String> classes, List<Long> deadlinesUs, boolean hints)
             throws InvalidHintException {
         int profile = classes.indexOf(frame.word());
         RequestFields fields = new RequestFields();
@@ -45,7 +46,7 @@
         // No client waits longer than its class's deadline, and what it asks for is remembered until its time is up.
         long most = deadlinesUs.get(profile);
         long patienceUs = fields.patienceMs < 0 ? most : Math.min(most, (long) (fields.patienceMs * 1000));
-        return new PendingRequest.Ask(
+        return new PendingRequest.ClientRequest(
                 fields.trace,
                 profile,
                 frame.word(),
--- a/src/main/java/magpiewheel/resp/RequestWindow.java
+++ b/src/main/java/magpiewheel/resp/RequestWindow.java
@@ -65,7 +65,7 @@
         tags.put(call, tag);
         ended();
         waiting.addLast(
-                new Waiting(tag, call, now + Math.min(WAIT_US, call.ask().patienceUs() / 4)));
+                new Waiting(tag, call, now + Math.min(WAIT_US, call.request().timeBudgetUs() / 4)));
         admit();
     }
 
--- a/src/main/java/magpiewheel/resp/RespParser.java
+++ b/src/main/java/magpiewheel/resp/RespParser.java
@@ -96,7 +96,7 @@
                 words[i] = new String(exactly(length), StandardCharsets.ISO_8859_1);
             } else if (length > 0) {
                 inBody = true;
-                body = pool.take(length, BUFFER_WAIT_MS);
+                body = pool.acquire(length, BUFFER_WAIT_MS);
                 refused = body == null;
                 body(body, length);
             }
--- a/src/main/java/magpiewheel/resp/RespServer.java
+++ b/src/main/java/magpiewheel/resp/RespServer.java
@@ -102,7 +102,7 @@
     /** Starts to let clients in. */
     public void start(ListeningSocket from) {
         entrance = from;
-        acceptor = Actor.thread("accept", this::accept);
+        acceptor = Actor.daemonThread("accept", this::accept);
         acceptor.start();
     }
 
@@ -140,7 +140,7 @@
         closed = true;
         if (first) {
             shared.leave().beginLast(!handedOn());
-            Actor.thread("leave", this::takeLeave).start();
+            Actor.daemonThread("leave", this::takeLeave).start();
         }
     }
 
--- a/src/main/java/magpiewheel/resp/ResponseWriter.java
+++ b/src/main/java/magpiewheel/resp/ResponseWriter.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import magpiewheel.engine.Body;
 import magpiewheel.engine.PendingRequest;
-import magpiewheel.engine.PendingRequest.Answer;
+import magpiewheel.engine.PendingRequest.Response;
 
 /** Writes the answers on one connection, for its actor; other threads look how far that has come. */
 final class ResponseWriter {
@@ -55,18 +55,19 @@
     }
 
     /** Writes an answer of the engine. */
-    void write(long tag, Answer answer) throws IOException {
-        switch (answer.end()) {
+    void write(long tag, Response answer) throws IOException {
+        switch (answer.outcome()) {
             case SERVED -> write(tag, "OK", fields(answer), answer.body());
             case UNCHANGED -> write(tag, "OK", fields(answer), "");
-            case REFUSED -> write(tag, "BUSY", answer.pauseUs() > 0 ? "pause=" + answer.pauseUs() / 1000 : "", "");
+            case REJECTED ->
+                write(tag, "BUSY", answer.retryAfterUs() > 0 ? "pause=" + answer.retryAfterUs() / 1000 : "", "");
             default -> write(tag, "FAILED", "", "");
         }
     }
 
-    private static String fields(Answer answer) {
+    private static String fields(Response answer) {
         StringJoiner fields = new StringJoiner(",");
-        if (answer.end() == PendingRequest.End.UNCHANGED) {
+        if (answer.outcome() == PendingRequest.Outcome.UNCHANGED) {
             fields.add("unchanged=1");
         }
         if (answer.tag() != null) {
@@ -75,8 +76,8 @@
         if (answer.markMs() > 0) {
             fields.add("mark=" + answer.markMs());
         }
-        if (answer.agedMs() != 0) {
-            fields.add("aged=" + answer.agedMs());
+        if (answer.ageMs() != 0) {
+            fields.add("aged=" + answer.ageMs());
         }
         return fields.toString();
     }
--- a/src/main/java/magpiewheel/upstream/UpstreamConnection.java
+++ b/src/main/java/magpiewheel/upstream/UpstreamConnection.java
@@ -54,7 +54,7 @@
     }
 
     void start() {
-        shared.crew().read(this::run);
+        shared.crew().runReader(this::run);
     }
 
     /** Whether another request may be written to it. */
@@ -76,7 +76,7 @@
         if (waits == null) {
             return Long.MAX_VALUE;
         }
-        return backedUp ? waits.beginBy() : waits.sentAt() + (waits.beginBy() - waits.sentAt()) / 2;
+        return backedUp ? waits.startByUs() : waits.sentAtUs() + (waits.startByUs() - waits.sentAtUs()) / 2;
     }
 
     boolean closed() {
@@ -97,7 +97,7 @@
             socket.setTcpNoDelay(true);
             socket.setSendBufferSize(SEND_BUFFER);
             socket.connect(
-                    new InetSocketAddress(Ipv4.address(listed.address()), listed.port()), shared.dialTimeoutMs());
+                    new InetSocketAddress(Ipv4.toAddress(listed.address()), listed.port()), shared.dialTimeoutMs());
             out = socket.getOutputStream();
             ended = AttemptResult.CONNECTION_LOST;
             node.up(this);
@@ -126,15 +126,15 @@
      * room for it, so the machine takes it whole or, if the connection has ended, not at all.
      */
     boolean serve(Attempt attempt) throws IOException {
-        PendingRequest.Ask ask = attempt.call().ask();
+        PendingRequest.ClientRequest ask = attempt.request().request();
         AttemptPlan plan = attempt.plan();
         StringBuilder line =
                 new StringBuilder("serve ").append(ask.trace()).append(" cls=").append(ask.className());
         line.append(",item=").append(hex(ask.object())).append(",chunk=").append(ask.part());
         long now = shared.clock().now() / 1_000;
-        line.append(",limit=").append(Math.max(1, attempt.stopAt() / 1000 - now));
+        line.append(",limit=").append(Math.max(1, attempt.timeoutAtUs() / 1000 - now));
         field(line, "nonce", ask.nonce());
-        if (plan.fillSource() != attempt.node()) {
+        if (plan.fillSource() != attempt.endpointId()) {
             line.append(",via=").append(nodeName(plan.fillSource()));
         }
         if (plan.retentionRank() > 0) {
@@ -149,7 +149,7 @@
         option(options, plan.bypassParentCache(), "through");
         option(options, plan.revalidate(), "update");
         field(line, "opts", options.isEmpty() ? null : String.join("+", options));
-        field(line, "known", ask.held());
+        field(line, "known", ask.heldTag());
         Body body = ask.body();
         line.append(' ').append(body == null ? 0 : body.length()).append(body == null ? "\r\n\r\n" : "\r\n");
         try {
@@ -169,7 +169,8 @@
     void cancel(Attempt given) {
         try {
             if (out != null) {
-                out.write(("cancel " + given.call().ask().trace() + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+                out.write(
+                        ("cancel " + given.request().request().trace() + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
             }
         } catch (IOException e) {
             // The connection is gone, and with it what was open on it.
@@ -211,7 +212,7 @@
         }
         ResponseLine line = ResponseLine.read(text);
         Attempt mine = attempt;
-        if (mine == null || !mine.call().ask().trace().equals(line.id())) {
+        if (mine == null || !mine.request().request().trace().equals(line.id())) {
             // Under an unknown id, or a second copy: it takes no room, and behind the next answer the connection ends.
             shared.counters().add(Counter.NODE_STRAYS);
             in.skipNBytes(line.length());
@@ -220,7 +221,7 @@
             return true;
         }
         boolean brings = line.result() == AttemptResult.OK && !line.unchanged();
-        Body body = brings ? shared.pool().take(line.length(), BUFFER_WAIT_MS) : null;
+        Body body = brings ? shared.pool().acquire(line.length(), BUFFER_WAIT_MS) : null;
         boolean handed = false;
         try {
             if (body != null) {
@@ -229,8 +230,8 @@
                 in.skipNBytes(line.length());
             }
             lineEnd(in, line.length());
-            boolean misfit =
-                    line.result() == AttemptResult.OK && !fits(line, mine.call().ask());
+            boolean misfit = line.result() == AttemptResult.OK
+                    && !fits(line, mine.request().request());
             if (misfit) {
                 throw new ResponseLine.Garbage("a copy without its tag, or one that was not held");
             }
@@ -261,8 +262,8 @@
     }
 
     /** A copy names itself, but for writes, which leave none; and only a copy that the client holds can hold. */
-    private boolean fits(ResponseLine line, PendingRequest.Ask ask) {
-        return line.unchanged() ? ask.held() != null : line.namesItsCopy() || shared.writes()[ask.profile()];
+    private boolean fits(ResponseLine line, PendingRequest.ClientRequest ask) {
+        return line.unchanged() ? ask.heldTag() != null : line.namesItsCopy() || shared.writes()[ask.classIndex()];
     }
 
     private static boolean restIsLineEnd(InputStream in, int length) throws IOException {
--- a/src/main/java/magpiewheel/upstream/UpstreamEndpoint.java
+++ b/src/main/java/magpiewheel/upstream/UpstreamEndpoint.java
@@ -43,7 +43,7 @@
     private boolean retired;
 
     UpstreamEndpoint(ListedEndpoint listed, Shared shared) {
-        super("node-" + Long.toHexString(listed.member().id()), MAILBOX, MOST_TAKEN + 1, shared.counters());
+        super("node-" + Long.toHexString(listed.info().id()), MAILBOX, MOST_TAKEN + 1, shared.counters());
         this.listed = listed;
         this.shared = shared;
     }
@@ -51,7 +51,7 @@
     boolean isAt(ListedEndpoint other) {
         return listed.address() == other.address()
                 && listed.port() == other.port()
-                && listed.member().startedUs() == other.member().startedUs();
+                && listed.info().startedUs() == other.info().startedUs();
     }
 
     boolean send(Attempt attempt) {
@@ -113,8 +113,8 @@
     private boolean mayBegin(Attempt attempt) {
         Set<Long> ready = shared.ready();
         return !retired
-                && attempt.mayBegin(shared.clock().now())
-                && ready.contains(attempt.node())
+                && attempt.mayStart(shared.clock().now())
+                && ready.contains(attempt.endpointId())
                 && ready.contains(attempt.plan().fillSource());
     }
 
@@ -126,7 +126,7 @@
     /** Gives a connection the attempt that has waited longest for another one to come up; false where none may. */
     private boolean takesOver(UpstreamConnection connection) {
         for (UpstreamConnection late : comingUp) {
-            if (late.attempt != null && !late.attempt.call().wasCarriedBy(connection)) {
+            if (late.attempt != null && !late.attempt.request().usedConnection(connection)) {
                 hand(unhand(late), connection);
                 return true;
             }
@@ -138,7 +138,7 @@
     private UpstreamConnection idleFor(Attempt attempt) {
         for (Iterator<UpstreamConnection> from = idle.descendingIterator(); from.hasNext(); ) {
             UpstreamConnection connection = from.next();
-            if (connection.usable() && !attempt.call().wasCarriedBy(connection)) {
+            if (connection.usable() && !attempt.request().usedConnection(connection)) {
                 from.remove();
                 return connection;
             }
@@ -156,7 +156,7 @@
             return;
         }
         try {
-            attempt.call().carriedBy(connection);
+            attempt.request().addConnection(connection);
             if (!connection.serve(attempt)) {
                 nothingTaken(connection);
             }
@@ -210,18 +210,19 @@
     private void endUnwritten(Attempt attempt) {
         end(
                 attempt,
-                UpstreamOutcome.of(attempt.call().abandoned() ? AttemptResult.CANCELLED : AttemptResult.UNREACHABLE));
+                UpstreamOutcome.of(
+                        attempt.request().abandoned() ? AttemptResult.CANCELLED : AttemptResult.UNREACHABLE));
     }
 
     private void end(Attempt attempt, UpstreamOutcome outcome) {
         taken.decrementAndGet();
-        shared.engine()[0].ended(attempt, outcome);
+        shared.engine()[0].attemptEnded(attempt, outcome);
     }
 
     // ---------------------------------------------------------------- from the connections' readers
 
     void up(UpstreamConnection connection) {
-        putAndTurn(() -> {
+        putAndRun(() -> {
             comingUp.remove(connection);
             if (connection.attempt != null) {
                 write(connection);
@@ -233,7 +234,7 @@
 
     /** An answer to an attempt; false where nobody takes it, and its body stays with the reader. */
     boolean answered(UpstreamConnection connection, Attempt attempt, UpstreamOutcome outcome) {
-        return putAndTurn(() -> {
+        return putAndRun(() -> {
             if (connection.attempt != attempt) {
                 if (outcome.body() != null) {
                     outcome.body().release();
@@ -286,7 +287,7 @@
     }
 
     @Override
-    protected long idleUs() {
+    protected long untilDueWorkUs() {
         long wait = idle.isEmpty() ? Long.MAX_VALUE : LOOK_US;
         long now = shared.clock().now();
         for (UpstreamConnection late : comingUp) {
@@ -296,7 +297,7 @@
     }
 
     @Override
-    protected void due() {
+    protected void runDueWork() {
         long keepNs = shared.keeping().ns(shared.room().get());
         while (!idle.isEmpty() && System.nanoTime() - idle.peekFirst().idleSince > keepNs) {
             idle.pollFirst().close();
@@ -316,7 +317,7 @@
             if (now < late.attendAt()) {
                 continue;
             }
-            if (now >= late.attempt.beginBy()) {
+            if (now >= late.attempt.startByUs()) {
                 endUnwritten(unhand(late));
             } else {
                 late.backedUp = true;
--- a/src/main/java/magpiewheel/upstream/UpstreamPool.java
+++ b/src/main/java/magpiewheel/upstream/UpstreamPool.java
@@ -82,26 +82,26 @@
     }
 
     @Override
-    public void listed(List<ListedEndpoint> list, boolean whole) {
+    public void endpointsChanged(List<ListedEndpoint> list, boolean whole) {
         Map<Long, ListedEndpoint> now = new HashMap<>();
-        list.forEach(node -> now.put(node.member().id(), node));
+        list.forEach(node -> now.put(node.info().id(), node));
         if (whole) {
             shared.ready().retainAll(now.keySet());
         }
         ready(list);
         nodes.entrySet().removeIf(entry -> {
             ListedEndpoint listed = now.get(entry.getKey());
-            boolean gone = listed == null ? whole : listed.member().state() == EndpointState.REMOVED;
+            boolean gone = listed == null ? whole : listed.info().state() == EndpointState.REMOVED;
             if (gone) {
                 entry.getValue().retire();
             }
             return gone;
         });
         for (ListedEndpoint listed : list) {
-            if (listed.member().state() == EndpointState.REMOVED) {
+            if (listed.info().state() == EndpointState.REMOVED) {
                 continue;
             }
-            UpstreamEndpoint old = nodes.get(listed.member().id());
+            UpstreamEndpoint old = nodes.get(listed.info().id());
             if (old != null && old.isAt(listed)) {
                 continue;
             }
@@ -109,35 +109,35 @@
                 old.retire();
             }
             UpstreamEndpoint node = new UpstreamEndpoint(listed, shared);
-            nodes.put(listed.member().id(), node);
+            nodes.put(listed.info().id(), node);
             node.start(shared.crew());
         }
     }
 
     private void ready(List<ListedEndpoint> list) {
         for (ListedEndpoint listed : list) {
-            if (listed.member().state() == EndpointState.READY) {
-                shared.ready().add(listed.member().id());
+            if (listed.info().state() == EndpointState.READY) {
+                shared.ready().add(listed.info().id());
             } else {
-                shared.ready().remove(listed.member().id());
+                shared.ready().remove(listed.info().id());
             }
         }
     }
 
     @Override
     public boolean send(Attempt attempt) {
-        UpstreamEndpoint node = nodes.get(attempt.node());
+        UpstreamEndpoint node = nodes.get(attempt.endpointId());
         if (node == null || !node.send(attempt)) {
             return false;
         }
-        attempt.carrier(node);
+        attempt.upstreamContext(node);
         return true;
     }
 
     @Override
     public void cancel(Attempt attempt) {
         // Not by the list: the node may have left it, and what it has in hand must end all the same.
-        if (attempt.carrier() instanceof UpstreamEndpoint node) {
+        if (attempt.upstreamContext() instanceof UpstreamEndpoint node) {
             node.cancel(attempt);
         }
     }
--- a/src/test/java/magpiewheel/discovery/DiscoveryClientTurnTest.java
+++ b/src/test/java/magpiewheel/discovery/DiscoveryClientTurnTest.java
@@ -60,7 +60,7 @@
     }
 
     private RoutingPolicy module() {
-        return EngineStubs.module((method, arguments) -> {
+        return EngineStubs.routingPolicy((method, arguments) -> {
             if (method.equals("endpointsChanged")) {
                 for (Object member : (List<?>) arguments[2]) {
                     members.add((EndpointInfo) member);
@@ -76,7 +76,7 @@
                 actions -> module(),
                 new UnixClock(),
                 counters,
-                EngineStubs.recording(new ArrayList<>()),
+                EngineStubs.recordingUpstream(new ArrayList<>()),
                 (to, message) -> {},
                 new ResponseCache(1, 1, 1));
     }
@@ -124,7 +124,7 @@
             }
         } finally {
             clientsRead.countDown();
-            engine.end(List.of());
+            engine.shutDown(List.of());
         }
     }
 }
--- a/src/test/java/magpiewheel/engine/ActorTurnTest.java
+++ b/src/test/java/magpiewheel/engine/ActorTurnTest.java
@@ -20,7 +20,7 @@
 
         /** What a reader does with a frame: behind it an answer waits in a write until the peer reads. */
         void frameThenAnswer() {
-            putAndTurn(() -> {
+            putAndRun(() -> {
                 handled.incrementAndGet();
                 offer(this::write);
             });
@@ -42,7 +42,7 @@
         Connection connection = new Connection(new Counters());
         connection.start(new WorkerPool());
         CountDownLatch readOn = new CountDownLatch(1);
-        Thread reader = Actor.thread("reader", () -> {
+        Thread reader = Actor.daemonThread("reader", () -> {
             connection.frameThenAnswer();
             readOn.countDown();
         });
--- a/src/test/java/magpiewheel/engine/CoreTest.java
+++ b/src/test/java/magpiewheel/engine/CoreTest.java
@@ -52,7 +52,7 @@
     void anEvenClockDoesNotFollowTheSystems() {
         ArrayDeque<Instant> times = new ArrayDeque<>(List.of(Instant.ofEpochSecond(50), Instant.ofEpochSecond(40)));
         ArrayDeque<Long> nanos = new ArrayDeque<>(List.of(7L, 1_000_007L, 3_000_007L));
-        UnixClock clock = UnixClock.even(times::poll, nanos::poll);
+        UnixClock clock = UnixClock.monotonic(times::poll, nanos::poll);
         assertEquals(List.of(50_001_000L, 50_003_000L), List.of(clock.now(), clock.now()));
     }
 
@@ -61,16 +61,16 @@
     void thePoolIsBoundedAndItsBuffersComeBack() {
         Counters counters = new Counters();
         BufferPool pool = new BufferPool(4, counters);
-        Body body = pool.take(3 * BufferPool.SIZE, 0);
-        assertNull(pool.take(2 * BufferPool.SIZE, 1));
+        Body body = pool.acquire(3 * BufferPool.BUFFER_BYTES, 0);
+        assertNull(pool.acquire(2 * BufferPool.BUFFER_BYTES, 1));
         assertEquals(1, counters.get(Counter.BUFFERS_OUT));
         body.retain();
         body.release();
-        assertEquals(1, pool.left());
+        assertEquals(1, pool.available());
         body.release();
-        assertEquals(4, pool.left());
+        assertEquals(4, pool.available());
         assertThrows(IllegalStateException.class, body::release);
-        assertNotNull(pool.take(4 * BufferPool.SIZE, 0));
+        assertNotNull(pool.acquire(4 * BufferPool.BUFFER_BYTES, 0));
     }
 
     private static final class Box extends Actor {
@@ -133,7 +133,7 @@
             }
 
             @Override
-            protected void left() {
+            protected void onTerminated() {
                 left.countDown();
             }
         }
@@ -159,7 +159,7 @@
             }
 
             void read() {
-                putAndTurn(() -> put(() -> {
+                putAndRun(() -> put(() -> {
                     try {
                         go.await();
                     } catch (InterruptedException e) {
@@ -201,7 +201,7 @@
         other.start(crew);
         assertTrue(other.leave(served::countDown));
         assertTrue(served.await(10, TimeUnit.SECONDS));
-        assertTrue(crew.hands() > 10);
+        assertTrue(crew.threads() > 10);
         go.countDown();
     }
 
@@ -220,12 +220,12 @@
             }
 
             @Override
-            protected long idleUs() {
+            protected long untilDueWorkUs() {
                 return 1_000;
             }
 
             @Override
-            protected void due() {
+            protected void runDueWork() {
                 looks.countDown();
             }
         }
@@ -241,7 +241,7 @@
             long now = clock.now();
             assertTrue(patienceUs < 10_000_000, "the module was never asked");
             assertEquals(
-                    List.of(PendingRequest.Answer.failed()),
+                    List.of(PendingRequest.Response.failed()),
                     answersOfASilentModule(now, now + patienceUs, now + patienceUs));
             assertTrue(clock.now() >= now + patienceUs, "not before its deadline");
         }
@@ -256,20 +256,20 @@
     void aRequestIsRefusedWhereTheFrontEndsBeforeTheClientsPatience() throws InterruptedException {
         long now = clock.now();
         long hour = TimeUnit.HOURS.toMicros(1);
-        List<PendingRequest.Answer> refused = List.of(PendingRequest.Answer.refused(300_000));
+        List<PendingRequest.Response> refused = List.of(PendingRequest.Response.rejected(300_000));
         assertEquals(refused, answersOfASilentModule(now, now + hour, now - 1), "taken too late");
         assertEquals(refused, answersOfASilentModule(now, now + hour, now + 50_000), "taken, and then left");
         assertEquals(
-                List.of(PendingRequest.Answer.failed()),
+                List.of(PendingRequest.Response.failed()),
                 answersOfASilentModule(now, now, now - 1),
                 "nobody waits any more");
         assertEquals(2, counters.get(Counter.REFUSED));
     }
 
     /** What a request is answered, in the end, by an engine whose module does nothing. */
-    private List<PendingRequest.Answer> answersOfASilentModule(long now, long patientUntil, long deadline)
+    private List<PendingRequest.Response> answersOfASilentModule(long now, long patientUntil, long deadline)
             throws InterruptedException {
-        RoutingPolicy silent = EngineStubs.module((method, arguments) -> null);
+        RoutingPolicy silent = EngineStubs.routingPolicy((method, arguments) -> null);
         Engine engine = new Engine(
                 EngineStubs.settings(EngineStubs.reads()),
                 actions -> silent,
@@ -277,30 +277,30 @@
                 counters,
                 null,
                 (to, message) -> {},
-                ResponseCache.none());
+                ResponseCache.disabled());
         engine.start();
-        List<PendingRequest.Answer> answers = new ArrayList<>();
+        List<PendingRequest.Response> answers = new ArrayList<>();
         CountDownLatch answered = new CountDownLatch(1);
         PendingRequest call = new PendingRequest(
-                new PendingRequest.Ask("1", 0, "v", 1, 0, 0, 0, 1, null, null, null),
-                new PendingRequest.Asker() {
+                new PendingRequest.ClientRequest("1", 0, "v", 1, 0, 0, 0, 1, null, null, null),
+                new PendingRequest.Responder() {
                     @Override
-                    public void answer(PendingRequest of, PendingRequest.Answer answer) {
+                    public void respond(PendingRequest of, PendingRequest.Response answer) {
                         answers.add(answer);
                         answered.countDown();
                     }
 
                     @Override
-                    public PendingRequest.Ends ends() {
+                    public PendingRequest.ConnectionAddresses addresses() {
                         return null;
                     }
                 },
                 now,
                 patientUntil,
                 deadline);
-        engine.take(call);
+        engine.submit(call);
         assertTrue(answered.await(10, TimeUnit.SECONDS));
-        engine.gone(call);
+        engine.clientDisconnected(call);
         return answers;
     }
 }
--- a/src/test/java/magpiewheel/engine/EngineStubs.java
+++ b/src/test/java/magpiewheel/engine/EngineStubs.java
@@ -22,7 +22,7 @@
     /** What a module does with a call: it returns the result, or null for the usual one. */
     public interface Script {
         /** A method of the module was called. */
-        Object called(String method, Object[] arguments);
+        Object invoked(String method, Object[] arguments);
     }
 
     private EngineStubs() {}
@@ -50,7 +50,7 @@
     }
 
     /** A class of requests of which only this matters. */
-    public static RequestClass profile(Idempotency effect, boolean write, long repeatWindowUs) {
+    public static RequestClass requestClass(Idempotency effect, boolean write, long repeatWindowUs) {
         return RequestClass.builder(1, 1)
                 .idempotency(effect)
                 .idempotencyWindowUs(repeatWindowUs)
@@ -60,26 +60,26 @@
 
     /** A class of reads that may be repeated. */
     public static RequestClass reads() {
-        return profile(Idempotency.IDEMPOTENT, false, 0);
+        return requestClass(Idempotency.IDEMPOTENT, false, 0);
     }
 
     /** A module that lets every answer pass as it is, and else does what the script says. */
-    public static RoutingPolicy module(Script script) {
+    public static RoutingPolicy routingPolicy(Script script) {
         return proxy(RoutingPolicy.class, (proxy, method, arguments) -> {
-            Object result = script.called(method.getName(), arguments);
+            Object result = script.invoked(method.getName(), arguments);
             if (result != null) {
                 return result;
             }
             return switch (method.getName()) {
                 case "evaluateDelivery" -> DeliveryDecision.UNCHANGED;
-                case "boundedReads" -> reads(false);
+                case "boundedReads" -> boundedReads(false);
                 default -> null;
             };
         });
     }
 
     /** Reads of bounded staleness of which all say the same of being unproven. */
-    public static BoundedReads reads(boolean unproven) {
+    public static BoundedReads boundedReads(boolean unproven) {
         return proxy(
                 BoundedReads.class,
                 (proxy, method, arguments) -> method.getReturnType() == boolean.class ? unproven : null);
@@ -90,7 +90,7 @@
     }
 
     /** Nodes that take every attempt and answer none. */
-    public static Upstream recording(Collection<Attempt> sent) {
+    public static Upstream recordingUpstream(Collection<Attempt> sent) {
         return new Upstream() {
             @Override
             public boolean send(Attempt attempt) {
@@ -101,7 +101,7 @@
             public void cancel(Attempt attempt) {}
 
             @Override
-            public void listed(List<ListedEndpoint> nodes, boolean whole) {}
+            public void endpointsChanged(List<ListedEndpoint> nodes, boolean whole) {}
         };
     }
 }
--- a/src/test/java/magpiewheel/engine/OffsetMain.java
+++ b/src/test/java/magpiewheel/engine/OffsetMain.java
@@ -6,13 +6,14 @@
 
 /** Starts the program with a clock that is off by so many milliseconds as its environment says. */
 public final class OffsetMain {
-    public static final String OFF_MS = "TEST_CLOCK_OFF_MS";
+    public static final String OFFSET_MS_VARIABLE = "TEST_CLOCK_OFF_MS";
 
     private OffsetMain() {}
 
     /** Hands on to {@link Main}. */
     public static void main(String[] args) {
-        UnixClock.standard = Clock.offset(Clock.systemUTC(), Duration.ofMillis(Long.parseLong(System.getenv(OFF_MS))));
+        UnixClock.systemClock =
+                Clock.offset(Clock.systemUTC(), Duration.ofMillis(Long.parseLong(System.getenv(OFFSET_MS_VARIABLE))));
         Main.main(args);
     }
 }
--- a/src/test/java/magpiewheel/engine/PassingOnTest.java
+++ b/src/test/java/magpiewheel/engine/PassingOnTest.java
@@ -55,16 +55,16 @@
     private final ResponseCache copies = new ResponseCache(BUFFERS, 1e9, 1e9);
     private final BlockingQueue<Attempt> sent = new LinkedBlockingQueue<>();
     private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
-    private final BlockingQueue<PendingRequest.Answer> answers = new LinkedBlockingQueue<>();
+    private final BlockingQueue<PendingRequest.Response> answers = new LinkedBlockingQueue<>();
     private volatile boolean servesOwn;
     private volatile long agedMs;
     private RoutingActions actions;
     private final Engine engine = new Engine(
-            EngineStubs.settings(EngineStubs.reads(), EngineStubs.profile(Idempotency.IDEMPOTENT, true, 0)),
+            EngineStubs.settings(EngineStubs.reads(), EngineStubs.requestClass(Idempotency.IDEMPOTENT, true, 0)),
             given -> module(given),
             clock,
             counters,
-            EngineStubs.recording(sent),
+            EngineStubs.recordingUpstream(sent),
             (to, message) -> {},
             copies);
 
@@ -74,7 +74,7 @@
      */
     private RoutingPolicy module(RoutingActions given) {
         actions = given;
-        return EngineStubs.module((method, arguments) -> {
+        return EngineStubs.routingPolicy((method, arguments) -> {
             switch (method) {
                 case "requestArrived" -> asked(((RoutingRequest) arguments[1]).id(), arguments[2] != null);
                 case "evaluateDelivery" -> {
@@ -83,7 +83,7 @@
                             : DeliveryDecision.WITHHELD;
                 }
                 case "boundedReads" -> {
-                    return EngineStubs.reads(true);
+                    return EngineStubs.boundedReads(true);
                 }
                 case "attemptEnded" -> ended((AttemptOutcome) arguments[1]);
                 default -> {}
@@ -113,17 +113,17 @@
 
     private void ask(String trace, int profile, String held, long patienceUs) {
         long later = clock.now() + patienceUs;
-        engine.take(new PendingRequest(
-                new PendingRequest.Ask(
+        engine.submit(new PendingRequest(
+                new PendingRequest.ClientRequest(
                         trace, profile, "v", 1, 0, 0, 0, 1, null, held, null, new ReadHint(0, BOUND_MS, 0, true)),
-                new PendingRequest.Asker() {
+                new PendingRequest.Responder() {
                     @Override
-                    public void answer(PendingRequest of, PendingRequest.Answer answer) {
+                    public void respond(PendingRequest of, PendingRequest.Response answer) {
                         answers.add(answer);
                     }
 
                     @Override
-                    public PendingRequest.Ends ends() {
+                    public PendingRequest.ConnectionAddresses addresses() {
                         return null;
                     }
                 },
@@ -141,7 +141,7 @@
                 AttemptResult.OK,
                 note,
                 0,
-                unchanged ? null : pool.take(BYTES, 0),
+                unchanged ? null : pool.acquire(BYTES, 0),
                 "aa",
                 unchanged,
                 clock.now(),
@@ -149,10 +149,14 @@
     }
 
     /** Lets a copy come, and returns what the client was answered. */
-    private PendingRequest.Answer come(Way way, long mintedMs) throws InterruptedException {
+    private PendingRequest.Response come(Way way, long mintedMs) throws InterruptedException {
         if (way == Way.OWN || way == Way.OWN_KEPT) {
-            Body body = pool.take(BYTES, 0);
-            copies.keep(new PendingRequest.Ask("0", READ, "v", 1, 0, 0, 0, 1, null, null, null), body, "aa", mintedMs);
+            Body body = pool.acquire(BYTES, 0);
+            copies.store(
+                    new PendingRequest.ClientRequest("0", READ, "v", 1, 0, 0, 0, 1, null, null, null),
+                    body,
+                    "aa",
+                    mintedMs);
             body.release();
             servesOwn = true;
         }
@@ -165,21 +169,21 @@
                 case FILLED -> CacheStatus.FILLED;
                 default -> CacheStatus.HIT;
             };
-            engine.ended(next(sent), copy(note, way == Way.KEPT, mintedMs));
+            engine.attemptEnded(next(sent), copy(note, way == Way.KEPT, mintedMs));
         }
         return next(answers);
     }
 
     @AfterEach
     void end() {
-        engine.end(List.of());
+        engine.shutDown(List.of());
     }
 
     @ParameterizedTest
     @EnumSource(Way.class)
     void aCopyThatWillNotDoIsNeverPassedOn(Way way) throws InterruptedException {
-        PendingRequest.Answer answer = come(way, BOUND_MS - 1);
-        assertEquals(PendingRequest.End.REFUSED, answer.end());
+        PendingRequest.Response answer = come(way, BOUND_MS - 1);
+        assertEquals(PendingRequest.Outcome.REJECTED, answer.outcome());
         assertEquals(0, answer.markMs(), "nothing is told of it");
         assertEquals(1, counters.get(Counter.REFUSED_BY_HINT));
         assertEquals(1, counters.get(Counter.HINTED));
@@ -188,8 +192,8 @@
             assertEquals(0, sent.size());
         } else {
             assertEquals(new Told(AttemptResult.MISS, false, BOUND_MS - 1), next(told));
-            assertEquals(0, copies.held(), "nor is it kept");
-            assertEquals(BUFFERS, pool.left(), "its body is given back");
+            assertEquals(0, copies.heldBuffers(), "nor is it kept");
+            assertEquals(BUFFERS, pool.available(), "its body is given back");
         }
     }
 
@@ -197,11 +201,11 @@
     @EnumSource(Way.class)
     void whatWillDoIsPassedOnWithItsMarkAndItsAge(Way way) throws InterruptedException {
         agedMs = 40;
-        PendingRequest.Answer answer = come(way, BOUND_MS);
+        PendingRequest.Response answer = come(way, BOUND_MS);
         boolean unchanged = way == Way.KEPT || way == Way.OWN_KEPT;
-        assertEquals(unchanged ? PendingRequest.End.UNCHANGED : PendingRequest.End.SERVED, answer.end());
+        assertEquals(unchanged ? PendingRequest.Outcome.UNCHANGED : PendingRequest.Outcome.SERVED, answer.outcome());
         assertEquals(MARK_MS, answer.markMs());
-        assertEquals(40, answer.agedMs());
+        assertEquals(40, answer.ageMs());
         assertEquals(1, counters.get(Counter.AGED));
         assertEquals(0, counters.get(Counter.REFUSED_BY_HINT));
         if (answer.body() != null) {
@@ -212,7 +216,7 @@
     /** A copy without a time proves nothing, and a node may leave it out where the client's copy holds. */
     @Test
     void aCopyWithoutItsTimeCountsAsMintedAtTheBeginning() throws InterruptedException {
-        assertEquals(PendingRequest.End.REFUSED, come(Way.KEPT, -1).end());
+        assertEquals(PendingRequest.Outcome.REJECTED, come(Way.KEPT, -1).outcome());
         assertEquals(new Told(AttemptResult.MISS, false, -1), next(told));
     }
 
@@ -223,7 +227,7 @@
     @Test
     void atItsDeadlineARequestEndsAsTheModuleSaysAndOnlyOnce() throws InterruptedException {
         engine.start();
-        PendingRequest.Answer answer = null;
+        PendingRequest.Response answer = null;
         // On a late machine a request may be taken past its deadline, and nothing is sent: then the next one gets more
         // time.
         for (long patienceUs = 50_000; sent.isEmpty(); patienceUs *= 10) {
@@ -232,10 +236,10 @@
             answer = next(answers);
         }
         Attempt attempt = next(sent);
-        assertEquals(PendingRequest.End.REFUSED, answer.end());
+        assertEquals(PendingRequest.Outcome.REJECTED, answer.outcome());
         assertEquals(new Told(AttemptResult.TIMEOUT, false, 0), next(told));
-        assertEquals(1, engine.open(), "it is out until the node's connection tells of its end");
-        engine.ended(attempt, copy(CacheStatus.HIT, false, BOUND_MS));
+        assertEquals(1, engine.inFlight(), "it is out until the node's connection tells of its end");
+        engine.attemptEnded(attempt, copy(CacheStatus.HIT, false, BOUND_MS));
         assertEquals(true, next(told).over());
         assertEquals(List.of(), List.copyOf(answers));
     }
@@ -245,10 +249,10 @@
     void theAnswerOfAWriteBringsItsMark() throws InterruptedException {
         engine.start();
         ask("1", WRITE, null);
-        engine.ended(next(sent), copy(CacheStatus.UNKNOWN, false, BOUND_MS));
-        PendingRequest.Answer answer = next(answers);
+        engine.attemptEnded(next(sent), copy(CacheStatus.UNKNOWN, false, BOUND_MS));
+        PendingRequest.Response answer = next(answers);
         assertEquals(MARK_MS, answer.markMs());
-        assertSame(PendingRequest.End.SERVED, answer.end());
+        assertSame(PendingRequest.Outcome.SERVED, answer.outcome());
         assertEquals(0, counters.get(Counter.HINTED));
         answer.body().release();
     }
--- a/src/test/java/magpiewheel/engine/ResponseCacheTest.java
+++ b/src/test/java/magpiewheel/engine/ResponseCacheTest.java
@@ -10,13 +10,13 @@
     private final BufferPool pool = new BufferPool(100, new Counters());
     private final ResponseCache copies = new ResponseCache(32, 1_000, 4_000);
 
-    private static PendingRequest.Ask ask(long object, int part, int group) {
-        return new PendingRequest.Ask("1", 0, "v", object, part, group, 0, 1, null, null, null);
+    private static PendingRequest.ClientRequest ask(long object, int part, int group) {
+        return new PendingRequest.ClientRequest("1", 0, "v", object, part, group, 0, 1, null, null, null);
     }
 
     private void keep(long object, int group, int buffers) {
-        Body body = pool.take(buffers * BufferPool.SIZE, 0);
-        copies.keep(ask(object, 0, group), body, "t", 7);
+        Body body = pool.acquire(buffers * BufferPool.BUFFER_BYTES, 0);
+        copies.store(ask(object, 0, group), body, "t", 7);
         body.release();
     }
 
@@ -26,7 +26,7 @@
         for (long object = 1; object <= 16; object++) {
             keep(object, 0, 2);
         }
-        assertEquals(32, copies.held());
+        assertEquals(32, copies.heldBuffers());
         assertNotNull(copies.find(ask(1, 0, 0)));
         keep(17, 0, 2);
         assertNull(copies.find(ask(2, 0, 0)), "used longest ago");
@@ -35,8 +35,8 @@
         keep(18, 0, 3);
         assertNull(copies.find(ask(18, 0, 0)), "too large a part of all");
         keep(1, 0, 1);
-        assertEquals(31, copies.held(), "a newer copy takes the place of the older");
-        assertEquals(100 - 31, pool.left());
+        assertEquals(31, copies.heldBuffers(), "a newer copy takes the place of the older");
+        assertEquals(100 - 31, pool.available());
     }
 
     @Test
@@ -48,16 +48,16 @@
         assertNull(copies.find(ask(3, 0, 6)));
         copies.purge(null, 5);
         assertNull(copies.find(ask(1, 0, 5)));
-        assertEquals(0, copies.held());
-        assertEquals(100, pool.left());
+        assertEquals(0, copies.heldBuffers());
+        assertEquals(100, pool.available());
     }
 
     @Test
     void withoutPacesItHoldsNothing() {
         ResponseCache none = new ResponseCache(32, 0, 4_000);
-        Body body = pool.take(1, 0);
-        none.keep(ask(1, 0, 0), body, "t", 7);
+        Body body = pool.acquire(1, 0);
+        none.store(ask(1, 0, 0), body, "t", 7);
         body.release();
-        assertEquals(100, pool.left());
+        assertEquals(100, pool.available());
     }
 }
--- a/src/test/java/magpiewheel/engine/ServiceStatsGoldenTest.java
+++ b/src/test/java/magpiewheel/engine/ServiceStatsGoldenTest.java
@@ -31,10 +31,10 @@
         ServiceStats figures = new ServiceStats(List.of("video", "static"), new Counters());
         Map<String, Long> parts = new LinkedHashMap<>();
         parts.put("region_verdict", 1L);
-        figures.parts(parts);
-        figures.ended(1, PendingRequest.End.REFUSED);
+        figures.optionalFigures(parts);
+        figures.requestEnded(1, PendingRequest.Outcome.REJECTED);
         assertEquals(
-                figures.text(3).replace("\n", " "),
+                figures.format(3).replace("\n", " "),
                 "gw.success.video=0 gw.busy.video=0 gw.failure.video=0 gw.success.static=0 "
                         + "gw.busy.static=1 gw.failure.static=0 gw.backend_calls=0 gw.inflight=3 "
                         + "gw.hosts_listed=0 gw.hosts_down=0 gw.fleet_verdict=0 gw.fleet_heard=0 gw.hinted=0 "
--- a/src/test/java/magpiewheel/histories/HistoryFleet.java
+++ b/src/test/java/magpiewheel/histories/HistoryFleet.java
@@ -76,7 +76,7 @@
                         pins ? PINS : "",
                         OWN_COPIES,
                         OffsetMain.class.getName(),
-                        front -> Map.of(OffsetMain.OFF_MS, Long.toString(offMs.get(front)))));
+                        front -> Map.of(OffsetMain.OFFSET_MS_VARIABLE, Long.toString(offMs.get(front)))));
         fabric.start();
         warm();
     }
--- a/src/test/java/magpiewheel/peers/PeerTransportTest.java
+++ b/src/test/java/magpiewheel/peers/PeerTransportTest.java
@@ -48,7 +48,7 @@
                     (from, message) -> messages.add(message),
                     (front, at) -> refusals.add(front * 1_000L + at),
                     new WorkerPool());
-            link.knock(1, 7);
+            link.probe(1, 7);
             DatagramPacket knock = new DatagramPacket(new byte[300], 300);
             lives.receive(knock);
             assertEquals(1, knock.getLength());
@@ -57,7 +57,7 @@
             byte[] word = {3, 1, 4};
             lives.send(new DatagramPacket(word, word.length, here));
             assertArrayEquals(word, messages.poll(WAIT_S, TimeUnit.SECONDS));
-            link.knock(2, 9);
+            link.probe(2, 9);
             assertEquals(2_009L, refusals.poll(WAIT_S, TimeUnit.SECONDS), "with the time of the question");
             assertEquals(0, refusals.size(), "the one that listens was not refused");
         }
@@ -86,7 +86,7 @@
             for (int tries = 0; tries < 5 && least >= ONE_BY_ONE_NS; tries++) {
                 long from = System.nanoTime();
                 for (int front = 1; front < all.size(); front++) {
-                    link.knock(front, 5);
+                    link.probe(front, 5);
                 }
                 assertEquals(61_005L, refusals.poll(WAIT_S, TimeUnit.SECONDS));
                 least = System.nanoTime() - from;
--- a/src/test/java/magpiewheel/resp/AbandonedRequestTest.java
+++ b/src/test/java/magpiewheel/resp/AbandonedRequestTest.java
@@ -93,9 +93,9 @@
                 AbandonedRequestTest::module,
                 clock,
                 counters,
-                EngineStubs.recording(sent),
+                EngineStubs.recordingUpstream(sent),
                 (to, m) -> {},
-                ResponseCache.none());
+                ResponseCache.disabled());
         engine.start();
         RespServer.Shared shared = new RespServer.Shared(
                 engine,
@@ -120,7 +120,7 @@
     @AfterMethod(alwaysRun = true)
     public void stop() throws IOException {
         accepted.goOn.countDown();
-        engine.end(List.of());
+        engine.shutDown(List.of());
         client.close();
         accepted.close();
         listener.close();
@@ -129,7 +129,7 @@
     /** Sends each request once and lets every answer pass. */
     private static RoutingPolicy module(RoutingActions actions) {
         AttemptPlan plan = AttemptPlan.builder(1).build();
-        return EngineStubs.module((method, arguments) -> {
+        return EngineStubs.routingPolicy((method, arguments) -> {
             if (method.equals("requestArrived")) {
                 actions.startAttempt(((RoutingRequest) arguments[1]).id(), 1, plan);
             }
@@ -170,9 +170,9 @@
     public void aLeaveCountsWhileAnAnswerIsStuck(Leaving how) throws Exception {
         Attempt first = ask(1);
         Attempt second = ask(2);
-        engine.ended(first, new UpstreamOutcome(AttemptResult.OK, CacheStatus.HIT, 0, null, "aa", true, 0, 1));
+        engine.attemptEnded(first, new UpstreamOutcome(AttemptResult.OK, CacheStatus.HIT, 0, null, "aa", true, 0, 1));
         assertTrue(accepted.writing.await(WAIT_S, TimeUnit.SECONDS));
-        assertTrue(second.mayBegin(0));
+        assertTrue(second.mayStart(0));
         switch (how) {
             case TAKES_BACK -> say("NEVERMIND", "2");
             case CLOSES -> client.close();
@@ -181,7 +181,7 @@
                 client.close();
             }
         }
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S); second.mayBegin(0); ) {
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S); second.mayStart(0); ) {
             assertFalse(System.nanoTime() - end > 0, "nobody gave it up");
             Thread.onSpinWait();
         }
--- a/src/test/java/magpiewheel/resp/ClientConnectionTest.java
+++ b/src/test/java/magpiewheel/resp/ClientConnectionTest.java
@@ -180,7 +180,7 @@
     private Engine engine(Module module) {
         Engine engine = new Engine(
                 EngineStubs.settings(EngineStubs.reads()),
-                actions -> EngineStubs.module((method, arguments) -> {
+                actions -> EngineStubs.routingPolicy((method, arguments) -> {
                     module.told(actions, method, arguments);
                     return null;
                 }),
@@ -188,7 +188,7 @@
                 counters,
                 null,
                 (to, message) -> {},
-                ResponseCache.none());
+                ResponseCache.disabled());
         engine.start();
         return engine;
     }
--- a/src/test/java/magpiewheel/resp/RequestFieldsTest.java
+++ b/src/test/java/magpiewheel/resp/RequestFieldsTest.java
@@ -15,7 +15,8 @@
 class RequestFieldsTest {
     private static final String ID = "trace=00000000000000a1,entity=ffffffffffffffff";
 
-    private static PendingRequest.Ask read(String name, String fields, boolean hints) throws InvalidHintException {
+    private static PendingRequest.ClientRequest read(String name, String fields, boolean hints)
+            throws InvalidHintException {
         return RequestFields.read(
                 new RespParser.Frame("ASK", 1, name, fields, null, false),
                 List.of("video"),
@@ -23,16 +24,17 @@
                 hints);
     }
 
-    private static PendingRequest.Ask read(String name, String fields) throws InvalidHintException {
+    private static PendingRequest.ClientRequest read(String name, String fields) throws InvalidHintException {
         return read(name, fields, true);
     }
 
     @Test
     void aWholeRequestIsReadAndItsPatienceNeverExceedsTheClasss() throws InvalidHintException {
         assertEquals(
-                new PendingRequest.Ask("00000000000000a1", 0, "video", -1, 3, 17, 412.5, 1_500_000, "5c", "4b", null),
+                new PendingRequest.ClientRequest(
+                        "00000000000000a1", 0, "video", -1, 3, 17, 412.5, 1_500_000, "5c", "4b", null),
                 read("video", ID + ",patience=1500,piece=3,lot=17,size=412.5,nonce=5c,ver=4b"));
-        assertEquals(6_000_000, read("video", ID + ",patience=600000").patienceUs());
+        assertEquals(6_000_000, read("video", ID + ",patience=600000").timeBudgetUs());
         assertNull(read("videos", ID));
     }
 
--- a/src/test/java/magpiewheel/upstream/GivenUpTest.java
+++ b/src/test/java/magpiewheel/upstream/GivenUpTest.java
@@ -40,9 +40,9 @@
         CountDownLatch moduleGoesOn = new CountDownLatch(1);
         rig.onPeer = (actions, message) -> await(moduleGoesOn);
         while (rig.count(Counter.PEER_DROPPED) == 0) {
-            rig.engine.heard(1, new byte[0]);
+            rig.engine.peerMessageReceived(1, new byte[0]);
         }
-        Thread leaves = new Thread(() -> rig.engine.gone(call));
+        Thread leaves = new Thread(() -> rig.engine.clientDisconnected(call));
         leaves.start();
         NodeRig.until("the client has left", call::abandoned);
         dial.comeUp();
@@ -77,7 +77,7 @@
         assertEquals(second.attempt() + " " + second.result() + " " + second.requestCompleted(), "1 CANCELLED true");
         assertTrue(NodeRig.next(node.lines).startsWith("serve left "));
         assertEquals(rig.count(Counter.WRITTEN), 1);
-        rig.engine.gone(call);
+        rig.engine.clientDisconnected(call);
         assertEquals(rig.gone.size(), 1, "the module hears of it once");
     }
 
@@ -90,16 +90,16 @@
             busy.countDown();
             await(moduleGoesOn);
         };
-        rig.engine.heard(1, new byte[0]);
+        rig.engine.peerMessageReceived(1, new byte[0]);
         await(busy);
-        PendingRequest call = rig.ask("left", NodeRig.PURE, rig.pool.take(10, 0));
+        PendingRequest call = rig.ask("left", NodeRig.PURE, rig.pool.acquire(10, 0));
         call.abandon();
         moduleGoesOn.countDown();
-        rig.engine.gone(call);
+        rig.engine.clientDisconnected(call);
         onlyTheNextIsWritten();
         assertEquals(rig.gone.size(), 0);
         assertEquals(rig.count(Counter.GIVEN_UP_BY_CLIENT), 1);
-        assertTrue(rig.answers.stream().allMatch(answer -> answer.end() == PendingRequest.End.SERVED));
+        assertTrue(rig.answers.stream().allMatch(answer -> answer.outcome() == PendingRequest.Outcome.SERVED));
     }
 
     /**
@@ -112,11 +112,11 @@
         rig.onPeer = (actions, message) -> actions.cancelAttempt(1, 0);
         rig.ask("called-off", NodeRig.UNSAFE, null);
         HeldSocket dial = NodeRig.next(rig.dials);
-        rig.engine.heard(1, new byte[0]);
+        rig.engine.peerMessageReceived(1, new byte[0]);
         AttemptOutcome outcome = NodeRig.next(rig.told);
         assertEquals(outcome.result(), AttemptResult.UNREACHABLE);
         assertTrue(outcome.result().neverRan && !outcome.requestCompleted());
-        assertEquals(NodeRig.next(rig.answers).end(), PendingRequest.End.REFUSED);
+        assertEquals(NodeRig.next(rig.answers).outcome(), PendingRequest.Outcome.REJECTED);
         dial.comeUp();
         rig.holdsDials = false;
         NodeRig.until("the connection is up", dial::isConnected);
--- a/src/test/java/magpiewheel/upstream/NodeRig.java
+++ b/src/test/java/magpiewheel/upstream/NodeRig.java
@@ -58,7 +58,7 @@
     final BlockingQueue<HeldSocket> dials = new LinkedBlockingQueue<>();
 
     final BlockingQueue<AttemptOutcome> told = new LinkedBlockingQueue<>();
-    final BlockingQueue<PendingRequest.Answer> answers = new LinkedBlockingQueue<>();
+    final BlockingQueue<PendingRequest.Response> answers = new LinkedBlockingQueue<>();
     final BlockingQueue<EndpointInfo> members = new LinkedBlockingQueue<>();
     final BlockingQueue<Long> gone = new LinkedBlockingQueue<>();
     volatile boolean holdsDials;
@@ -96,7 +96,8 @@
                 new WorkerPool(),
                 clock,
                 this::socket);
-        engine = new Engine(settings, this::module, clock, counters, nodes, (to, message) -> {}, ResponseCache.none());
+        engine = new Engine(
+                settings, this::module, clock, counters, nodes, (to, message) -> {}, ResponseCache.disabled());
         nodes.report(engine);
         engine.start();
         list(EndpointState.READY);
@@ -120,7 +121,8 @@
                 .startedUs(startedUs)
                 .state(state)
                 .build();
-        engine.members(EndpointListMode.DELTA, List.of(new ListedEndpoint(member, Ipv4.number(at), at.getPort())));
+        engine.endpointsChanged(
+                EndpointListMode.DELTA, List.of(new ListedEndpoint(member, Ipv4.toInt(at), at.getPort())));
         next(members);
     }
 
@@ -134,22 +136,22 @@
         long now = engine.now();
         long later = now + TimeUnit.HOURS.toMicros(1);
         PendingRequest call = new PendingRequest(
-                new PendingRequest.Ask(trace, profile, "v", 1, 0, 0, 0, 1, null, null, body),
-                new PendingRequest.Asker() {
+                new PendingRequest.ClientRequest(trace, profile, "v", 1, 0, 0, 0, 1, null, null, body),
+                new PendingRequest.Responder() {
                     @Override
-                    public void answer(PendingRequest of, PendingRequest.Answer answer) {
+                    public void respond(PendingRequest of, PendingRequest.Response answer) {
                         answers.add(answer);
                     }
 
                     @Override
-                    public PendingRequest.Ends ends() {
+                    public PendingRequest.ConnectionAddresses addresses() {
                         return null;
                     }
                 },
                 now,
                 later,
                 later);
-        engine.take(call);
+        engine.submit(call);
         return call;
     }
 
@@ -169,13 +171,13 @@
     private static RoutingSettings settings() {
         return EngineStubs.settings(
                 EngineStubs.reads(),
-                EngineStubs.profile(Idempotency.KEYED, false, WINDOW_US),
-                EngineStubs.profile(Idempotency.NOT_IDEMPOTENT, false, WINDOW_US));
+                EngineStubs.requestClass(Idempotency.KEYED, false, WINDOW_US),
+                EngineStubs.requestClass(Idempotency.NOT_IDEMPOTENT, false, WINDOW_US));
     }
 
     private RoutingPolicy module(RoutingActions given) {
         actions = given;
-        return EngineStubs.module((method, arguments) -> {
+        return EngineStubs.routingPolicy((method, arguments) -> {
             switch (method) {
                 case "requestArrived" ->
                     actions.startAttempt(((RoutingRequest) arguments[1]).id(), NODE, planWithin(beginWithinUs));
@@ -225,7 +227,7 @@
 
     @Override
     public void close() throws IOException {
-        engine.end(List.of());
+        engine.shutDown(List.of());
         for (HeldSocket each : dials) {
             each.readOn();
             each.lookOn();
--- a/src/test/java/magpiewheel/upstream/PooledConnectionTest.java
+++ b/src/test/java/magpiewheel/upstream/PooledConnectionTest.java
@@ -106,7 +106,7 @@
         line.say(words);
         line.close();
         assertEquals(NodeRig.next(rig.told).result(), AttemptResult.CONNECTION_LOST);
-        assertEquals(rig.pool.left(), NodeRig.BUFFERS, "no room is lost");
+        assertEquals(rig.pool.available(), NodeRig.BUFFERS, "no room is lost");
     }
 
     /** An answer that never ends is called off in the end; it may have run, and the node gets nothing more there. */
@@ -117,11 +117,11 @@
         rig.ask("second", NodeRig.UNSAFE, null);
         assertTrue(line.next().startsWith("serve second "));
         line.say("second DONE tell=hit,tag=t2,minted=1 100000\r\nabc");
-        NodeRig.until("its room is taken", () -> rig.pool.left() < NodeRig.BUFFERS);
-        rig.engine.heard(1, new byte[0]);
+        NodeRig.until("its room is taken", () -> rig.pool.available() < NodeRig.BUFFERS);
+        rig.engine.peerMessageReceived(1, new byte[0]);
         assertEquals(NodeRig.next(rig.told).result(), AttemptResult.CANCELLED);
         assertEquals(endOf(line), "cancel second");
-        NodeRig.until("its room is given back", () -> rig.pool.left() == NodeRig.BUFFERS);
+        NodeRig.until("its room is given back", () -> rig.pool.available() == NodeRig.BUFFERS);
     }
 
     /** What comes before the end of a connection; one that is closed over unread octets may be reset. */
@@ -204,8 +204,8 @@
         assertTrue(line.next().startsWith("serve between "));
         line.done("between", "t1");
         assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK);
-        assertEquals(NodeRig.next(rig.answers).end(), PendingRequest.End.SERVED);
-        rig.engine.heard(1, new byte[0]);
+        assertEquals(NodeRig.next(rig.answers).outcome(), PendingRequest.Outcome.SERVED);
+        rig.engine.peerMessageReceived(1, new byte[0]);
         servedAnew();
     }
 }
