--- a/src/main/java/magpiewheel/engine/Actor.java
+++ b/src/main/java/magpiewheel/engine/Actor.java
@@ -6,15 +6,20 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * A bounded mailbox and state that one thread at a time touches: a thread of its own, or whichever hand of the crew has
- * its turn. Behind the mailbox's capacity lies a reserve for messages whose number is bounded by what was let in
- * before: a cancel for each attempt, an answer for each request. They keep their place in the order and find room.
+ * An actor: a bounded mailbox, and state that only one thread at a time accesses. It runs either on a thread of its own
+ * or in turns on the threads of a {@link WorkerPool}.
+ *
+ * <p>Beyond its capacity the mailbox has a reserve for messages whose number is bounded by messages accepted earlier,
+ * such as one cancellation per attempt or one response per request. They stay in order and always find room.
  */
 public abstract class Actor {
     private static final long STACK_BYTES = 192 * 1024;
-    /** Messages worked off in one turn, so that a busy actor leaves the others theirs. */
+    /** Messages handled in one turn, so that a busy actor does not starve the others. */
     private static final int MAX_MESSAGES_PER_TURN = 32;
-    /** us; an actor that has nothing to wait for looks around so often, on a thread of its own. */
+    /**
+     * Longest wait in microseconds between two calls of {@link #runDueWork}, for an actor on its own thread without due
+     * work.
+     */
     private static final long DEFAULT_WAIT_US = TimeUnit.SECONDS.toMicros(1);
 
     private final ArrayDeque<Runnable> mailbox = new ArrayDeque<>();
@@ -31,12 +36,12 @@
     private long wakeUpAtNanos = Long.MAX_VALUE;
     private volatile boolean stopped;
 
-    /** An actor without a reserve. */
+    /** Creates an actor whose mailbox has no reserve. */
     protected Actor(String name, int capacity, Counters counters) {
         this(name, capacity, 0, counters);
     }
 
-    /** Makes the actor; {@link #start} sets it going. */
+    /** Creates the actor; it handles no messages before {@link #start}. */
     protected Actor(String name, int capacity, int reserve, Counters counters) {
         this.name = name;
         this.capacity = capacity;
@@ -44,19 +49,19 @@
         this.counters = counters;
     }
 
-    /** A daemon thread of the program's one kind. */
+    /** Returns a new daemon thread with the small stack that all threads of this program use. */
     public static Thread daemonThread(String name, Runnable body) {
         Thread thread = new Thread(null, body, name, STACK_BYTES);
         thread.setDaemon(true);
         return thread;
     }
 
-    /** Starts to work the mailbox off, on a thread of its own. */
+    /** Starts handling messages on a thread of its own. */
     public void start() {
         daemonThread(name, this::runLoop).start();
     }
 
-    /** Starts to work the mailbox off in turns. */
+    /** Starts handling messages in turns on the threads of the pool. */
     public void start(WorkerPool pool) {
         lock.lock();
         try {
@@ -69,12 +74,15 @@
         }
     }
 
-    /** Leaves a message without waiting; false where the mailbox is full or the actor has ended. */
+    /** Enqueues a message without blocking; returns false if the mailbox is full or the actor was stopped. */
     protected final boolean offer(Runnable message) {
         return offer(message, capacity);
     }
 
-    /** Likewise, with the reserve: only for messages whose number is bounded by others that were let in. */
+    /**
+     * Like {@link #offer}, but may use the reserve; only for messages whose number is bounded by messages accepted
+     * earlier.
+     */
     protected final boolean offerReserved(Runnable message) {
         return offer(message, capacity + reserve);
     }
@@ -92,7 +100,10 @@
         }
     }
 
-    /** Leaves a message and waits for room: only for senders that the actor itself never waits for. */
+    /**
+     * Enqueues a message, blocking while the mailbox is full; returns false if the actor was stopped or the thread
+     * interrupted. The actor itself must never wait for a thread that calls this.
+     */
     protected final boolean put(Runnable message) {
         lock.lock();
         try {
@@ -112,9 +123,9 @@
     }
 
     /**
-     * Likewise, and takes the turn on the caller's own thread if nobody has it and nothing else waits: a reader that
-     * has nothing else to do but to wait for more saves the change to another thread. It works off its own message
-     * alone: others may wait in a write, and the reader would not hear its peer meanwhile.
+     * Like {@link #put}, but handles the message on the calling thread if no turn is scheduled or running and the
+     * mailbox is empty. This saves a thread switch for a reader that would only wait for more input. It handles no
+     * other message: one of them may block in a write, and meanwhile the reader would not notice what its peer sends.
      */
     protected final boolean putAndRun(Runnable message) {
         boolean runsHere;
@@ -139,7 +150,7 @@
         scheduleTurn();
     }
 
-    /** Asks for a turn; under the lock. */
+    /** Wakes the actor's thread, or schedules a turn unless one is scheduled or running. Called with the lock held. */
     private void scheduleTurn() {
         notEmpty.signal();
         if (workerPool != null && !scheduled && !terminated) {
@@ -148,7 +159,7 @@
         }
     }
 
-    /** Ends the actor after the message in hand; what is left in the mailbox is still worked off. */
+    /** Stops the actor: it accepts no more messages, and terminates once those in the mailbox are handled. */
     protected final void stop() {
         lock.lock();
         try {
@@ -161,7 +172,7 @@
         }
     }
 
-    /** Likewise, and takes the last turn on the caller's thread if nobody has it. */
+    /** Like {@link #stop}, but runs a turn on the calling thread if none is scheduled or running. */
     protected final void stopAndRun() {
         boolean runsHere;
         lock.lock();
@@ -185,18 +196,23 @@
         return stopped;
     }
 
-    /** Microseconds until {@link #runDueWork} wants to be called, be there messages or not; below 0 for never. */
+    /** Returns the microseconds until {@link #runDueWork} is to be called even without messages; negative for never. */
     protected long untilDueWorkUs() {
         return -1;
     }
 
-    /** Called between messages. */
+    /**
+     * Called on the actor's thread between messages: after each one on a thread of its own, after each turn in a pool.
+     */
     protected void runDueWork() {}
 
-    /** Called once, on the actor's thread, when it has ended. */
+    /** Called once on the actor's thread, after the last message was handled. */
     protected void onTerminated() {}
 
-    /** The next message; null when the wait is over, or with nothing left. */
+    /**
+     * Removes and returns the next message; null if none arrives within the wait, or if the actor was stopped and the
+     * mailbox is empty.
+     */
     private Runnable takeNext(long waitUs) throws InterruptedException {
         long remainingNanos = TimeUnit.MICROSECONDS.toNanos(waitUs);
         lock.lock();
@@ -214,7 +230,10 @@
         }
     }
 
-    /** Nothing from outside ends the program: a fault costs the message that met it. */
+    /**
+     * Runs the work and counts and logs a runtime exception: input from outside must not end the program, so a fault
+     * affects only the message that triggered it.
+     */
     private void runGuarded(Runnable work) {
         try {
             work.run();
@@ -228,7 +247,7 @@
         try {
             boolean ending = false;
             for (Runnable message = null; !ending || message != null; ) {
-                // Read before the mailbox: what was let in before the stop is there to be found.
+                // Read before the mailbox: messages accepted before the stop are then still found in it.
                 ending = stopped;
                 long untilDueUs = ending ? 0 : untilDueWorkUs();
                 message = takeNext(untilDueUs < 0 ? DEFAULT_WAIT_US : untilDueUs);
@@ -245,7 +264,7 @@
         runGuarded(this::onTerminated);
     }
 
-    /** One turn, of a hand of the crew or of a reader; never two at once. */
+    /** Runs one turn, on a pool thread or on that of a reader; two turns never run at once. */
     final void runTurn() {
         runTurn(MAX_MESSAGES_PER_TURN);
     }
@@ -285,7 +304,10 @@
         }
     }
 
-    /** One alarm is out at most, but for one that would come too late. */
+    /**
+     * Schedules a wake-up at a time of {@link System#nanoTime}, unless one is pending that is not later. Called with
+     * the lock held.
+     */
     private void scheduleWakeUp(long atNanos, long afterUs) {
         if (wakeUpAtNanos == Long.MAX_VALUE || atNanos < wakeUpAtNanos) {
             wakeUpAtNanos = atNanos;
--- a/src/main/java/magpiewheel/engine/Attempt.java
+++ b/src/main/java/magpiewheel/engine/Attempt.java
@@ -2,7 +2,10 @@
 
 import magpiewheel.routing.AttemptPlan;
 
-/** One try of a call at a node. The module's actor owns it; the node's actor reads what does not change. */
+/**
+ * One sending of a request to an endpoint. Owned by the engine's actor; the endpoint's actor reads only its immutable
+ * and volatile fields.
+ */
 public final class Attempt {
     private final PendingRequest request;
     final int index;
@@ -25,59 +28,65 @@
         this.timeoutAtUs = timeoutAtUs;
     }
 
-    /** The request it is for. */
+    /** Returns the request that the attempt belongs to. */
     public PendingRequest request() {
         return request;
     }
 
-    /** Where it goes. */
+    /** Returns the identifier of the endpoint that it is sent to. */
     public long endpointId() {
         return endpointId;
     }
 
-    /** How it is to be served. */
+    /** Returns how the endpoint is to serve it. */
     public AttemptPlan plan() {
         return plan;
     }
 
-    /** When the module decided on it. */
+    /** Returns when the routing policy started it, in Unix microseconds. */
     public long sentAtUs() {
         return sentAtUs;
     }
 
-    /** When it will be called off. */
+    /** Returns when it times out and is cancelled, in Unix microseconds. */
     public long timeoutAtUs() {
         return timeoutAtUs;
     }
 
-    /** From when on it may not begin any more: what its module decided by may not hold any longer. */
+    /**
+     * Returns the Unix microseconds from which it must not be written any more: what the routing policy based its
+     * decision on may no longer hold then.
+     */
     public long startByUs() {
         return plan.startByUs();
     }
 
-    /** Whether it is to be given up. */
+    /** Whether it was cancelled. */
     public boolean cancelled() {
         return cancelled;
     }
 
-    /** Whether it may still be written to its node at a time; looked at right before that, on the node's actor. */
+    /**
+     * Whether it may still be written to its endpoint at this time (Unix microseconds); checked on the endpoint's actor
+     * right before the write.
+     */
     public boolean mayStart(long nowUs) {
         return !cancelled && !request.abandoned() && nowUs < plan.startByUs();
     }
 
-    /** Marks it; false where it was marked before, so that it is called off once. */
+    /** Marks it as cancelled; returns false if it was already, so that it is cancelled only once. */
     boolean markCancelled() {
         boolean first = !cancelled;
         cancelled = true;
         return first;
     }
 
-    /** Whatever the upstream side wants to find again when the attempt is called off. */
+    /** Returns the object that the upstream side stored with it, to find it again when the attempt is cancelled. */
     public Object upstreamContext() {
         return upstreamContext;
     }
 
-    /** Sets it; on the module's actor. */
+    /** Stores an object of the upstream side with it; called on the engine's actor. */
     public void upstreamContext(Object value) {
         upstreamContext = value;
     }
--- a/src/main/java/magpiewheel/engine/AttemptListener.java
+++ b/src/main/java/magpiewheel/engine/AttemptListener.java
@@ -3,9 +3,12 @@
 import magpiewheel.routing.AttemptResult;
 import magpiewheel.routing.CacheStatus;
 
-/** Sees every attempt end. Called on the module's actor, so it must not wait. */
+/** Receives the end of every attempt. Called on the engine's actor, so it must not block. */
 public interface AttemptListener {
-    /** An attempt ended; a node that the list names no longer is null. {@code responseBytes} came with its answer. */
+    /**
+     * An attempt has ended. {@code endpoint} and {@code fillSource} are null if they are not in the endpoint list any
+     * more; {@code responseBytes} is the length of the response body, 0 without one.
+     */
     void attemptEnded(
             PendingRequest.ClientRequest request,
             ListedEndpoint endpoint,
--- a/src/main/java/magpiewheel/engine/Body.java
+++ b/src/main/java/magpiewheel/engine/Body.java
@@ -8,7 +8,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.IntConsumer;
 
-/** Bytes of a known length in pooled buffers, which go back when the last holder lets go. */
+/**
+ * Bytes of a known length in pooled buffers. Reference-counted: the buffers return to the pool with the last release.
+ */
 public final class Body {
     private final BufferPool pool;
     private final List<byte[]> buffers;
@@ -21,27 +23,30 @@
         this.length = length;
     }
 
-    /** How many bytes it has. */
+    /** Returns its length in bytes. */
     public int length() {
         return length;
     }
 
-    /** How many buffers it takes. */
+    /** Returns the number of its buffers. */
     int buffers() {
         return buffers.size();
     }
 
-    /** The first of its buffers, for those who want just a buffer. */
+    /** Returns its first buffer, for callers that need just one buffer. */
     public byte[] firstBuffer() {
         return buffers.get(0);
     }
 
-    /** One holder more. */
+    /** Adds a reference. */
     public void retain() {
         references.incrementAndGet();
     }
 
-    /** One holder less. */
+    /**
+     * Drops a reference; the last one returns the buffers to the pool. Throws {@link IllegalStateException} if there is
+     * none.
+     */
     public void release() {
         int remaining = references.decrementAndGet();
         if (remaining == 0) {
@@ -51,7 +56,7 @@
         }
     }
 
-    /** Fills it from a stream. */
+    /** Fills it from a stream; throws {@link EOFException} if the stream ends early. */
     public void readFrom(InputStream in) throws IOException {
         for (int i = 0, remaining = length; remaining > 0; i++) {
             int chunkBytes = Math.min(remaining, BufferPool.BUFFER_BYTES);
@@ -62,12 +67,12 @@
         }
     }
 
-    /** Writes it all to a stream. */
+    /** Writes all of it to a stream. */
     public void writeTo(OutputStream out) throws IOException {
         writeTo(out, writtenBytes -> {});
     }
 
-    /** Likewise, and tells after each part how long that was. */
+    /** Writes all of it to a stream, and calls back with the number of bytes after each write of one buffer. */
     public void writeTo(OutputStream out, IntConsumer written) throws IOException {
         for (int i = 0, remaining = length; remaining > 0; i++) {
             int chunkBytes = Math.min(remaining, BufferPool.BUFFER_BYTES);
--- a/src/main/java/magpiewheel/engine/BufferPool.java
+++ b/src/main/java/magpiewheel/engine/BufferPool.java
@@ -4,24 +4,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Buffers of one size, used again; no more than a fixed number is ever out. */
+/** A bounded pool of reusable buffers of one size. Thread-safe. */
 public final class BufferPool {
-    /** Bytes of every buffer: small, as most copies that are held are short. */
+    /** Bytes of each buffer; small, as most copies that are held are short. */
     public static final int BUFFER_BYTES = 4 * 1024;
 
     private final ArrayDeque<byte[]> free = new ArrayDeque<>();
     private final Counters counters;
     private int available;
 
-    /** A pool that lends at most so many buffers. */
+    /** Creates a pool with at most this many buffers in use at a time. */
     public BufferPool(int maxBuffers, Counters counters) {
         this.available = maxBuffers;
         this.counters = counters;
     }
 
     /**
-     * Room for so many bytes or, after the wait, null. It is taken whole or not at all: readers that held a part each
-     * could wait for one another for good.
+     * Returns room for a number of bytes, or null if it does not become available within the wait or the thread is
+     * interrupted. It is acquired whole or not at all: readers that each held a part could deadlock.
      */
     public synchronized Body acquire(int bytes, long waitMs) {
         int count = (bytes + BUFFER_BYTES - 1) / BUFFER_BYTES;
@@ -54,7 +54,7 @@
         notifyAll();
     }
 
-    /** Buffers that could be lent now. */
+    /** Returns the number of buffers available now. */
     public synchronized int available() {
         return available;
     }
--- a/src/main/java/magpiewheel/engine/Counter.java
+++ b/src/main/java/magpiewheel/engine/Counter.java
@@ -1,6 +1,9 @@
 package magpiewheel.engine;
 
-/** What is counted: taken in, sent and answered. */
+/**
+ * The counters of the router. Their names, in lower case and in this order, are the reply to the client command
+ * {@code COUNTERS}.
+ */
 public enum Counter {
     CLIENTS,
     CLIENTS_TURNED_AWAY,
--- a/src/main/java/magpiewheel/engine/Counters.java
+++ b/src/main/java/magpiewheel/engine/Counters.java
@@ -4,26 +4,26 @@
 import java.util.StringJoiner;
 import java.util.concurrent.atomic.AtomicLongArray;
 
-/** The program's counters; any thread may add to them. */
+/** The values of all counters. Thread-safe. */
 public final class Counters {
     private final AtomicLongArray values = new AtomicLongArray(Counter.values().length);
 
-    /** Adds one. */
+    /** Increments a counter by one. */
     public void add(Counter counter) {
         values.incrementAndGet(counter.ordinal());
     }
 
-    /** Adds some. */
+    /** Adds an amount to a counter. */
     public void add(Counter counter, long amount) {
         values.addAndGet(counter.ordinal(), amount);
     }
 
-    /** The value now. */
+    /** Returns the current value of a counter. */
     public long get(Counter counter) {
         return values.get(counter.ordinal());
     }
 
-    /** All of them as {@code name=value}, divided by commas. */
+    /** Returns all counters as {@code name=value} pairs, separated by commas. */
     @Override
     public String toString() {
         StringJoiner text = new StringJoiner(",");
--- a/src/main/java/magpiewheel/engine/Engine.java
+++ b/src/main/java/magpiewheel/engine/Engine.java
@@ -13,28 +13,30 @@
 import magpiewheel.routing.RoutingSettings;
 
 /**
- * The module's actor: what others tell the module comes in here, in order, and one thread works it off. The life of
- * requests is {@link RequestLifecycle}', what is to be done at a time {@link Timers}', and what the module asks for
- * goes out by {@link EngineRoutingActions}. It knows no wire.
+ * The actor that runs the routing policy: it receives all events for the policy in order and handles them on one thread
+ * at a time. {@link RequestLifecycle} manages the requests, {@link Timers} the timers, and {@link EngineRoutingActions}
+ * carries out the policy's actions. The engine is independent of the wire protocols.
  *
- * <p>A full mailbox turns requests away and drops peers' messages; nodes, the list and leaving clients wait.
+ * <p>When the mailbox is full, new requests are rejected and peer messages dropped; endpoints, discovery and
+ * disconnecting clients block until there is room.
  */
 public final class Engine extends Actor {
-    /** Sends messages to other fronts; called on the module's actor, so it must not wait. */
+    /** Sends messages to other routers; called on the engine's actor, so it must not block. */
     public interface PeerTransport {
-        /** One message to one front. */
+        /** Sends a message to a router. */
         void send(int recipient, byte[] message);
 
         /**
-         * Whether anybody listens at a front's address; an answer, if one comes, is {@link Engine#reachabilityRefused}.
+         * Probes whether anything listens at a router's address; a refusal is reported to
+         * {@link Engine#reachabilityRefused}.
          */
         default void probe(int recipient, long atUs) {}
     }
 
     private static final int MAILBOX_CAPACITY = 4_096;
-    /** us; operators' figures may be half a second old. */
+    /** Microseconds between updates of the operators' figures, which may be up to half a second old. */
     private static final long STATS_INTERVAL_US = 150_000;
-    /** The module reads object 0 as a whole group, so an object of that number goes by another. */
+    /** The routing policy takes object 0 for a whole group, so an object with that identifier is mapped to this one. */
     private static final long ROUTING_ID_OF_OBJECT_ZERO = 0x5bd1e9955bd1e995L;
 
     private final UnixClock clock;
@@ -47,7 +49,7 @@
     private final Map<Long, ListedEndpoint> endpoints = new HashMap<>();
     private volatile boolean anyEndpointReady;
 
-    /** An engine for the module that the function makes from the engine's actions. */
+    /** Creates an engine for the routing policy that {@code policyFactory} creates from the engine's actions. */
     public Engine(
             RoutingSettings settings,
             Function<RoutingActions, RoutingPolicy> policyFactory,
@@ -70,12 +72,12 @@
         requestLifecycle.setRoutingPolicy(routingPolicy);
     }
 
-    /** Sets who sees every attempt end; only before the start. */
+    /** Sets the listener for the end of every attempt; only before the start. */
     public void setAttemptListener(AttemptListener listener) {
         requestLifecycle.setAttemptListener(listener);
     }
 
-    /** Keeps the figures of the nodes up to date; only before the start. */
+    /** Publishes the figures of endpoints and peers periodically; the first call must come before the start. */
     public void publishStats(ServiceStats stats) {
         timers.schedule(clock.now() + STATS_INTERVAL_US, () -> {
             stats.endpoints(endpoints.size(), routingPolicy.avoidedEndpoints(clock.now()));
@@ -87,13 +89,13 @@
         });
     }
 
-    // ---------------------------------------------------------------- what others tell it
+    // ---------------------------------------------------------------- events
 
-    /** Takes a request, or answers it at once where there is no room. */
+    /** Accepts a request, or rejects it on the calling thread if the mailbox is full. */
     public void submit(PendingRequest request) {
         counters.add(Counter.REQUESTS);
         if (!offer(() -> requestLifecycle.accept(request))) {
-            // This is the asker's thread: nothing of the module's actor may be touched here.
+            // Runs on the caller's thread: state of the engine's actor must not be accessed here.
             counters.add(Counter.MAILBOX_FULL);
             counters.add(Counter.REFUSED);
             if (request.request.body() != null) {
@@ -103,20 +105,23 @@
         }
     }
 
-    /** The client no longer waits; no answer is owed. With a full mailbox this waits, the mark on the call does not. */
+    /**
+     * The client disconnected and needs no response. Blocks while the mailbox is full; the request is marked as
+     * abandoned before that.
+     */
     public void clientDisconnected(PendingRequest request) {
         request.abandon();
         put(() -> requestLifecycle.clientDisconnected(request));
     }
 
-    /** An attempt has ended. */
+    /** An attempt has ended. Takes over the reference to the outcome's body. */
     public void attemptEnded(Attempt attempt, UpstreamOutcome outcome) {
         if (!put(() -> requestLifecycle.attemptEnded(attempt, outcome)) && outcome.body() != null) {
             outcome.body().release();
         }
     }
 
-    /** The list of nodes has changed. */
+    /** The endpoint list has changed. */
     public void endpointsChanged(EndpointListMode mode, List<ListedEndpoint> changed) {
         put(() -> {
             upstream.endpointsChanged(changed, mode != EndpointListMode.DELTA);
@@ -139,11 +144,11 @@
         });
     }
 
-    /** A purge was made at a Unix millisecond: of an object, or with null of the whole group. */
+    /** An object, or the whole group if {@code object} is null, was purged at this time (Unix milliseconds). */
     public void objectsPurged(Long object, int group, long purgedAtMs) {
         put(() -> {
             long now = clock.now();
-            // A purge stamped ahead of this clock counts as made now.
+            // A purge time ahead of this router's clock counts as now.
             long ageUs = Math.max(0, now - purgedAtMs * 1000);
             responseCache.purge(object, group);
             routingPolicy.objectsPurged(
@@ -151,36 +156,37 @@
         });
     }
 
-    /** The board was heard at a time, with all that it told before. */
+    /** Discovery was in contact at this time (Unix microseconds), and all its earlier changes have been received. */
     public void discoveryHeard(long atUs) {
         put(() -> routingPolicy.boundedReads().discoveryHeard(Math.min(clock.now(), atUs)));
     }
 
-    /** A message from another front. */
+    /** A message from another router arrived; it is dropped if the mailbox is full. */
     public void peerMessageReceived(int sender, byte[] message) {
         if (!offer(() -> routingPolicy.peerMessageReceived(clock.now(), sender, message))) {
             counters.add(Counter.PEER_DROPPED);
         }
     }
 
-    /** The machine of another front said that nobody listens there. */
+    /** The host of another router refused the probe that was sent at this time: nothing listens there. */
     public void reachabilityRefused(int routerId, long probedAtUs) {
         offer(() -> routingPolicy.reachabilityRefused(clock.now(), routerId, probedAtUs));
     }
 
-    /** The front may be named to clients from now on. */
+    /** This router may be announced to clients from now on. */
     public void startServing() {
         put(() -> routingPolicy.setServing(clock.now(), true));
     }
 
-    /** The front wants no more clients: the others are told at once, and again with each beat. */
+    /** This router takes no more clients; its peers are notified at once and with every heartbeat. */
     public void stopServing() {
         put(() -> routingPolicy.setServing(clock.now(), false));
     }
 
     /**
-     * Calls back once with IPv4 addresses, on the module's actor: those of a zone's live fronts or, for an object, of
-     * the cache that the module would pick. Empty where nothing lives.
+     * Calls back exactly once with IPv4 addresses: those of a zone's serving routers if {@code object} is null, else
+     * that of the cache that the routing policy would select for the object. The list is empty if there is none. The
+     * callback runs on the engine's actor, or on the calling thread if the mailbox is full.
      */
     public void lookup(int zone, Long object, Consumer<List<Integer>> reply) {
         if (!offer(() -> reply.accept(resolve(zone, object)))) {
@@ -198,33 +204,35 @@
         return endpoint == null ? List.of() : List.of(endpoint.address());
     }
 
-    /** Ends the actor and lets go of all nodes but these. */
+    /** Stops the actor and removes all endpoints except these. */
     public void shutDown(List<ListedEndpoint> drainingEndpoints) {
         put(() -> upstream.endpointsChanged(drainingEndpoints, true));
         stop();
     }
 
-    /** The time by the clock that everything here goes by. */
+    /** Returns the time of the engine's clock, in Unix microseconds. */
     public long now() {
         return clock.now();
     }
 
-    /** How long a client is asked to stay away where the front itself turns it away; 0 where that may not be said. */
+    /**
+     * Returns the retry-after time in microseconds for requests that this router itself rejects; 0 if none may be sent.
+     */
     public long retryAfterUs() {
         return requestLifecycle.retryAfterUs();
     }
 
-    /** Requests taken and not yet answered. */
+    /** Returns the number of requests in flight: accepted, and not yet finished. Any thread may call it. */
     public int inFlight() {
         return requestLifecycle.inFlight();
     }
 
-    /** Whether it knows of a node that requests may be sent to. */
+    /** Whether the endpoint list has an endpoint that is ready for requests. Any thread may call it. */
     public boolean hasReadyEndpoint() {
         return anyEndpointReady;
     }
 
-    /** The number by which the module knows an object. */
+    /** Returns the identifier that the routing policy uses for an object. */
     static long routingObjectId(long object) {
         return object == 0 ? ROUTING_ID_OF_OBJECT_ZERO : object;
     }
--- a/src/main/java/magpiewheel/engine/EngineRoutingActions.java
+++ b/src/main/java/magpiewheel/engine/EngineRoutingActions.java
@@ -4,7 +4,10 @@
 import magpiewheel.routing.RoutingActions;
 import magpiewheel.routing.RoutingPolicy;
 
-/** What the module asks for. The module is never called from inside one of its own calls. */
+/**
+ * Carries out the actions of the routing policy. The policy is never called from inside one of its own actions, except
+ * to evaluate a delivery.
+ */
 final class EngineRoutingActions implements RoutingActions {
     private final UnixClock clock;
     private final Timers timers;
@@ -20,7 +23,7 @@
         this.peerTransport = peerTransport;
     }
 
-    /** Names the module that its timers are told to; before the first of them is due. */
+    /** Sets the routing policy whose timers expire; called before the first timer is due. */
     void setRoutingPolicy(RoutingPolicy policy) {
         routingPolicy = policy;
     }
@@ -57,7 +60,7 @@
 
     @Override
     public void checkHealth(long endpointId) {
-        // Nodes are never probed on this platform; the module knows from its settings.
+        // Endpoints are never probed on this platform; the routing policy knows that from its settings.
     }
 
     @Override
@@ -72,12 +75,12 @@
 
     @Override
     public void subscribe(boolean on) {
-        // The board sends its changes unasked.
+        // Discovery sends its changes without a subscription.
     }
 
     @Override
     public void fetchEndpointList() {
-        // Likewise.
+        // Discovery sends the endpoint list without a request.
     }
 
     @Override
--- a/src/main/java/magpiewheel/engine/LingeringClose.java
+++ b/src/main/java/magpiewheel/engine/LingeringClose.java
@@ -3,16 +3,19 @@
 import java.io.IOException;
 import java.io.InputStream;
 
-/** What a peer still sends behind the end of this side: closed over unread bytes, a connection would be reset. */
+/**
+ * Discards what a peer still sends after this side has finished: closing a socket with unread bytes would reset the
+ * connection.
+ */
 public final class LingeringClose {
-    /** The most bytes that are read and dropped. */
+    /** Upper bound for the bytes discarded from one connection. */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
     private static final int DISCARD_BUFFER_BYTES = 1_024;
 
     private LingeringClose() {}
 
-    /** Reads and drops until the peer's end, at which it is already where the peer ended first, or the bound. */
+    /** Reads and discards input until the peer closes its side, which it may have done already, or until the bound. */
     public static void drain(InputStream in) throws IOException {
         byte[] buffer = new byte[DISCARD_BUFFER_BYTES];
         int length = in.read(buffer);
--- a/src/main/java/magpiewheel/engine/ListedEndpoint.java
+++ b/src/main/java/magpiewheel/engine/ListedEndpoint.java
@@ -2,5 +2,5 @@
 
 import magpiewheel.routing.EndpointInfo;
 
-/** A node of the list and where it can be reached: an IPv4 address and a port. */
+/** An endpoint of the endpoint list, with the IPv4 address and port at which it can be reached. */
 public record ListedEndpoint(EndpointInfo info, int address, int port) {}
--- a/src/main/java/magpiewheel/engine/PendingRequest.java
+++ b/src/main/java/magpiewheel/engine/PendingRequest.java
@@ -6,9 +6,12 @@
 import magpiewheel.routing.CacheStatus;
 import magpiewheel.staleness.ReadHint;
 
-/** A client's request from when it was taken until its last attempt has ended. The module's actor owns it. */
+/** A client's request, from its receipt until its last attempt has ended. Owned by the engine's actor. */
 public final class PendingRequest {
-    /** What a front was asked for; {@code nonce} and {@code heldTag} may be null, {@code body} too. */
+    /**
+     * What the client requested. {@code nonce}, {@code heldTag} (the tag of the client's own copy) and {@code body} may
+     * be null.
+     */
     public record ClientRequest(
             String trace,
             int classIndex,
@@ -22,7 +25,7 @@
             String heldTag,
             Body body,
             ReadHint hint) {
-        /** Without a hint. */
+        /** Creates a request without a read hint. */
         public ClientRequest(
                 String trace,
                 int profile,
@@ -39,7 +42,7 @@
         }
     }
 
-    /** The four ends that a request can have. */
+    /** The possible outcomes of a request. */
     public enum Outcome {
         SERVED,
         UNCHANGED,
@@ -48,9 +51,9 @@
     }
 
     /**
-     * A final answer. Who gets it releases the body, which is null but for {@code SERVED}. {@code fromLocalCopy} marks
-     * a copy of the front's own, {@code cacheStatus} is what the cache said of its. {@code markMs} and {@code ageMs}
-     * are told where they are not 0.
+     * A final response. Its receiver releases the body, which is null unless the outcome is {@code SERVED}.
+     * {@code fromLocalCopy} marks a copy from this router's own memory; {@code cacheStatus} is the status that the
+     * cache reported. {@code markMs} and {@code ageMs} are sent to the client unless they are 0.
      */
     public record Response(
             Outcome outcome,
@@ -61,26 +64,29 @@
             CacheStatus cacheStatus,
             long markMs,
             long ageMs) {
-        /** Turned away before anything was done. */
+        /** Returns a rejection, with a retry-after time in microseconds. */
         public static Response rejected(long retryAfterUs) {
             return new Response(Outcome.REJECTED, null, null, retryAfterUs, false, CacheStatus.UNKNOWN, 0, 0);
         }
 
-        /** Failed. */
+        /** Returns a failure. */
         public static Response failed() {
             return new Response(Outcome.FAILED, null, null, 0, false, CacheStatus.UNKNOWN, 0, 0);
         }
     }
 
-    /** The addresses and ports at both ends of a client's connection. */
+    /** The IPv4 addresses and ports of both ends of a client's connection. */
     public record ConnectionAddresses(int routerAddress, int routerPort, int clientAddress, int clientPort) {}
 
-    /** Where the one final answer goes; called on the module's actor, so it must not wait. */
+    /**
+     * Receives the one final response. Called on the engine's actor, or on the thread that submits a request if it is
+     * rejected there, so it must not block.
+     */
     public interface Responder {
-        /** The final answer. */
+        /** Receives the final response and the reference to its body. */
         void respond(PendingRequest request, Response response);
 
-        /** Where the client is; null where that is not known. */
+        /** Returns the addresses of the client's connection; null if unknown. */
         ConnectionAddresses addresses();
     }
 
@@ -100,7 +106,8 @@
     private final List<Object> connections = new CopyOnWriteArrayList<>();
 
     /**
-     * A call taken at a time, to be answered before its deadline: the client's patience, or less where the front ends.
+     * Creates a request received at {@code receivedAtUs}. It must be answered before {@code deadlineUs}, which is the
+     * client's deadline or earlier if the router shuts down before that. All times are Unix microseconds.
      */
     public PendingRequest(
             ClientRequest request, Responder responder, long receivedAtUs, long clientDeadlineUs, long deadlineUs) {
@@ -112,40 +119,43 @@
     }
 
     /**
-     * The client waits no longer. It counts from this moment, on whichever thread it is noticed and however full the
-     * mailboxes on the way to the module are: no attempt of this request begins any more.
-     * {@link Engine#clientDisconnected} follows.
+     * Marks that the client no longer waits. Effective at once on any thread, even if the mailboxes on the way to the
+     * engine are full: no attempt of this request is started any more. A call of {@link Engine#clientDisconnected}
+     * follows.
      */
     public void abandon() {
         abandoned = true;
     }
 
-    /** Whether the client waits no longer. */
+    /** Whether the client no longer waits. */
     public boolean abandoned() {
         return abandoned;
     }
 
-    /** A connection carries a try of it. */
+    /** Records that a connection carries an attempt of this request. */
     public void addConnection(Object connection) {
         connections.add(connection);
     }
 
-    /** Whether a connection carried an earlier try: a late second copy of that answer would pass for the next one's. */
+    /**
+     * Whether a connection carried an earlier attempt of this request: a late duplicate of that response would be taken
+     * for the response to the next attempt.
+     */
     public boolean usedConnection(Object connection) {
         return connections.contains(connection);
     }
 
-    /** What was asked for. */
+    /** Returns what the client requested. */
     public ClientRequest request() {
         return request;
     }
 
-    /** Where its client is. */
+    /** Returns the addresses of the client's connection; null if unknown. */
     public ConnectionAddresses addresses() {
         return responder.addresses();
     }
 
-    /** When it was taken, in Unix microseconds. */
+    /** Returns when it was received, in Unix microseconds. */
     public long receivedAtUs() {
         return receivedAtUs;
     }
--- a/src/main/java/magpiewheel/engine/RequestLifecycle.java
+++ b/src/main/java/magpiewheel/engine/RequestLifecycle.java
@@ -19,16 +19,16 @@
 import magpiewheel.staleness.ReadHint;
 
 /**
- * The life of every request from when it was taken until its last attempt has ended, on the module's actor. It owns the
- * promise that what was taken gets exactly one final answer.
+ * Manages every request from its receipt until its last attempt has ended, on the engine's actor. Guarantees that each
+ * accepted request gets exactly one final response.
  */
 final class RequestLifecycle {
     private static final int MAX_IN_FLIGHT = 2_048;
-    /** us; what is not answered this long past its deadline is failed here, inside the 50 ms of slack. */
+    /** Microseconds after its deadline at which an unanswered request is failed; within the 50 ms of slack. */
     private static final long OVERDUE_GRACE_US = 20_000;
 
     private static final long DEFAULT_RETRY_AFTER_US = 300_000;
-    /** Telling a client that its copy holds costs this part of the transfer. */
+    /** Telling a client that its copy is still current costs this fraction of the transfer. */
     private static final int UNCHANGED_COST_DIVISOR = 20;
 
     private final UnixClock clock;
@@ -48,7 +48,10 @@
     private long lastRequestId;
     private volatile int inFlight;
 
-    /** Requests by these settings; {@code endpointById} gives a node of the list by its id, or null. */
+    /**
+     * Creates the lifecycle of all requests; {@code endpointById} returns the listed endpoint with an identifier, or
+     * null.
+     */
     RequestLifecycle(
             RoutingSettings settings,
             UnixClock clock,
@@ -68,27 +71,29 @@
         this.retryAfterUs = settings.limits().retryAfterUs(DEFAULT_RETRY_AFTER_US);
     }
 
-    /** Names the module that is asked; before anything else. */
+    /** Sets the routing policy; must be called before anything else. */
     void setRoutingPolicy(RoutingPolicy policy) {
         routingPolicy = policy;
     }
 
-    /** Sets who sees every attempt end. */
+    /** Sets the listener for the end of every attempt. */
     void setAttemptListener(AttemptListener listener) {
         attemptListener = listener;
     }
 
-    /** How long a client is asked to stay away where the front itself turns it away; 0 where that may not be said. */
+    /**
+     * Returns the retry-after time in microseconds for requests that this router itself rejects; 0 if none may be sent.
+     */
     long retryAfterUs() {
         return retryAfterUs;
     }
 
-    /** Requests taken and not yet answered; for other threads, too. */
+    /** Returns the number of requests in flight: accepted, and not yet finished. Any thread may call it. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Takes a request, or answers it at once where there is no room. */
+    /** Accepts a request, or responds at once if it cannot be accepted. */
     void accept(PendingRequest pending) {
         long now = clock.now();
         PendingRequest.ClientRequest request = pending.request;
@@ -105,7 +110,8 @@
             return;
         }
         if (!tracesInUse.add(request.trace())) {
-            // Nodes tell attempts apart by the trace: two that are out under one could get each other's answers.
+            // Endpoints tell attempts apart by the trace: two requests in flight with the same one could get each
+            // other's responses.
             counters.add(Counter.BAD_REQUESTS);
             respond(pending, PendingRequest.Response.failed());
             return;
@@ -131,7 +137,10 @@
                 write ? null : retainLocalCopy(now, pending));
     }
 
-    /** What this front holds itself of what is asked for; held on to until the request is over. */
+    /**
+     * Returns this router's local copy of the requested object, retained until the request is answered; null if there
+     * is none.
+     */
     private LocalCopy retainLocalCopy(long now, PendingRequest pending) {
         ResponseCache.Copy copy = responseCache.find(pending.request);
         if (copy == null) {
@@ -148,7 +157,7 @@
                 responseCache.linkUs(bytes));
     }
 
-    /** Whether the client's copy is the one that is held here, too. */
+    /** Whether the client already holds the same version as the local copy. */
     private static boolean clientCopyIsCurrent(PendingRequest pending) {
         return pending.localCopy.tag().equals(pending.request.heldTag());
     }
@@ -161,9 +170,9 @@
     }
 
     /**
-     * The promise of one answer does not hang on nodes' connections, which may be late with the end of what was called
-     * off: to the module it has ended now, so that it refuses what may be asked for again without harm. Nor does it
-     * hang on the module: what that leaves open is failed here.
+     * Ends a request that is overdue. Neither a slow endpoint connection nor the routing policy may prevent the final
+     * response: attempts whose end was not reported are reported to the policy as ended now, so that it can reject a
+     * request that is safe to repeat. If the policy does not respond either, the request fails here.
      */
     private void endOverdue(PendingRequest pending) {
         if (pending.answered) {
@@ -190,8 +199,8 @@
     }
 
     /**
-     * Failed; but refused where only the front's own end took the time, and nothing was sent: another front may serve
-     * it.
+     * Returns a failure, or a rejection if nothing was sent and time ran out only because this router shuts down before
+     * the client's deadline: another router may then serve the request.
      */
     private PendingRequest.Response timeoutResponse(long now, PendingRequest pending) {
         return pending.attempts.isEmpty()
@@ -201,14 +210,17 @@
                 : PendingRequest.Response.failed();
     }
 
-    /** The client left before the module heard of its request: it never does. */
+    /**
+     * The client disconnected before the routing policy was notified of the request, so the policy is not called at
+     * all.
+     */
     private void disconnectedBeforeRouting(PendingRequest pending) {
         counters.add(Counter.GIVEN_UP_BY_CLIENT);
         pending.answered = true;
         removeIfFinished(pending);
     }
 
-    /** The client of a request has left. */
+    /** The client of a request has disconnected. */
     void clientDisconnected(PendingRequest pending) {
         if (!pending.answered) {
             counters.add(Counter.GIVEN_UP_BY_CLIENT);
@@ -254,7 +266,7 @@
         }
     }
 
-    /** An attempt has ended. */
+    /** An attempt has ended; handles only the first report for each attempt. */
     void attemptEnded(Attempt attempt, UpstreamOutcome outcome) {
         PendingRequest pending = attempt.request();
         if (attempt.ended) {
@@ -269,7 +281,8 @@
         }
         pending.openAttempts--;
         if (pending.abandoned()) {
-            // The word of it may be behind this one: the module must not try again for nobody.
+            // The disconnect event may still be queued behind this one: the routing policy must not retry for a client
+            // that has gone.
             clientDisconnected(pending);
         }
         AttemptResult result = outcome.result() == AttemptResult.CANCELLED && attempt.timedOut
@@ -307,7 +320,10 @@
         removeIfFinished(pending);
     }
 
-    /** Passes an answer on, if its copy will do; else nothing of it is kept, and to the module its cache lacked it. */
+    /**
+     * Delivers a response if its copy meets the request's staleness bound. Otherwise the copy is discarded, and the
+     * routing policy is told that the cache did not have it.
+     */
     private boolean deliver(long now, PendingRequest pending, UpstreamOutcome outcome, long originTimeMs) {
         DeliveryDecision decision = routingPolicy.evaluateDelivery(now, pending.id, originTimeMs);
         if (!decision.deliver()) {
@@ -349,9 +365,9 @@
                 });
     }
 
-    // ---------------------------------------------------------------- what the module asks for
+    // ---------------------------------------------------------------- actions of the routing policy
 
-    /** An attempt of a request is to go to a node. */
+    /** Starts an attempt of a request at an endpoint. */
     void startAttempt(long requestId, long endpointId, AttemptPlan plan) {
         PendingRequest pending = requests.get(requestId);
         if (pending == null || pending.answered) {
@@ -377,7 +393,7 @@
         });
     }
 
-    /** An attempt is to be called off. */
+    /** Cancels an attempt. */
     void cancelAttempt(long requestId, int attempt) {
         PendingRequest pending = requests.get(requestId);
         if (pending != null && attempt < pending.attempts.size()) {
@@ -385,7 +401,7 @@
         }
     }
 
-    /** The front's own copy is to be served. */
+    /** Serves the router's local copy if it meets the request's staleness bound, and rejects the request otherwise. */
     void serveLocalCopy(long requestId) {
         PendingRequest pending = requests.get(requestId);
         if (pending != null && pending.localCopy != null && !pending.answered) {
@@ -415,13 +431,13 @@
         }
     }
 
-    /** A request is to be refused. */
+    /** Rejects a request. */
     void reject(long requestId, long backoffUs) {
         counters.add(Counter.REFUSED_BY_HINT, routingPolicy.boundedReads().isUnproven(requestId) ? 1 : 0);
         respondIfPending(requestId, PendingRequest.Response.rejected(backoffUs));
     }
 
-    /** A request is to be failed. */
+    /** Fails a request, or rejects it if only this router's shutdown cut its time short. */
     void fail(long requestId) {
         PendingRequest pending = requests.get(requestId);
         if (pending != null) {
--- a/src/main/java/magpiewheel/engine/ResponseCache.java
+++ b/src/main/java/magpiewheel/engine/ResponseCache.java
@@ -6,11 +6,11 @@
 import java.util.function.Predicate;
 
 /**
- * The copies that the front holds in its own memory, in buffers of the pool; what was used longest ago goes first. The
- * module's actor owns it. Whether a copy may be served is the module's to say.
+ * The local copies in this router's memory, in buffers of the pool, with least-recently-used eviction. Owned by the
+ * engine's actor. The routing policy decides whether a copy may be served.
  */
 public final class ResponseCache {
-    /** One part of an object. Its age counts from when the origin gave it out. */
+    /** A copy of one part of an object. Its age counts from when the origin issued it. */
     record Copy(long object, int part, int classIndex, int group, Body body, String tag, long originTimeMs) {
         boolean matches(PendingRequest.ClientRequest request) {
             return object == request.object() && part == request.part() && classIndex == request.classIndex();
@@ -18,7 +18,7 @@
     }
 
     private static final float LOAD_FACTOR = 0.75f;
-    /** A copy takes at most this part of all room. */
+    /** A copy may take at most this fraction of all buffers. */
     private static final int MAX_COPY_DIVISOR = 16;
 
     private final LinkedHashMap<Long, Copy> copies = new LinkedHashMap<>(16, LOAD_FACTOR, true);
@@ -27,36 +27,39 @@
     private final double linkBytesPerS;
     private int heldBuffers;
 
-    /** Holds at most so many buffers of the pool; the paces of one transfer and of the front's link in bytes. */
+    /**
+     * Creates a cache of at most this many buffers of the pool. The rates, of a single transfer and of the router's
+     * link, are in bytes per second; if either is 0, nothing is cached.
+     */
     public ResponseCache(int maxBuffers, double transferBytesPerS, double linkBytesPerS) {
         this.maxBuffers = transferBytesPerS > 0 && linkBytesPerS > 0 ? maxBuffers : 0;
         this.transferBytesPerS = transferBytesPerS;
         this.linkBytesPerS = linkBytesPerS;
     }
 
-    /** Holds nothing. */
+    /** Returns a cache that stores nothing. */
     public static ResponseCache disabled() {
         return new ResponseCache(0, 0, 0);
     }
 
-    /** How long a transfer of so many bytes takes by itself. */
+    /** Returns how many microseconds a single transfer of this many bytes takes. */
     long transferUs(int bytes) {
         return (long) (bytes / transferBytesPerS * 1e6);
     }
 
-    /** How long it takes the front's link up. */
+    /** Returns for how many microseconds a transfer of this many bytes occupies the router's link. */
     long linkUs(int bytes) {
         return (long) (bytes / linkBytesPerS * 1e6);
     }
 
-    /** What it holds of what is asked for; null for nothing. */
+    /** Returns the copy of the requested part; null if there is none. */
     Copy find(PendingRequest.ClientRequest request) {
         Copy copy = copies.get(key(request));
-        // Different parts may share a key: then the newer has it.
+        // Different parts may share a key; the newer one then replaces the older.
         return copy != null && copy.matches(request) ? copy : null;
     }
 
-    /** Takes an answer in; it holds on to the body by itself. */
+    /** Stores a response unless it is too large, and retains its body by a reference of its own. */
     void store(PendingRequest.ClientRequest request, Body body, String tag, long originTimeMs) {
         if (body.buffers() > maxBuffers / MAX_COPY_DIVISOR) {
             return;
@@ -81,7 +84,7 @@
         }
     }
 
-    /** Lets go of an object or, with null, of a whole group. */
+    /** Removes the copies of an object or, if {@code object} is null, of a whole group. */
     void purge(Long object, int group) {
         Predicate<Copy> purged = copy -> object == null ? copy.group() == group : copy.object() == object;
         for (Iterator<Map.Entry<Long, Copy>> all = copies.entrySet().iterator(); all.hasNext(); ) {
@@ -93,7 +96,7 @@
         }
     }
 
-    /** Buffers held. */
+    /** Returns the number of buffers in use. */
     int heldBuffers() {
         return heldBuffers;
     }
--- a/src/main/java/magpiewheel/engine/ResponseListener.java
+++ b/src/main/java/magpiewheel/engine/ResponseListener.java
@@ -1,14 +1,17 @@
 package magpiewheel.engine;
 
-/** Sees every answer once it was written to its client. Called on the client's actor, so it must not wait. */
+/**
+ * Receives every response once it was written to its client. Called on the client connection's actor, so it must not
+ * block.
+ */
 public interface ResponseListener {
-    /** One that sees nothing. */
+    /** A listener that does nothing. */
     ResponseListener NONE = (addresses, request, classIndex, response, receivedAtUs, bytesSent, complete) -> {};
 
     /**
-     * An answer went out: {@code bytesSent} of it were given to the socket, frame included; {@code complete} says
-     * whether that was all. {@code request} is null for what was turned away before its fields were read,
-     * {@code classIndex} then negative if unknown.
+     * A response was written. {@code bytesSent} is the number of bytes given to the socket, including the frame;
+     * {@code complete} tells whether that was all of it. {@code request} is null if the request was rejected before its
+     * fields were read, and {@code classIndex} is then negative if unknown.
      */
     void responseSent(
             PendingRequest.ConnectionAddresses addresses,
--- a/src/main/java/magpiewheel/engine/ServiceStats.java
+++ b/src/main/java/magpiewheel/engine/ServiceStats.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLongArray;
 
-/** What operators are shown. Any thread may add to it and read it: nobody waits for an actor. */
+/** The figures shown to operators. Thread-safe: no update or read waits for an actor. */
 public final class ServiceStats {
     private static final String PREFIX = "gw.";
     private static final List<String> OUTCOMES = List.of("success", "busy", "failure");
@@ -17,14 +17,14 @@
     private volatile int runningPeers;
     private volatile Map<String, Long> optionalFigures = Map.of();
 
-    /** Figures of the classes with these names. */
+    /** Creates the figures for request classes with these names. */
     public ServiceStats(List<String> classes, Counters counters) {
         this.classes = classes;
         this.counters = counters;
         this.outcomeCounts = new AtomicLongArray(classes.size() * OUTCOMES.size());
     }
 
-    /** A client was given the final answer of a request. */
+    /** Counts a request whose final response was given to its client. */
     public void requestEnded(int classIndex, PendingRequest.Outcome outcome) {
         int outcomeIndex = switch (outcome) {
             case SERVED, UNCHANGED -> 0;
@@ -34,26 +34,27 @@
         outcomeCounts.incrementAndGet(classIndex * OUTCOMES.size() + outcomeIndex);
     }
 
-    /** How many nodes the list has, and how many of them get no new work now. */
+    /** Sets how many endpoints are listed, and how many of them currently receive no new requests. */
     void endpoints(int listed, int avoided) {
         listedEndpoints = listed;
         avoidedEndpoints = avoided;
     }
 
     /**
-     * What the front thinks of its view of the fleet (0 whole, 1 partial, 2 alone), and how many others it hears of.
+     * Sets the partition verdict of this router's membership view (0 complete, 1 partial, 2 isolated) and the number of
+     * running peers that it knows.
      */
     void membership(int verdict, int running) {
         partitionVerdict = verdict;
         runningPeers = running;
     }
 
-    /** What the module shows of parts that are off by preset. */
+    /** Sets the figures of the routing policy's features that are off by default. */
     void optionalFigures(Map<String, Long> figures) {
         optionalFigures = figures;
     }
 
-    /** All of them, a line each. */
+    /** Returns all figures, one per line. */
     public String format(int inFlight) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < outcomeCounts.length(); i++) {
--- a/src/main/java/magpiewheel/engine/Timers.java
+++ b/src/main/java/magpiewheel/engine/Timers.java
@@ -2,9 +2,14 @@
 
 import java.util.PriorityQueue;
 
-/** What the module's actor is to do at a time, in order; those for the same time in the order they were set. */
+/**
+ * The timers of the engine's actor, ordered by due time; timers due at the same time run in the order in which they
+ * were set.
+ */
 final class Timers {
-    /** One that is cancelled lets go of its action at once: requests are answered long before their deadline. */
+    /**
+     * A timer. A cancelled one drops its action at once, as requests are usually answered long before their deadline.
+     */
     static final class Timer implements Comparable<Timer> {
         private final long dueAtUs;
         private final long sequence;
@@ -16,7 +21,7 @@
             this.action = action;
         }
 
-        /** It does nothing any more. */
+        /** Cancels the timer. */
         void cancel() {
             action = null;
         }
@@ -37,32 +42,32 @@
         this.clock = clock;
     }
 
-    /** Does something at a time. */
+    /** Schedules an action for a time in Unix microseconds. */
     Timer schedule(long dueAtUs, Runnable action) {
         Timer timer = new Timer(dueAtUs, ++lastSequence, action);
         queue.add(timer);
         return timer;
     }
 
-    /** Does something as soon as the call of the module in hand is over, before anything else. */
+    /** Schedules an action to run right after the current call of the routing policy, before all other timers. */
     void runNext(Runnable action) {
         schedule(0, action);
     }
 
-    /** Microseconds until something is due; below 0 if nothing ever is. */
+    /** Returns the microseconds until the next timer is due; negative if there is none. */
     long untilDueUs() {
         Timer next = nextActive();
         return next == null ? -1 : Math.max(0, next.dueAtUs - clock.now());
     }
 
-    /** Does what is due. */
+    /** Runs the timers that are due. */
     void runDue() {
         for (Timer next = nextActive(); next != null && next.dueAtUs <= clock.now(); next = nextActive()) {
             queue.poll().action.run();
         }
     }
 
-    /** The next one that still has something to do. */
+    /** Returns the next timer that is not cancelled, or null. */
     private Timer nextActive() {
         while (!queue.isEmpty() && queue.peek().action == null) {
             queue.poll();
--- a/src/main/java/magpiewheel/engine/UnixClock.java
+++ b/src/main/java/magpiewheel/engine/UnixClock.java
@@ -6,28 +6,29 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongSupplier;
 
-/** Unix microseconds that never go back, whatever the system's clock does. */
+/** A clock of Unix microseconds that never goes back, even if the system clock is set back. Thread-safe. */
 public final class UnixClock {
     private static final long MICROS_PER_SECOND = 1_000_000;
-    /** What a new clock reads by itself; tests start a front with one that is off. */
+    /** The default time source; tests replace it to start a router with a wrong clock. */
     static volatile Clock systemClock = Clock.systemUTC();
 
     private final AtomicLong lastUs = new AtomicLong();
     private final InstantSource source;
 
-    /** The system's clock. */
+    /** Creates a clock that reads the system clock. */
     public UnixClock() {
         this(systemClock);
     }
 
-    /** A clock that reads another. */
+    /** Creates a clock that reads another time source. */
     public UnixClock(InstantSource source) {
         this.source = source;
     }
 
     /**
-     * Unix time at this moment and even from here on. One that only never goes back stands still where the system's was
-     * set back, and what was learnt of another clock by it is off by that.
+     * Returns a clock that starts at the current Unix time and then advances with {@link System#nanoTime}. A clock that
+     * merely never goes back stands still after the system clock is set back, and offsets of other clocks measured with
+     * it are then wrong by that amount.
      */
     public static UnixClock monotonic() {
         return monotonic(systemClock, System::nanoTime);
@@ -39,7 +40,7 @@
         return new UnixClock(() -> start.plusNanos(nanos.getAsLong() - startNanos));
     }
 
-    /** The time now. */
+    /** Returns the current time in Unix microseconds. */
     public long now() {
         Instant instant = source.instant();
         return lastUs.accumulateAndGet(
--- a/src/main/java/magpiewheel/engine/Upstream.java
+++ b/src/main/java/magpiewheel/engine/Upstream.java
@@ -2,14 +2,20 @@
 
 import java.util.List;
 
-/** What the core asks of whoever talks to the nodes. Called on the module's actor; none of it may wait. */
+/** Sends attempts to the endpoints. Called on the engine's actor, so no method may block. */
 public interface Upstream {
-    /** Takes an attempt; false where there is no room, which proves that nothing ran. */
+    /** Accepts an attempt; returns false if there is no room for it, which guarantees that nothing was sent. */
     boolean send(Attempt attempt);
 
-    /** Calls an attempt off; {@link Engine#attemptEnded} follows once that is written, or its answer comes first. */
+    /**
+     * Cancels an attempt. {@link Engine#attemptEnded} follows once the cancellation is written, unless the response
+     * arrives first.
+     */
     void cancel(Attempt attempt);
 
-    /** The list changed; a whole one names every node that is left. */
+    /**
+     * The endpoint list changed. If {@code complete}, the list names every remaining endpoint, otherwise only the
+     * changes.
+     */
     void endpointsChanged(List<ListedEndpoint> endpoints, boolean complete);
 }
--- a/src/main/java/magpiewheel/engine/UpstreamOutcome.java
+++ b/src/main/java/magpiewheel/engine/UpstreamOutcome.java
@@ -4,8 +4,9 @@
 import magpiewheel.routing.CacheStatus;
 
 /**
- * How a node's side saw an attempt end, and when (Unix us): an answer that waited here for its turn says nothing of how
- * long its node took. The body is set with {@code OK} unless the client's copy holds.
+ * How an attempt ended, as seen by the endpoint's actor. {@code endedAtUs} (Unix microseconds) is taken there because
+ * time spent in the engine's mailbox must not count as response time of the endpoint. The body is set if the result is
+ * {@code OK}, unless the client's copy is still current.
  */
 public record UpstreamOutcome(
         AttemptResult result,
@@ -16,7 +17,7 @@
         boolean unchanged,
         long endedAtUs,
         long originTimeMs) {
-    /** An end that brought no copy. */
+    /** Returns an outcome without a copy. */
     public static UpstreamOutcome of(AttemptResult result) {
         return new UpstreamOutcome(result, CacheStatus.UNKNOWN, 0, null, null, false, Long.MAX_VALUE, 0);
     }
--- a/src/main/java/magpiewheel/engine/WorkerPool.java
+++ b/src/main/java/magpiewheel/engine/WorkerPool.java
@@ -9,27 +9,31 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The threads that actors without one of their own take turns on. Where a machine holds a program to part of a core,
- * every thread costs, also one that only waits: with one for each client the waiting took most of that part.
+ * The threads on which actors without a thread of their own run their turns. Under a limit of a fraction of a core
+ * every thread costs CPU time, even an idle one: with a thread per client, waiting took most of that limit.
  *
- * <p>An actor may wait while it writes to a client that takes nothing. When all hands do so, others are hired.
+ * <p>An actor may block while it writes to a client that does not read. When all threads are blocked, the pool adds
+ * more.
  */
 public final class WorkerPool {
     private static final int MIN_THREADS = 3;
     private static final int MAX_THREADS = 64;
     private static final int STALL_CHECK_MS = 20;
-    /** Looks without any turn before a hand is hired: a program that is held back as a whole is not short of hands. */
+    /**
+     * Consecutive checks without a finished turn before a thread is added: if the whole process is throttled, more
+     * threads do not help.
+     */
     private static final int STALLED_CHECKS_TO_GROW = 3;
-    /** ms; a thread that nobody needs for so long ends. */
+    /** Milliseconds after which an idle surplus thread ends. */
     private static final int THREAD_IDLE_MS = 300;
-    /** Each actor stands in it once at most. */
+    /** Contains each actor at most once. */
     private final LinkedBlockingQueue<Actor> readyActors = new LinkedBlockingQueue<>();
 
     private final AtomicInteger threads = new AtomicInteger();
     private final AtomicLong turns = new AtomicLong();
     private final ScheduledThreadPoolExecutor timerExecutor =
             new ScheduledThreadPoolExecutor(1, body -> Actor.daemonThread("alarms", body));
-    /** Readers block for as long as their connection lives; a thread that is done takes the next connection. */
+    /** Readers block for the lifetime of their connection; a thread that has finished serves the next connection. */
     private final ThreadPoolExecutor readers = new ThreadPoolExecutor(
             0,
             Integer.MAX_VALUE,
@@ -41,7 +45,7 @@
     private long turnsAtLastCheck;
     private int stalledChecks;
 
-    /** Hires the first hands. */
+    /** Creates the pool and starts its initial threads. */
     public WorkerPool() {
         for (int i = 0; i < MIN_THREADS; i++) {
             addThread();
@@ -50,7 +54,10 @@
                 this::checkForStall, STALL_CHECK_MS, STALL_CHECK_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs the reader of a connection, on a thread that it has for itself. Connections bound their number. */
+    /**
+     * Runs the reader of a connection on a thread of its own; the number of threads is bounded by that of the
+     * connections.
+     */
     public void runReader(Runnable reader) {
         readers.execute(reader);
     }
@@ -59,12 +66,12 @@
         readyActors.add(actor);
     }
 
-    /** Gives the actor a turn after some time, whether it has a message or not. */
+    /** Schedules a turn of the actor after a delay, whether it has a message or not. */
     void scheduleWakeUp(Actor actor, long afterUs) {
         timerExecutor.schedule(actor::onWakeUp, Math.max(0, afterUs), TimeUnit.MICROSECONDS);
     }
 
-    /** Threads at work or waiting for it. */
+    /** Returns the number of worker threads, busy or idle. */
     public int threads() {
         return threads.get();
     }
--- a/src/main/java/magpiewheel/engine/package-info.java
+++ b/src/main/java/magpiewheel/engine/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The engine, which owns the decision module, its timers and the life of every request, and what it needs: actors and
- * their threads, pooled buffers, copies of the front's own, counters and the clock. It knows no wire.
+ * The engine, which runs the routing policy with its timers and manages every request, and what it needs: actors and
+ * their threads, pooled buffers, local copies, counters and the clock. It is independent of the wire protocols.
  */
 package magpiewheel.engine;
