--- a/src/main/java/magpiewheel/engine/Actor.java
+++ b/src/main/java/magpiewheel/engine/Actor.java
@@ -239,7 +239,7 @@
             work.run();
         } catch (RuntimeException e) {
             counters.add(Counter.FAULTS);
-            System.err.println(name + ": " + e + " at " + e.getStackTrace()[0]);
+            System.err.println("fault in actor " + name + ": " + e + " at " + e.getStackTrace()[0]);
         }
     }
 
--- a/src/main/java/magpiewheel/engine/Body.java
+++ b/src/main/java/magpiewheel/engine/Body.java
@@ -52,7 +52,7 @@
         if (remaining == 0) {
             pool.release(buffers);
         } else if (remaining < 0) {
-            throw new IllegalStateException("a body was released twice");
+            throw new IllegalStateException("body of " + length + " bytes released more often than retained");
         }
     }
 
@@ -61,7 +61,8 @@
         for (int i = 0, remaining = length; remaining > 0; i++) {
             int chunkBytes = Math.min(remaining, BufferPool.BUFFER_BYTES);
             if (in.readNBytes(buffers.get(i), 0, chunkBytes) < chunkBytes) {
-                throw new EOFException("the body ends early");
+                throw new EOFException(
+                        "body ended early after at least " + (length - remaining) + " of " + length + " bytes");
             }
             remaining -= chunkBytes;
         }
--- a/src/main/java/magpiewheel/engine/Engine.java
+++ b/src/main/java/magpiewheel/engine/Engine.java
@@ -58,7 +58,7 @@
             Upstream upstream,
             PeerTransport peers,
             ResponseCache responseCache) {
-        super("module", MAILBOX_CAPACITY, counters);
+        super("engine", MAILBOX_CAPACITY, counters);
         this.clock = clock;
         this.counters = counters;
         this.upstream = upstream;
--- a/src/main/java/magpiewheel/engine/WorkerPool.java
+++ b/src/main/java/magpiewheel/engine/WorkerPool.java
@@ -32,7 +32,7 @@
     private final AtomicInteger threads = new AtomicInteger();
     private final AtomicLong turns = new AtomicLong();
     private final ScheduledThreadPoolExecutor timerExecutor =
-            new ScheduledThreadPoolExecutor(1, body -> Actor.daemonThread("alarms", body));
+            new ScheduledThreadPoolExecutor(1, body -> Actor.daemonThread("timers", body));
     /** Readers block for the lifetime of their connection; a thread that has finished serves the next connection. */
     private final ThreadPoolExecutor readers = new ThreadPoolExecutor(
             0,
@@ -87,7 +87,7 @@
 
     private void addThread() {
         threads.incrementAndGet();
-        Actor.daemonThread("hand", this::runTurns).start();
+        Actor.daemonThread("worker", this::runTurns).start();
     }
 
     private void runTurns() {
