--- a/src/test/java/magpiewheel/engine/ActorTurnTest.java
+++ b/src/test/java/magpiewheel/engine/ActorTurnTest.java
@@ -19,7 +19,7 @@
         }
 
         /** What a reader does with a frame: behind it an answer waits in a write until the peer reads. */
-        void frameThenAnswer() {
+        void readFrameThenQueueWrite() {
             putAndRun(() -> {
                 handled.incrementAndGet();
                 offer(this::write);
@@ -38,16 +38,16 @@
 
     /** A reader that waited in a write would not hear that its peer is gone, or no longer waits. */
     @Test
-    void aReaderWorksOffItsOwnMessageAndNoOther() throws InterruptedException {
+    void readerHandlesOnlyItsOwnMessage() throws InterruptedException {
         Connection connection = new Connection(new Counters());
         connection.start(new WorkerPool());
-        CountDownLatch readOn = new CountDownLatch(1);
+        CountDownLatch readerContinued = new CountDownLatch(1);
         Thread reader = Actor.daemonThread("reader", () -> {
-            connection.frameThenAnswer();
-            readOn.countDown();
+            connection.readFrameThenQueueWrite();
+            readerContinued.countDown();
         });
         reader.start();
-        assertTrue(readOn.await(10, TimeUnit.SECONDS), "the reader waits in a write");
+        assertTrue(readerContinued.await(10, TimeUnit.SECONDS), "the reader waits in a write");
         assertEquals(1, connection.handled.get());
         connection.writable.countDown();
         assertTrue(connection.written.await(10, TimeUnit.SECONDS));
--- a/src/test/java/magpiewheel/engine/CoreTest.java
+++ b/src/test/java/magpiewheel/engine/CoreTest.java
@@ -23,7 +23,7 @@
     private final UnixClock clock = new UnixClock();
     /** A system's clock may be set back; the module's must not be. */
     @Test
-    void theClockNeverGoesBack() {
+    void clockNeverGoesBack() {
         ArrayDeque<Instant> times = new ArrayDeque<>(
                 List.of(Instant.ofEpochSecond(50, 1_500), Instant.ofEpochSecond(40), Instant.ofEpochSecond(51)));
         UnixClock clock = new UnixClock(new Clock() {
@@ -49,7 +49,7 @@
      * What pinned reads learn of the origin's clock is measured by one that runs evenly, wherever the system's is set.
      */
     @Test
-    void anEvenClockDoesNotFollowTheSystems() {
+    void monotonicClockIgnoresSystemClockChanges() {
         ArrayDeque<Instant> times = new ArrayDeque<>(List.of(Instant.ofEpochSecond(50), Instant.ofEpochSecond(40)));
         ArrayDeque<Long> nanos = new ArrayDeque<>(List.of(7L, 1_000_007L, 3_000_007L));
         UnixClock clock = UnixClock.monotonic(times::poll, nanos::poll);
@@ -58,7 +58,7 @@
 
     /** A body gets all its room or none: readers with a part each would wait for one another. */
     @Test
-    void thePoolIsBoundedAndItsBuffersComeBack() {
+    void poolIsBoundedAndReusesReleasedBuffers() {
         Counters counters = new Counters();
         BufferPool pool = new BufferPool(4, counters);
         Body body = pool.acquire(3 * BufferPool.BUFFER_BYTES, 0);
@@ -73,12 +73,12 @@
         assertNotNull(pool.acquire(4 * BufferPool.BUFFER_BYTES, 0));
     }
 
-    private static final class Box extends Actor {
-        Box() {
+    private static final class TestActor extends Actor {
+        TestActor() {
             super("box", 1, new Counters());
         }
 
-        boolean leave(Runnable message) {
+        boolean enqueue(Runnable message) {
             return offer(message);
         }
 
@@ -89,30 +89,30 @@
 
     /** A full mailbox says so at once, and a fault costs only the message that met it. */
     @Test
-    void aMailboxIsBoundedAndAnActorOutlivesAFault() throws InterruptedException {
-        Box box = new Box();
-        assertTrue(box.leave(() -> {
+    void mailboxIsBoundedAndActorSurvivesAFault() throws InterruptedException {
+        TestActor actor = new TestActor();
+        assertTrue(actor.enqueue(() -> {
             throw new IllegalStateException("on purpose");
         }));
-        assertFalse(box.leave(() -> {}));
-        box.start();
+        assertFalse(actor.enqueue(() -> {}));
+        actor.start();
         CountDownLatch done = new CountDownLatch(1);
-        while (!box.leave(done::countDown)) {
+        while (!actor.enqueue(done::countDown)) {
             Thread.onSpinWait();
         }
         assertTrue(done.await(10, TimeUnit.SECONDS));
-        box.end();
-        assertFalse(box.leave(() -> {}));
+        actor.end();
+        assertFalse(actor.enqueue(() -> {}));
     }
 
     /** Turns keep the order and never overlap; the reserve is there when the mailbox is full; the end comes once. */
     @Test
-    void anActorOfTheCrewKeepsOrderAndItsReserve() throws InterruptedException {
-        WorkerPool crew = new WorkerPool();
+    void pooledActorKeepsOrderAndReserve() throws InterruptedException {
+        WorkerPool pool = new WorkerPool();
         List<Integer> seen = new ArrayList<>();
-        CountDownLatch left = new CountDownLatch(1);
-        final class Kept extends Actor {
-            Kept() {
+        CountDownLatch terminated = new CountDownLatch(1);
+        final class OrderedActor extends Actor {
+            OrderedActor() {
                 super("kept", 2, 1, new Counters());
             }
 
@@ -124,8 +124,8 @@
                         && !offerReserved(() -> seen.add(-1));
             }
 
-            void say(int what) {
-                put(() -> seen.add(what));
+            void enqueue(int value) {
+                put(() -> seen.add(value));
             }
 
             void end() {
@@ -134,34 +134,34 @@
 
             @Override
             protected void onTerminated() {
-                left.countDown();
+                terminated.countDown();
             }
         }
-        Kept actor = new Kept();
+        OrderedActor actor = new OrderedActor();
         assertTrue(actor.fill(0));
-        actor.start(crew);
+        actor.start(pool);
         for (int i = 3; i < 1_000; i++) {
-            actor.say(i);
+            actor.enqueue(i);
         }
         actor.end();
-        assertTrue(left.await(10, TimeUnit.SECONDS));
+        assertTrue(terminated.await(10, TimeUnit.SECONDS));
         assertEquals(java.util.stream.IntStream.range(0, 1_000).boxed().toList(), seen);
     }
 
     /** What comes while a reader works its message off may wait in a write; the reader goes back to its connection. */
     @Test
-    void aReaderWorksOffNothingButItsOwnMessage() throws InterruptedException {
-        CountDownLatch go = new CountDownLatch(1);
+    void readerHandlesOnlyItsOwnMessage() throws InterruptedException {
+        CountDownLatch release = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(1);
-        final class Written extends Actor {
-            Written() {
+        final class BlockingWriter extends Actor {
+            BlockingWriter() {
                 super("written", 4, new Counters());
             }
 
             void read() {
                 putAndRun(() -> put(() -> {
                     try {
-                        go.await();
+                        release.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
@@ -169,48 +169,48 @@
                 }));
             }
         }
-        Written actor = new Written();
+        BlockingWriter actor = new BlockingWriter();
         actor.start(new WorkerPool());
         Thread reader = new Thread(actor::read);
         reader.setDaemon(true);
         reader.start();
         reader.join(TimeUnit.SECONDS.toMillis(10));
         assertFalse(reader.isAlive(), "the reader waits in what came behind its message");
-        go.countDown();
+        release.countDown();
         assertTrue(done.await(10, TimeUnit.SECONDS));
     }
 
     /** Hands that all wait for clients that take nothing must not keep the others' actors from their turns. */
     @Test
-    void handsThatWaitAreReplaced() throws InterruptedException {
-        WorkerPool crew = new WorkerPool();
-        CountDownLatch go = new CountDownLatch(1);
+    void blockedThreadsAreReplaced() throws InterruptedException {
+        WorkerPool pool = new WorkerPool();
+        CountDownLatch release = new CountDownLatch(1);
         CountDownLatch served = new CountDownLatch(1);
         for (int i = 0; i < 10; i++) {
-            Box stuck = new Box();
-            stuck.start(crew);
-            assertTrue(stuck.leave(() -> {
+            TestActor blocked = new TestActor();
+            blocked.start(pool);
+            assertTrue(blocked.enqueue(() -> {
                 try {
-                    go.await();
+                    release.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             }));
         }
-        Box other = new Box();
-        other.start(crew);
-        assertTrue(other.leave(served::countDown));
+        TestActor other = new TestActor();
+        other.start(pool);
+        assertTrue(other.enqueue(served::countDown));
         assertTrue(served.await(10, TimeUnit.SECONDS));
-        assertTrue(crew.threads() > 10);
-        go.countDown();
+        assertTrue(pool.threads() > 10);
+        release.countDown();
     }
 
     /** An actor with something to wait for gets its turn without a message. */
     @Test
-    void anActorOfTheCrewIsWoken() throws InterruptedException {
-        CountDownLatch looks = new CountDownLatch(5);
-        final class Looks extends Actor {
-            Looks() {
+    void pooledActorIsWokenForDueWork() throws InterruptedException {
+        CountDownLatch dueCalls = new CountDownLatch(5);
+        final class DueWorkActor extends Actor {
+            DueWorkActor() {
                 super("looks", 1, new Counters());
             }
 
@@ -226,24 +226,24 @@
 
             @Override
             protected void runDueWork() {
-                looks.countDown();
+                dueCalls.countDown();
             }
         }
-        new Looks().begin();
-        assertTrue(looks.await(10, TimeUnit.SECONDS));
+        new DueWorkActor().begin();
+        assertTrue(dueCalls.await(10, TimeUnit.SECONDS));
     }
 
     /** The promise of one final answer holds even where the module says nothing at all, or its node never ends. */
     @Test
-    void aRequestThatTheModuleForgetsIsFailedOnceAndInTime() throws InterruptedException {
+    void requestIgnoredByThePolicyFailsOnceAfterItsDeadline() throws InterruptedException {
         // On a late machine a request may be taken past its deadline only: then the next one gets more time.
-        for (long patienceUs = 50_000; counters.get(Counter.OVERDUE) == 0; patienceUs *= 10) {
+        for (long timeBudgetUs = 50_000; counters.get(Counter.OVERDUE) == 0; timeBudgetUs *= 10) {
             long now = clock.now();
-            assertTrue(patienceUs < 10_000_000, "the module was never asked");
+            assertTrue(timeBudgetUs < 10_000_000, "the module was never asked");
             assertEquals(
                     List.of(PendingRequest.Response.failed()),
-                    answersOfASilentModule(now, now + patienceUs, now + patienceUs));
-            assertTrue(clock.now() >= now + patienceUs, "not before its deadline");
+                    responsesWithSilentPolicy(now, now + timeBudgetUs, now + timeBudgetUs));
+            assertTrue(clock.now() >= now + timeBudgetUs, "not before its deadline");
         }
         assertEquals(1, counters.get(Counter.OVERDUE));
     }
@@ -253,25 +253,25 @@
      * pause.
      */
     @Test
-    void aRequestIsRefusedWhereTheFrontEndsBeforeTheClientsPatience() throws InterruptedException {
+    void requestIsRejectedIfTheRouterEndsBeforeTheClientDeadline() throws InterruptedException {
         long now = clock.now();
         long hour = TimeUnit.HOURS.toMicros(1);
-        List<PendingRequest.Response> refused = List.of(PendingRequest.Response.rejected(300_000));
-        assertEquals(refused, answersOfASilentModule(now, now + hour, now - 1), "taken too late");
-        assertEquals(refused, answersOfASilentModule(now, now + hour, now + 50_000), "taken, and then left");
+        List<PendingRequest.Response> rejected = List.of(PendingRequest.Response.rejected(300_000));
+        assertEquals(rejected, responsesWithSilentPolicy(now, now + hour, now - 1), "taken too late");
+        assertEquals(rejected, responsesWithSilentPolicy(now, now + hour, now + 50_000), "taken, and then left");
         assertEquals(
                 List.of(PendingRequest.Response.failed()),
-                answersOfASilentModule(now, now, now - 1),
+                responsesWithSilentPolicy(now, now, now - 1),
                 "nobody waits any more");
         assertEquals(2, counters.get(Counter.REFUSED));
     }
 
     /** What a request is answered, in the end, by an engine whose module does nothing. */
-    private List<PendingRequest.Response> answersOfASilentModule(long now, long patientUntil, long deadline)
+    private List<PendingRequest.Response> responsesWithSilentPolicy(long now, long clientDeadlineUs, long deadlineUs)
             throws InterruptedException {
         RoutingPolicy silent = EngineStubs.routingPolicy((method, arguments) -> null);
         Engine engine = new Engine(
-                EngineStubs.settings(EngineStubs.reads()),
+                EngineStubs.settings(EngineStubs.idempotentReads()),
                 actions -> silent,
                 clock,
                 counters,
@@ -279,15 +279,15 @@
                 (to, message) -> {},
                 ResponseCache.disabled());
         engine.start();
-        List<PendingRequest.Response> answers = new ArrayList<>();
-        CountDownLatch answered = new CountDownLatch(1);
-        PendingRequest call = new PendingRequest(
+        List<PendingRequest.Response> responses = new ArrayList<>();
+        CountDownLatch responded = new CountDownLatch(1);
+        PendingRequest request = new PendingRequest(
                 new PendingRequest.ClientRequest("1", 0, "v", 1, 0, 0, 0, 1, null, null, null),
                 new PendingRequest.Responder() {
                     @Override
-                    public void respond(PendingRequest of, PendingRequest.Response answer) {
-                        answers.add(answer);
-                        answered.countDown();
+                    public void respond(PendingRequest pending, PendingRequest.Response response) {
+                        responses.add(response);
+                        responded.countDown();
                     }
 
                     @Override
@@ -296,11 +296,11 @@
                     }
                 },
                 now,
-                patientUntil,
-                deadline);
-        engine.submit(call);
-        assertTrue(answered.await(10, TimeUnit.SECONDS));
-        engine.clientDisconnected(call);
-        return answers;
+                clientDeadlineUs,
+                deadlineUs);
+        engine.submit(request);
+        assertTrue(responded.await(10, TimeUnit.SECONDS));
+        engine.clientDisconnected(request);
+        return responses;
     }
 }
--- a/src/test/java/magpiewheel/engine/EngineStubs.java
+++ b/src/test/java/magpiewheel/engine/EngineStubs.java
@@ -15,12 +15,12 @@
 
 /** What tests of the engine and its wires put in the place of the settings, the module and the nodes. */
 public final class EngineStubs {
-    private static final int MOST_ATTEMPTS = 8;
-    private static final int MOST_OPEN = 100;
-    private static final long MOST_RETRY_AFTER_US = 1_000_000;
+    private static final int MAX_ATTEMPTS = 8;
+    private static final int MAX_IN_FLIGHT = 100;
+    private static final long MAX_RETRY_AFTER_US = 1_000_000;
 
     /** What a module does with a call: it returns the result, or null for the usual one. */
-    public interface Script {
+    public interface PolicyScript {
         /** A method of the module was called. */
         Object invoked(String method, Object[] arguments);
     }
@@ -38,11 +38,11 @@
                                 .originKind(-1)
                                 .build(),
                         List.of(classes),
-                        RequestLimits.builder(MOST_ATTEMPTS)
+                        RequestLimits.builder(MAX_ATTEMPTS)
                                 .mayCancel(true)
                                 .maySendRetryAfter(true)
-                                .maxInFlight(MOST_OPEN)
-                                .maxRetryAfterUs(MOST_RETRY_AFTER_US)
+                                .maxInFlight(MAX_IN_FLIGHT)
+                                .maxRetryAfterUs(MAX_RETRY_AFTER_US)
                                 .build(),
                         null)
                 .overQuotaPriorityWeight(0)
@@ -50,21 +50,21 @@
     }
 
     /** A class of requests of which only this matters. */
-    public static RequestClass requestClass(Idempotency effect, boolean write, long repeatWindowUs) {
+    public static RequestClass requestClass(Idempotency idempotency, boolean write, long idempotencyWindowUs) {
         return RequestClass.builder(1, 1)
-                .idempotency(effect)
-                .idempotencyWindowUs(repeatWindowUs)
+                .idempotency(idempotency)
+                .idempotencyWindowUs(idempotencyWindowUs)
                 .write(write)
                 .build();
     }
 
     /** A class of reads that may be repeated. */
-    public static RequestClass reads() {
+    public static RequestClass idempotentReads() {
         return requestClass(Idempotency.IDEMPOTENT, false, 0);
     }
 
     /** A module that lets every answer pass as it is, and else does what the script says. */
-    public static RoutingPolicy routingPolicy(Script script) {
+    public static RoutingPolicy routingPolicy(PolicyScript script) {
         return proxy(RoutingPolicy.class, (proxy, method, arguments) -> {
             Object result = script.invoked(method.getName(), arguments);
             if (result != null) {
@@ -101,7 +101,7 @@
             public void cancel(Attempt attempt) {}
 
             @Override
-            public void endpointsChanged(List<ListedEndpoint> nodes, boolean whole) {}
+            public void endpointsChanged(List<ListedEndpoint> endpoints, boolean complete) {}
         };
     }
 }
--- a/src/test/java/magpiewheel/engine/ServiceStatsGoldenTest.java
+++ b/src/test/java/magpiewheel/engine/ServiceStatsGoldenTest.java
@@ -28,13 +28,13 @@
     /** As {@code GET /admin/stats} answers. */
     @Test
     public void figuresKeepTheirNamesAndOrder() {
-        ServiceStats figures = new ServiceStats(List.of("video", "static"), new Counters());
-        Map<String, Long> parts = new LinkedHashMap<>();
-        parts.put("region_verdict", 1L);
-        figures.optionalFigures(parts);
-        figures.requestEnded(1, PendingRequest.Outcome.REJECTED);
+        ServiceStats stats = new ServiceStats(List.of("video", "static"), new Counters());
+        Map<String, Long> optionalFigures = new LinkedHashMap<>();
+        optionalFigures.put("region_verdict", 1L);
+        stats.optionalFigures(optionalFigures);
+        stats.requestEnded(1, PendingRequest.Outcome.REJECTED);
         assertEquals(
-                figures.format(3).replace("\n", " "),
+                stats.format(3).replace("\n", " "),
                 "gw.success.video=0 gw.busy.video=0 gw.failure.video=0 gw.success.static=0 "
                         + "gw.busy.static=1 gw.failure.static=0 gw.backend_calls=0 gw.inflight=3 "
                         + "gw.hosts_listed=0 gw.hosts_down=0 gw.fleet_verdict=0 gw.fleet_heard=0 gw.hinted=0 "
--- a/src/test/java/magpiewheel/resp/AbandonedRequestTest.java
+++ b/src/test/java/magpiewheel/resp/AbandonedRequestTest.java
@@ -89,7 +89,7 @@
         Counters counters = new Counters();
         UnixClock clock = new UnixClock();
         engine = new Engine(
-                EngineStubs.settings(EngineStubs.reads()),
+                EngineStubs.settings(EngineStubs.idempotentReads()),
                 AbandonedRequestTest::module,
                 clock,
                 counters,
--- a/src/test/java/magpiewheel/resp/ClientConnectionTest.java
+++ b/src/test/java/magpiewheel/resp/ClientConnectionTest.java
@@ -179,7 +179,7 @@
 
     private Engine engine(Module module) {
         Engine engine = new Engine(
-                EngineStubs.settings(EngineStubs.reads()),
+                EngineStubs.settings(EngineStubs.idempotentReads()),
                 actions -> EngineStubs.routingPolicy((method, arguments) -> {
                     module.told(actions, method, arguments);
                     return null;
--- a/src/test/java/magpiewheel/upstream/NodeRig.java
+++ b/src/test/java/magpiewheel/upstream/NodeRig.java
@@ -170,7 +170,7 @@
 
     private static RoutingSettings settings() {
         return EngineStubs.settings(
-                EngineStubs.reads(),
+                EngineStubs.idempotentReads(),
                 EngineStubs.requestClass(Idempotency.KEYED, false, WINDOW_US),
                 EngineStubs.requestClass(Idempotency.NOT_IDEMPOTENT, false, WINDOW_US));
     }
