--- a/src/test/java/magpiewheel/engine/ActorTurnTest.java
+++ b/src/test/java/magpiewheel/engine/ActorTurnTest.java
@@ -18,7 +18,9 @@
             super("connection", 8, counters);
         }
 
-        /** What a reader does with a frame: behind it an answer waits in a write until the peer reads. */
+        /**
+         * Does what a reader does with a frame; the response queued behind it blocks in a write until the peer reads.
+         */
         void readFrameThenQueueWrite() {
             putAndRun(() -> {
                 handled.incrementAndGet();
@@ -36,7 +38,7 @@
         }
     }
 
-    /** A reader that waited in a write would not hear that its peer is gone, or no longer waits. */
+    /** A reader blocked in a write would not notice that its peer has gone or no longer waits. */
     @Test
     void readerHandlesOnlyItsOwnMessage() throws InterruptedException {
         Connection connection = new Connection(new Counters());
@@ -47,7 +49,7 @@
             readerContinued.countDown();
         });
         reader.start();
-        assertTrue(readerContinued.await(10, TimeUnit.SECONDS), "the reader waits in a write");
+        assertTrue(readerContinued.await(10, TimeUnit.SECONDS), "the reader is blocked in a write");
         assertEquals(1, connection.handled.get());
         connection.writable.countDown();
         assertTrue(connection.written.await(10, TimeUnit.SECONDS));
--- a/src/test/java/magpiewheel/engine/CoreTest.java
+++ b/src/test/java/magpiewheel/engine/CoreTest.java
@@ -21,7 +21,7 @@
 class CoreTest {
     private final Counters counters = new Counters();
     private final UnixClock clock = new UnixClock();
-    /** A system's clock may be set back; the module's must not be. */
+    /** The system clock may be set back; the time that the routing policy sees must not go back. */
     @Test
     void clockNeverGoesBack() {
         ArrayDeque<Instant> times = new ArrayDeque<>(
@@ -46,7 +46,8 @@
     }
 
     /**
-     * What pinned reads learn of the origin's clock is measured by one that runs evenly, wherever the system's is set.
+     * Pinned reads measure the offset of the origin's clock, so they need a clock that a change of the system clock
+     * does not shift.
      */
     @Test
     void monotonicClockIgnoresSystemClockChanges() {
@@ -56,7 +57,7 @@
         assertEquals(List.of(50_001_000L, 50_003_000L), List.of(clock.now(), clock.now()));
     }
 
-    /** A body gets all its room or none: readers with a part each would wait for one another. */
+    /** A body gets all of its buffers or none: readers that each held a part could deadlock. */
     @Test
     void poolIsBoundedAndReusesReleasedBuffers() {
         Counters counters = new Counters();
@@ -75,7 +76,7 @@
 
     private static final class TestActor extends Actor {
         TestActor() {
-            super("box", 1, new Counters());
+            super("test", 1, new Counters());
         }
 
         boolean enqueue(Runnable message) {
@@ -87,12 +88,12 @@
         }
     }
 
-    /** A full mailbox says so at once, and a fault costs only the message that met it. */
+    /** A full mailbox refuses a message at once, and a fault affects only the message that triggered it. */
     @Test
     void mailboxIsBoundedAndActorSurvivesAFault() throws InterruptedException {
         TestActor actor = new TestActor();
         assertTrue(actor.enqueue(() -> {
-            throw new IllegalStateException("on purpose");
+            throw new IllegalStateException("deliberate fault");
         }));
         assertFalse(actor.enqueue(() -> {}));
         actor.start();
@@ -105,7 +106,10 @@
         assertFalse(actor.enqueue(() -> {}));
     }
 
-    /** Turns keep the order and never overlap; the reserve is there when the mailbox is full; the end comes once. */
+    /**
+     * Turns keep the order and never overlap, the reserve accepts messages when the mailbox is full, and the actor
+     * terminates exactly once.
+     */
     @Test
     void pooledActorKeepsOrderAndReserve() throws InterruptedException {
         WorkerPool pool = new WorkerPool();
@@ -113,7 +117,7 @@
         CountDownLatch terminated = new CountDownLatch(1);
         final class OrderedActor extends Actor {
             OrderedActor() {
-                super("kept", 2, 1, new Counters());
+                super("ordered", 2, 1, new Counters());
             }
 
             boolean fill(int from) {
@@ -148,14 +152,17 @@
         assertEquals(java.util.stream.IntStream.range(0, 1_000).boxed().toList(), seen);
     }
 
-    /** What comes while a reader works its message off may wait in a write; the reader goes back to its connection. */
+    /**
+     * A message that arrives while a reader handles its own may block in a write; the reader must return to its
+     * connection.
+     */
     @Test
     void readerHandlesOnlyItsOwnMessage() throws InterruptedException {
         CountDownLatch release = new CountDownLatch(1);
         CountDownLatch done = new CountDownLatch(1);
         final class BlockingWriter extends Actor {
             BlockingWriter() {
-                super("written", 4, new Counters());
+                super("writer", 4, new Counters());
             }
 
             void read() {
@@ -175,12 +182,12 @@
         reader.setDaemon(true);
         reader.start();
         reader.join(TimeUnit.SECONDS.toMillis(10));
-        assertFalse(reader.isAlive(), "the reader waits in what came behind its message");
+        assertFalse(reader.isAlive(), "the reader is blocked in a message queued after its own");
         release.countDown();
         assertTrue(done.await(10, TimeUnit.SECONDS));
     }
 
-    /** Hands that all wait for clients that take nothing must not keep the others' actors from their turns. */
+    /** If all threads are blocked by clients that do not read, other actors must still get their turns. */
     @Test
     void blockedThreadsAreReplaced() throws InterruptedException {
         WorkerPool pool = new WorkerPool();
@@ -205,13 +212,13 @@
         release.countDown();
     }
 
-    /** An actor with something to wait for gets its turn without a message. */
+    /** An actor with due work gets its turns without a message. */
     @Test
     void pooledActorIsWokenForDueWork() throws InterruptedException {
         CountDownLatch dueCalls = new CountDownLatch(5);
         final class DueWorkActor extends Actor {
             DueWorkActor() {
-                super("looks", 1, new Counters());
+                super("due work", 1, new Counters());
             }
 
             void begin() {
@@ -233,40 +240,44 @@
         assertTrue(dueCalls.await(10, TimeUnit.SECONDS));
     }
 
-    /** The promise of one final answer holds even where the module says nothing at all, or its node never ends. */
+    /** Each request gets exactly one final response, even if the routing policy never acts on it. */
     @Test
     void requestIgnoredByThePolicyFailsOnceAfterItsDeadline() throws InterruptedException {
-        // On a late machine a request may be taken past its deadline only: then the next one gets more time.
+        // On a slow machine the engine may receive the request only after its deadline; the next one then gets more
+        // time.
         for (long timeBudgetUs = 50_000; counters.get(Counter.OVERDUE) == 0; timeBudgetUs *= 10) {
             long now = clock.now();
-            assertTrue(timeBudgetUs < 10_000_000, "the module was never asked");
+            assertTrue(timeBudgetUs < 10_000_000, "no request reached the routing policy before its deadline");
             assertEquals(
                     List.of(PendingRequest.Response.failed()),
                     responsesWithSilentPolicy(now, now + timeBudgetUs, now + timeBudgetUs));
-            assertTrue(clock.now() >= now + timeBudgetUs, "not before its deadline");
+            assertTrue(clock.now() >= now + timeBudgetUs, "failed before its deadline");
         }
         assertEquals(1, counters.get(Counter.OVERDUE));
     }
 
     /**
-     * Where only the front's own end leaves no time, and nothing was sent, another front may serve it: refused, with a
-     * pause.
+     * If time runs out only because the router shuts down, and nothing was sent, another router may serve the request:
+     * it is rejected with a retry-after time.
      */
     @Test
     void requestIsRejectedIfTheRouterEndsBeforeTheClientDeadline() throws InterruptedException {
         long now = clock.now();
         long hour = TimeUnit.HOURS.toMicros(1);
         List<PendingRequest.Response> rejected = List.of(PendingRequest.Response.rejected(300_000));
-        assertEquals(rejected, responsesWithSilentPolicy(now, now + hour, now - 1), "taken too late");
-        assertEquals(rejected, responsesWithSilentPolicy(now, now + hour, now + 50_000), "taken, and then left");
+        assertEquals(rejected, responsesWithSilentPolicy(now, now + hour, now - 1), "received after the deadline");
+        assertEquals(
+                rejected,
+                responsesWithSilentPolicy(now, now + hour, now + 50_000),
+                "received in time, never answered by the policy");
         assertEquals(
                 List.of(PendingRequest.Response.failed()),
                 responsesWithSilentPolicy(now, now, now - 1),
-                "nobody waits any more");
+                "the client's deadline has passed");
         assertEquals(2, counters.get(Counter.REFUSED));
     }
 
-    /** What a request is answered, in the end, by an engine whose module does nothing. */
+    /** Returns the responses to a request from an engine whose routing policy does nothing. */
     private List<PendingRequest.Response> responsesWithSilentPolicy(long now, long clientDeadlineUs, long deadlineUs)
             throws InterruptedException {
         RoutingPolicy silent = EngineStubs.routingPolicy((method, arguments) -> null);
--- a/src/test/java/magpiewheel/engine/EngineStubs.java
+++ b/src/test/java/magpiewheel/engine/EngineStubs.java
@@ -13,21 +13,27 @@
 import magpiewheel.routing.RoutingPolicy;
 import magpiewheel.routing.RoutingSettings;
 
-/** What tests of the engine and its wires put in the place of the settings, the module and the nodes. */
+/**
+ * Stand-ins for the settings, the routing policy and the endpoints, for tests of the engine and the protocols around
+ * it.
+ */
 public final class EngineStubs {
     private static final int MAX_ATTEMPTS = 8;
     private static final int MAX_IN_FLIGHT = 100;
     private static final long MAX_RETRY_AFTER_US = 1_000_000;
 
-    /** What a module does with a call: it returns the result, or null for the usual one. */
+    /** Scripted behaviour of a routing policy; returns the result of a call, or null for the default one. */
     public interface PolicyScript {
-        /** A method of the module was called. */
+        /** Handles a call of a method of the routing policy. */
         Object invoked(String method, Object[] arguments);
     }
 
     private EngineStubs() {}
 
-    /** Settings of a front that is alone, with these classes; cancels are allowed, and a second attempt is not. */
+    /**
+     * Returns the settings of a single router with these request classes; attempts may be cancelled, hedged requests
+     * are not allowed.
+     */
     public static RoutingSettings settings(RequestClass... classes) {
         return RoutingSettings.builder(
                         RouterTopology.builder(0, 1, 0)
@@ -49,7 +55,7 @@
                 .build();
     }
 
-    /** A class of requests of which only this matters. */
+    /** Returns a request class in which only these properties matter. */
     public static RequestClass requestClass(Idempotency idempotency, boolean write, long idempotencyWindowUs) {
         return RequestClass.builder(1, 1)
                 .idempotency(idempotency)
@@ -58,12 +64,12 @@
                 .build();
     }
 
-    /** A class of reads that may be repeated. */
+    /** Returns a class of idempotent reads. */
     public static RequestClass idempotentReads() {
         return requestClass(Idempotency.IDEMPOTENT, false, 0);
     }
 
-    /** A module that lets every answer pass as it is, and else does what the script says. */
+    /** Returns a routing policy that delivers every response unchanged, and otherwise does what the script says. */
     public static RoutingPolicy routingPolicy(PolicyScript script) {
         return proxy(RoutingPolicy.class, (proxy, method, arguments) -> {
             Object result = script.invoked(method.getName(), arguments);
@@ -78,7 +84,10 @@
         });
     }
 
-    /** Reads of bounded staleness of which all say the same of being unproven. */
+    /**
+     * Returns bounded-staleness reads that give the same answer for every request when asked whether its bound is
+     * unproven.
+     */
     public static BoundedReads boundedReads(boolean unproven) {
         return proxy(
                 BoundedReads.class,
@@ -89,7 +98,7 @@
         return type.cast(Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, handler));
     }
 
-    /** Nodes that take every attempt and answer none. */
+    /** Returns endpoints that accept and record every attempt and respond to none. */
     public static Upstream recordingUpstream(Collection<Attempt> sent) {
         return new Upstream() {
             @Override
--- a/src/test/java/magpiewheel/engine/ResponseCacheTest.java
+++ b/src/test/java/magpiewheel/engine/ResponseCacheTest.java
@@ -20,7 +20,7 @@
         body.release();
     }
 
-    /** What was used longest ago goes, and all room comes back to the pool. */
+    /** The least recently used copy is evicted, and its buffers return to the pool. */
     @Test
     void evictsLeastRecentlyUsedCopyWhenFull() {
         for (long object = 1; object <= 16; object++) {
@@ -29,13 +29,13 @@
         assertEquals(32, responseCache.heldBuffers());
         assertNotNull(responseCache.find(request(1, 0, 0)));
         store(17, 0, 2);
-        assertNull(responseCache.find(request(2, 0, 0)), "used longest ago");
+        assertNull(responseCache.find(request(2, 0, 0)), "least recently used copy is evicted");
         assertNotNull(responseCache.find(request(1, 0, 0)));
-        assertNull(responseCache.find(request(1, 1, 0)), "another part");
+        assertNull(responseCache.find(request(1, 1, 0)), "another part is not stored");
         store(18, 0, 3);
-        assertNull(responseCache.find(request(18, 0, 0)), "too large a part of all");
+        assertNull(responseCache.find(request(18, 0, 0)), "copy larger than the allowed fraction of the cache");
         store(1, 0, 1);
-        assertEquals(31, responseCache.heldBuffers(), "a newer copy takes the place of the older");
+        assertEquals(31, responseCache.heldBuffers(), "a newer copy replaces the older one");
         assertEquals(100 - 31, pool.available());
     }
 
--- a/src/test/java/magpiewheel/engine/ResponseDeliveryTest.java
+++ b/src/test/java/magpiewheel/engine/ResponseDeliveryTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Every answer is shown to the module before it is passed on, whatever way its copy came. */
+/** The routing policy checks every response before it is delivered, whatever the source of its copy. */
 class ResponseDeliveryTest {
     private static final int BUFFERS = 64;
     private static final int BODY_BYTES = 5_000;
@@ -36,7 +36,7 @@
             .revalidate(true)
             .build();
 
-    /** The ways by which a copy reaches a client. */
+    /** The sources of a copy, and whether the client already holds it. */
     enum CopySource {
         HIT,
         COALESCED,
@@ -70,8 +70,8 @@
             responseCache);
 
     /**
-     * A module that sends each request once, or serves the own copy, and lets nothing pass that is older than the
-     * bound.
+     * Returns a routing policy that sends each request once or serves the local copy, and delivers no copy that is
+     * older than the bound.
      */
     private RoutingPolicy deliveringPolicy(RoutingActions givenActions) {
         actions = givenActions;
@@ -145,7 +145,7 @@
     }
 
     private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
-        return java.util.Objects.requireNonNull(queue.poll(10, TimeUnit.SECONDS), "nothing came");
+        return java.util.Objects.requireNonNull(queue.poll(10, TimeUnit.SECONDS), "nothing arrived within 10 s");
     }
 
     private UpstreamOutcome responseWithCopy(CacheStatus cacheStatus, boolean unchanged, long originTimeMs) {
@@ -160,7 +160,7 @@
                 originTimeMs);
     }
 
-    /** Lets a copy come, and returns what the client was answered. */
+    /** Returns the response to a client whose request finds a copy from this source. */
     private PendingRequest.Response responseToCopy(CopySource source, long originTimeMs) throws InterruptedException {
         if (source == CopySource.LOCAL || source == CopySource.LOCAL_UNCHANGED) {
             Body body = pool.acquire(BODY_BYTES, 0);
@@ -197,7 +197,7 @@
     void copyOlderThanTheBoundIsNeverDelivered(CopySource source) throws InterruptedException {
         PendingRequest.Response response = responseToCopy(source, OLDEST_ORIGIN_TIME_MS - 1);
         assertEquals(PendingRequest.Outcome.REJECTED, response.outcome());
-        assertEquals(0, response.markMs(), "nothing is told of it");
+        assertEquals(0, response.markMs(), "a rejection carries no mark");
         assertEquals(1, counters.get(Counter.REFUSED_BY_HINT));
         assertEquals(1, counters.get(Counter.HINTED));
         if (source == CopySource.LOCAL || source == CopySource.LOCAL_UNCHANGED) {
@@ -205,8 +205,8 @@
             assertEquals(0, sent.size());
         } else {
             assertEquals(new ReportedEnd(AttemptResult.MISS, false, OLDEST_ORIGIN_TIME_MS - 1), next(reportedEnds));
-            assertEquals(0, responseCache.heldBuffers(), "nor is it kept");
-            assertEquals(BUFFERS, pool.available(), "its body is given back");
+            assertEquals(0, responseCache.heldBuffers(), "a copy that was not delivered is not stored");
+            assertEquals(BUFFERS, pool.available(), "the body of a copy that was not delivered is released");
         }
     }
 
@@ -226,7 +226,7 @@
         }
     }
 
-    /** A copy without a time proves nothing, and a node may leave it out where the client's copy holds. */
+    /** A copy without an origin time proves no bound; an endpoint may omit the time if the client's copy is current. */
     @Test
     void copyWithoutOriginTimeIsNotDelivered() throws InterruptedException {
         assertEquals(
@@ -236,30 +236,30 @@
     }
 
     /**
-     * A node's connection that says nothing of what was called off, as on a late machine, costs no request its harmless
-     * end.
+     * At the deadline the policy decides how the request ends, even if the endpoint's connection does not report the
+     * end of the cancelled attempt, as on a slow machine: the request must still get its safe rejection.
      */
     @Test
     void overdueRequestEndsOnceAsThePolicyDecides() throws InterruptedException {
         engine.start();
         PendingRequest.Response response = null;
-        // On a late machine a request may be taken past its deadline, and nothing is sent: then the next one gets more
-        // time.
+        // On a slow machine the engine may receive a request after its deadline and send nothing; the next one then
+        // gets more time.
         for (long timeBudgetUs = 50_000; sent.isEmpty(); timeBudgetUs *= 10) {
-            assertEquals(true, timeBudgetUs < 10_000_000, "nothing was ever sent");
+            assertEquals(true, timeBudgetUs < 10_000_000, "no attempt was sent before the deadline");
             submit(Long.toString(timeBudgetUs), READ_CLASS, null, timeBudgetUs);
             response = next(responses);
         }
         Attempt attempt = next(sent);
         assertEquals(PendingRequest.Outcome.REJECTED, response.outcome());
         assertEquals(new ReportedEnd(AttemptResult.TIMEOUT, false, 0), next(reportedEnds));
-        assertEquals(1, engine.inFlight(), "it is out until the node's connection tells of its end");
+        assertEquals(1, engine.inFlight(), "in flight until the endpoint's connection reports the end of the attempt");
         engine.attemptEnded(attempt, responseWithCopy(CacheStatus.HIT, false, OLDEST_ORIGIN_TIME_MS));
         assertEquals(true, next(reportedEnds).requestCompleted());
         assertEquals(List.of(), List.copyOf(responses));
     }
 
-    /** A write has no hint to count; its answer is shown to the module all the same. */
+    /** A write has no read hint to count; its response is checked by the policy like any other. */
     @Test
     void responseToAWriteHasItsMark() throws InterruptedException {
         engine.start();
--- a/src/test/java/magpiewheel/engine/ServiceStatsGoldenTest.java
+++ b/src/test/java/magpiewheel/engine/ServiceStatsGoldenTest.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** Names and order of the counters and of the admin server's figures: operators' tools read them. */
+/** Checks names and order of the counters and of the admin server's figures, which operators' tools read. */
 public class ServiceStatsGoldenTest {
-    /** As the command {@code COUNTERS} answers. */
+    /** As in the reply to the command {@code COUNTERS}. */
     @Test
     public void countersKeepTheirNamesAndOrder() {
         assertEquals(
@@ -25,7 +25,7 @@
                         + "door_turned_away,door_garbage,sent_away,faults");
     }
 
-    /** As {@code GET /admin/stats} answers. */
+    /** As in the response to {@code GET /admin/stats}. */
     @Test
     public void figuresKeepTheirNamesAndOrder() {
         ServiceStats stats = new ServiceStats(List.of("video", "static"), new Counters());
