--- a/src/main/java/magpiewheel/engine/Engine.java
+++ b/src/main/java/magpiewheel/engine/Engine.java
@@ -24,13 +24,13 @@
     /** Sends messages to other routers; called on the engine's actor, so it must not block. */
     public interface PeerTransport {
         /** Sends a message to a router. */
-        void send(int recipient, byte[] message);
+        void send(int routerId, byte[] message);
 
         /**
          * Probes whether anything listens at a router's address; a refusal is reported to
          * {@link Engine#reachabilityRefused}.
          */
-        default void probe(int recipient, long atUs) {}
+        default void probe(int routerId, long atUs) {}
     }
 
     private static final int MAILBOX_CAPACITY = 4_096;
@@ -98,8 +98,8 @@
             // Runs on the caller's thread: state of the engine's actor must not be accessed here.
             counters.add(Counter.MAILBOX_FULL);
             counters.add(Counter.REFUSED);
-            if (request.request.body() != null) {
-                request.request.body().release();
+            if (request.clientRequest.body() != null) {
+                request.clientRequest.body().release();
             }
             request.responder.respond(request, PendingRequest.Response.rejected(requestLifecycle.retryAfterUs()));
         }
@@ -162,8 +162,8 @@
     }
 
     /** A message from another router arrived; it is dropped if the mailbox is full. */
-    public void peerMessageReceived(int sender, byte[] message) {
-        if (!offer(() -> routingPolicy.peerMessageReceived(clock.now(), sender, message))) {
+    public void peerMessageReceived(int routerId, byte[] message) {
+        if (!offer(() -> routingPolicy.peerMessageReceived(clock.now(), routerId, message))) {
             counters.add(Counter.PEER_DROPPED);
         }
     }
--- a/src/main/java/magpiewheel/engine/EngineRoutingActions.java
+++ b/src/main/java/magpiewheel/engine/EngineRoutingActions.java
@@ -29,28 +29,28 @@
     }
 
     @Override
-    public void startAttempt(long request, long endpointId, AttemptPlan plan) {
-        requestLifecycle.startAttempt(request, endpointId, plan);
+    public void startAttempt(long requestId, long endpointId, AttemptPlan plan) {
+        requestLifecycle.startAttempt(requestId, endpointId, plan);
     }
 
     @Override
-    public void cancelAttempt(long request, int attempt) {
-        requestLifecycle.cancelAttempt(request, attempt);
+    public void cancelAttempt(long requestId, int attemptIndex) {
+        requestLifecycle.cancelAttempt(requestId, attemptIndex);
     }
 
     @Override
-    public void serveLocalCopy(long request) {
-        requestLifecycle.serveLocalCopy(request);
+    public void serveLocalCopy(long requestId) {
+        requestLifecycle.serveLocalCopy(requestId);
     }
 
     @Override
-    public void reject(long request, long backoffUs) {
-        requestLifecycle.reject(request, backoffUs);
+    public void reject(long requestId, long backoffUs) {
+        requestLifecycle.reject(requestId, backoffUs);
     }
 
     @Override
-    public void fail(long request) {
-        requestLifecycle.fail(request);
+    public void fail(long requestId) {
+        requestLifecycle.fail(requestId);
     }
 
     @Override
@@ -64,13 +64,13 @@
     }
 
     @Override
-    public void sendToPeer(int recipient, byte[] message) {
-        peerTransport.send(recipient, message);
+    public void sendToPeer(int routerId, byte[] message) {
+        peerTransport.send(routerId, message);
     }
 
     @Override
-    public void probeReachability(int recipient, long atUs) {
-        peerTransport.probe(recipient, atUs);
+    public void probeReachability(int routerId, long atUs) {
+        peerTransport.probe(routerId, atUs);
     }
 
     @Override
--- a/src/main/java/magpiewheel/engine/PendingRequest.java
+++ b/src/main/java/magpiewheel/engine/PendingRequest.java
@@ -28,17 +28,29 @@
         /** Creates a request without a read hint. */
         public ClientRequest(
                 String trace,
-                int profile,
+                int classIndex,
                 String className,
                 long object,
                 int part,
                 int group,
-                double kbytes,
-                long patienceUs,
+                double sizeKb,
+                long timeBudgetUs,
                 String nonce,
-                String held,
+                String heldTag,
                 Body body) {
-            this(trace, profile, className, object, part, group, kbytes, patienceUs, nonce, held, body, ReadHint.NONE);
+            this(
+                    trace,
+                    classIndex,
+                    className,
+                    object,
+                    part,
+                    group,
+                    sizeKb,
+                    timeBudgetUs,
+                    nonce,
+                    heldTag,
+                    body,
+                    ReadHint.NONE);
         }
     }
 
@@ -90,7 +102,7 @@
         ConnectionAddresses addresses();
     }
 
-    final ClientRequest request;
+    final ClientRequest clientRequest;
     final Responder responder;
     final long receivedAtUs;
     final long clientDeadlineUs;
@@ -110,8 +122,12 @@
      * client's deadline or earlier if the router shuts down before that. All times are Unix microseconds.
      */
     public PendingRequest(
-            ClientRequest request, Responder responder, long receivedAtUs, long clientDeadlineUs, long deadlineUs) {
-        this.request = request;
+            ClientRequest clientRequest,
+            Responder responder,
+            long receivedAtUs,
+            long clientDeadlineUs,
+            long deadlineUs) {
+        this.clientRequest = clientRequest;
         this.responder = responder;
         this.receivedAtUs = receivedAtUs;
         this.clientDeadlineUs = clientDeadlineUs;
@@ -146,8 +162,8 @@
     }
 
     /** Returns what the client requested. */
-    public ClientRequest request() {
-        return request;
+    public ClientRequest clientRequest() {
+        return clientRequest;
     }
 
     /** Returns the addresses of the client's connection; null if unknown. */
--- a/src/main/java/magpiewheel/engine/RequestLifecycle.java
+++ b/src/main/java/magpiewheel/engine/RequestLifecycle.java
@@ -95,8 +95,8 @@
 
     /** Accepts a request, or responds at once if it cannot be accepted. */
     void accept(PendingRequest pending) {
-        long now = clock.now();
-        PendingRequest.ClientRequest request = pending.request;
+        long nowUs = clock.now();
+        PendingRequest.ClientRequest request = pending.clientRequest;
         if (pending.abandoned()) {
             disconnectedBeforeRouting(pending);
             return;
@@ -105,8 +105,8 @@
             respond(pending, PendingRequest.Response.rejected(retryAfterUs));
             return;
         }
-        if (now >= pending.deadlineUs) {
-            respond(pending, timeoutResponse(now, pending));
+        if (nowUs >= pending.deadlineUs) {
+            respond(pending, timeoutResponse(nowUs, pending));
             return;
         }
         if (!tracesInUse.add(request.trace())) {
@@ -125,24 +125,24 @@
             counters.add(Counter.HINTED);
         }
         routingPolicy.requestArrived(
-                now,
+                nowUs,
                 RoutingRequest.builder(pending.id, request.classIndex(), Engine.routingObjectId(request.object()))
                         .group(request.group())
                         .sizeKb(request.sizeKb())
-                        .timeBudgetUs(pending.deadlineUs - now)
+                        .timeBudgetUs(pending.deadlineUs - nowUs)
                         .part(request.part())
                         .write(write)
                         .hint(request.hint())
                         .build(),
-                write ? null : retainLocalCopy(now, pending));
+                write ? null : retainLocalCopy(nowUs, pending));
     }
 
     /**
      * Returns this router's local copy of the requested object, retained until the request is answered; null if there
      * is none.
      */
-    private LocalCopy retainLocalCopy(long now, PendingRequest pending) {
-        ResponseCache.Copy copy = responseCache.find(pending.request);
+    private LocalCopy retainLocalCopy(long nowUs, PendingRequest pending) {
+        ResponseCache.Copy copy = responseCache.find(pending.clientRequest);
         if (copy == null) {
             return null;
         }
@@ -152,14 +152,14 @@
                 ? copy.body().length() / UNCHANGED_COST_DIVISOR
                 : copy.body().length();
         return new LocalCopy(
-                Math.max(0, now - copy.originTimeMs() * 1_000),
+                Math.max(0, nowUs - copy.originTimeMs() * 1_000),
                 responseCache.transferUs(bytes),
                 responseCache.linkUs(bytes));
     }
 
     /** Whether the client already holds the same version as the local copy. */
     private static boolean clientCopyIsCurrent(PendingRequest pending) {
-        return pending.localCopy.tag().equals(pending.request.heldTag());
+        return pending.localCopy.tag().equals(pending.clientRequest.heldTag());
     }
 
     private static void releaseLocalCopy(PendingRequest pending) {
@@ -179,15 +179,15 @@
             return;
         }
         counters.add(Counter.OVERDUE);
-        long now = clock.now();
+        long nowUs = clock.now();
         for (Attempt attempt : List.copyOf(pending.attempts)) {
             if (!attempt.ended && !pending.answered) {
                 AttemptResult result =
                         attempt.cancelled() && !attempt.timedOut ? AttemptResult.CANCELLED : AttemptResult.TIMEOUT;
                 routingPolicy.attemptEnded(
-                        now,
+                        nowUs,
                         AttemptOutcome.builder(pending.id, attempt.index, attempt.endpointId(), result)
-                                .durationUs(now - attempt.sentAtUs())
+                                .durationUs(nowUs - attempt.sentAtUs())
                                 .build());
             }
         }
@@ -202,10 +202,10 @@
      * Returns a failure, or a rejection if nothing was sent and time ran out only because this router shuts down before
      * the client's deadline: another router may then serve the request.
      */
-    private PendingRequest.Response timeoutResponse(long now, PendingRequest pending) {
+    private PendingRequest.Response timeoutResponse(long nowUs, PendingRequest pending) {
         return pending.attempts.isEmpty()
                         && pending.deadlineUs < pending.clientDeadlineUs
-                        && now < pending.clientDeadlineUs
+                        && nowUs < pending.clientDeadlineUs
                 ? PendingRequest.Response.rejected(retryAfterUs)
                 : PendingRequest.Response.failed();
     }
@@ -256,12 +256,12 @@
         if (pending.answered && pending.openAttempts == 0) {
             if (requests.remove(pending.id, pending)) {
                 inFlight = requests.size();
-                tracesInUse.remove(pending.request.trace());
+                tracesInUse.remove(pending.clientRequest.trace());
                 pending.overdueTimer.cancel();
             }
-            if (pending.request.body() != null && !pending.requestBodyReleased) {
+            if (pending.clientRequest.body() != null && !pending.requestBodyReleased) {
                 pending.requestBodyReleased = true;
-                pending.request.body().release();
+                pending.clientRequest.body().release();
             }
         }
     }
@@ -288,28 +288,28 @@
         AttemptResult result = outcome.result() == AttemptResult.CANCELLED && attempt.timedOut
                 ? AttemptResult.TIMEOUT
                 : outcome.result();
-        long now = clock.now();
+        long nowUs = clock.now();
         int responseBytes = outcome.body() == null ? 0 : outcome.body().length();
         long originTimeMs = result != AttemptResult.OK ? 0 : outcome.originTimeMs() > 0 ? outcome.originTimeMs() : -1;
-        long endedAtUs = Math.min(now, Math.max(attempt.sentAtUs(), outcome.endedAtUs()));
+        long endedAtUs = Math.min(nowUs, Math.max(attempt.sentAtUs(), outcome.endedAtUs()));
         if (result == AttemptResult.OK) {
             routingPolicy
                     .boundedReads()
                     .responseReceived(pending.id, attempt.index, endedAtUs, outcome.cacheStatus(), originTimeMs);
-            result = deliver(now, pending, outcome, originTimeMs) ? AttemptResult.OK : AttemptResult.MISS;
+            result = deliver(nowUs, pending, outcome, originTimeMs) ? AttemptResult.OK : AttemptResult.MISS;
         }
         countResult(result, outcome.unchanged());
         attemptListener.attemptEnded(
-                pending.request,
+                pending.clientRequest,
                 endpointById.apply(attempt.endpointId()),
                 endpointById.apply(attempt.plan().fillSource()),
                 result,
                 outcome.cacheStatus(),
                 attempt.sentAtUs(),
-                now,
+                nowUs,
                 responseBytes);
         routingPolicy.attemptEnded(
-                now,
+                nowUs,
                 AttemptOutcome.builder(pending.id, attempt.index, attempt.endpointId(), result)
                         .durationUs(endedAtUs - attempt.sentAtUs())
                         .requestCompleted(pending.answered)
@@ -324,8 +324,8 @@
      * Delivers a response if its copy meets the request's staleness bound. Otherwise the copy is discarded, and the
      * routing policy is told that the cache did not have it.
      */
-    private boolean deliver(long now, PendingRequest pending, UpstreamOutcome outcome, long originTimeMs) {
-        DeliveryDecision decision = routingPolicy.evaluateDelivery(now, pending.id, originTimeMs);
+    private boolean deliver(long nowUs, PendingRequest pending, UpstreamOutcome outcome, long originTimeMs) {
+        DeliveryDecision decision = routingPolicy.evaluateDelivery(nowUs, pending.id, originTimeMs);
         if (!decision.deliver()) {
             if (outcome.body() != null) {
                 outcome.body().release();
@@ -333,7 +333,7 @@
             return false;
         }
         if (outcome.body() != null && outcome.tag() != null) {
-            responseCache.store(pending.request, outcome.body(), outcome.tag(), outcome.originTimeMs());
+            responseCache.store(pending.clientRequest, outcome.body(), outcome.tag(), outcome.originTimeMs());
         }
         respond(
                 pending,
@@ -373,9 +373,9 @@
         if (pending == null || pending.answered) {
             return;
         }
-        long now = clock.now();
+        long nowUs = clock.now();
         long timeoutAtUs = plan.deadlineUs() > 0 ? Math.min(plan.deadlineUs(), pending.deadlineUs) : pending.deadlineUs;
-        Attempt attempt = new Attempt(pending, pending.attempts.size(), endpointId, plan, now, timeoutAtUs);
+        Attempt attempt = new Attempt(pending, pending.attempts.size(), endpointId, plan, nowUs, timeoutAtUs);
         pending.attempts.add(attempt);
         pending.openAttempts++;
         counters.add(Counter.ATTEMPTS);
--- a/src/main/java/magpiewheel/engine/WorkerPool.java
+++ b/src/main/java/magpiewheel/engine/WorkerPool.java
@@ -77,12 +77,12 @@
     }
 
     private void checkForStall() {
-        long now = turns.get();
-        stalledChecks = readyActors.isEmpty() || now != turnsAtLastCheck ? 0 : stalledChecks + 1;
+        long completedTurns = turns.get();
+        stalledChecks = readyActors.isEmpty() || completedTurns != turnsAtLastCheck ? 0 : stalledChecks + 1;
         if (stalledChecks >= STALLED_CHECKS_TO_GROW && threads.get() < MAX_THREADS) {
             addThread();
         }
-        turnsAtLastCheck = now;
+        turnsAtLastCheck = completedTurns;
     }
 
     private void addThread() {
--- a/src/main/java/magpiewheel/resp/ClientConnection.java
+++ b/src/main/java/magpiewheel/resp/ClientConnection.java
@@ -339,7 +339,7 @@
         PendingRequest unsent = requests.takeBack(tag, now);
         if (unsent != null) {
             shared.counters().add(Counter.GIVEN_UP_BY_CLIENT);
-            release(unsent.request().body());
+            release(unsent.clientRequest().body());
         }
         endIfAnswered();
     }
@@ -376,8 +376,8 @@
             // Decided early: nothing was sent for it, and the client may still go elsewhere.
             PendingRequest call = late.call();
             shared.counters().add(Counter.CLIENT_BOUND);
-            release(call.request().body());
-            refuse(late.tag(), call.request().classIndex(), call.request());
+            release(call.clientRequest().body());
+            refuse(late.tag(), call.clientRequest().classIndex(), call.clientRequest());
             requests.ended();
         }
         endIfAnswered();
@@ -393,7 +393,7 @@
     }
 
     private void releaseWaiting() {
-        requests.dropWaiting().forEach(call -> release(call.request().body()));
+        requests.dropWaiting().forEach(call -> release(call.clientRequest().body()));
     }
 
     private static void release(Body body) {
@@ -429,10 +429,10 @@
     }
 
     private void finish(long tag, PendingRequest call, Response answer) {
-        int profile = call.request().classIndex();
+        int profile = call.clientRequest().classIndex();
         ended(profile, answer.outcome());
         boolean whole = written(() -> answers.write(tag, answer));
-        watched(call.request(), profile, answer, call.receivedAtUs(), whole);
+        watched(call.clientRequest(), profile, answer, call.receivedAtUs(), whole);
     }
 
     /** Turned away here, before the module has heard of it; {@code ask} is null where its fields were not read. */
--- a/src/main/java/magpiewheel/resp/RequestWindow.java
+++ b/src/main/java/magpiewheel/resp/RequestWindow.java
@@ -64,8 +64,8 @@
         open.put(tag, call);
         tags.put(call, tag);
         ended();
-        waiting.addLast(
-                new Waiting(tag, call, now + Math.min(WAIT_US, call.request().timeBudgetUs() / 4)));
+        waiting.addLast(new Waiting(
+                tag, call, now + Math.min(WAIT_US, call.clientRequest().timeBudgetUs() / 4)));
         admit();
     }
 
--- a/src/main/java/magpiewheel/upstream/UpstreamConnection.java
+++ b/src/main/java/magpiewheel/upstream/UpstreamConnection.java
@@ -126,7 +126,7 @@
      * room for it, so the machine takes it whole or, if the connection has ended, not at all.
      */
     boolean serve(Attempt attempt) throws IOException {
-        PendingRequest.ClientRequest ask = attempt.request().request();
+        PendingRequest.ClientRequest ask = attempt.request().clientRequest();
         AttemptPlan plan = attempt.plan();
         StringBuilder line =
                 new StringBuilder("serve ").append(ask.trace()).append(" cls=").append(ask.className());
@@ -169,8 +169,8 @@
     void cancel(Attempt given) {
         try {
             if (out != null) {
-                out.write(
-                        ("cancel " + given.request().request().trace() + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+                out.write(("cancel " + given.request().clientRequest().trace() + "\r\n")
+                        .getBytes(StandardCharsets.ISO_8859_1));
             }
         } catch (IOException e) {
             // The connection is gone, and with it what was open on it.
@@ -212,7 +212,7 @@
         }
         ResponseLine line = ResponseLine.read(text);
         Attempt mine = attempt;
-        if (mine == null || !mine.request().request().trace().equals(line.id())) {
+        if (mine == null || !mine.request().clientRequest().trace().equals(line.id())) {
             // Under an unknown id, or a second copy: it takes no room, and behind the next answer the connection ends.
             shared.counters().add(Counter.NODE_STRAYS);
             in.skipNBytes(line.length());
@@ -231,7 +231,7 @@
             }
             lineEnd(in, line.length());
             boolean misfit = line.result() == AttemptResult.OK
-                    && !fits(line, mine.request().request());
+                    && !fits(line, mine.request().clientRequest());
             if (misfit) {
                 throw new ResponseLine.Garbage("a copy without its tag, or one that was not held");
             }
