--- a/src/main/java/magpiewheel/Main.java
+++ b/src/main/java/magpiewheel/Main.java
@@ -99,7 +99,7 @@
         engine.stopServing();
         front.answerWithin(ANSWERS_AFTER_TERM_US);
         try {
-            if (front.handedOn()) {
+            if (front.isShared()) {
                 // The next process has the entrance, so clients are sent there.
                 front.close();
             }
--- a/src/main/java/magpiewheel/Startup.java
+++ b/src/main/java/magpiewheel/Startup.java
@@ -121,7 +121,7 @@
         // From the first client on: one that ends before it is warm has requests in hand, too.
         endOnSignal(front, engine, exporter, sockets, counters);
         ListeningSocket entrance = entrance();
-        if (!entrance.handedOn()) {
+        if (!entrance.isShared()) {
             front.start(entrance);
         }
         if (config.admin() != null) {
@@ -131,8 +131,8 @@
         if (app.dns()) {
             startDns();
         }
-        WarmUp.run(config, entrance.handedOn() ? null : front.address(), crew);
-        if (entrance.handedOn()) {
+        WarmUp.run(config, entrance.isShared() ? null : front.address(), crew);
+        if (entrance.isShared()) {
             // Only now: until then the process before this one serves them better.
             front.start(entrance);
         }
--- a/src/main/java/magpiewheel/WarmUp.java
+++ b/src/main/java/magpiewheel/WarmUp.java
@@ -74,7 +74,7 @@
         engine.endpointsChanged(EndpointListMode.CACHED, listed(config));
         RespServer front = front(config, crew, clock, pool, counters, engine);
         try (ClientLine client = new ClientLine()) {
-            front.take(client);
+            front.serve(client);
             List<String> classes = config.settings().classes();
             for (int i = 1; i <= REQUESTS && client.mayAsk(until); i++) {
                 client.ask(request(i, classes.get(i % classes.size())));
--- a/src/main/java/magpiewheel/resp/Cancellations.java
+++ b/src/main/java/magpiewheel/resp/Cancellations.java
@@ -14,68 +14,68 @@
 final class Cancellations {
     private final Engine engine;
     /** Given up by the client, and the actor has not worked that off yet. */
-    private final Set<Long> withdrawn = ConcurrentHashMap.newKeySet();
+    private final Set<Long> cancelled = ConcurrentHashMap.newKeySet();
     /** With the engine, and neither answered nor given up: who removes one from here tells the engine. */
-    private final Map<Long, PendingRequest> taken = new ConcurrentHashMap<>();
+    private final Map<Long, PendingRequest> inEngine = new ConcurrentHashMap<>();
 
-    private volatile boolean allWithdrawn;
+    private volatile boolean allCancelled;
 
     Cancellations(Engine engine) {
         this.engine = engine;
     }
 
     /** On the reader: the client gives the request up. */
-    void withdraw(long tag) {
-        withdrawn.add(tag);
-        PendingRequest call = taken.remove(tag);
-        if (call != null) {
-            engine.clientDisconnected(call);
+    void cancel(long tag) {
+        cancelled.add(tag);
+        PendingRequest request = inEngine.remove(tag);
+        if (request != null) {
+            engine.clientDisconnected(request);
         }
     }
 
     /** On the reader: the client has left. The mark counts at once; the actor tells the engine when it has its turn. */
-    void withdrawAll() {
-        allWithdrawn = true;
-        taken.values().forEach(PendingRequest::abandon);
+    void cancelAll() {
+        allCancelled = true;
+        inEngine.values().forEach(PendingRequest::abandon);
     }
 
     /** Whether the client gave the request up, and the actor has yet to hear of it. */
     boolean contains(long tag) {
-        return withdrawn.contains(tag);
+        return cancelled.contains(tag);
     }
 
     /** On the actor: gives a request to the engine. */
-    void take(long tag, PendingRequest call) {
-        markIfWithdrawn(tag, call);
-        engine.submit(call);
-        taken.put(tag, call);
+    void submit(long tag, PendingRequest request) {
+        abandonIfCancelled(tag, request);
+        engine.submit(request);
+        inEngine.put(tag, request);
         // The reader may have looked for it before it was there.
-        markIfWithdrawn(tag, call);
-        if (withdrawn.contains(tag)) {
-            giveUp(tag, call);
+        abandonIfCancelled(tag, request);
+        if (cancelled.contains(tag)) {
+            cancelInEngine(tag, request);
         }
     }
 
-    private void markIfWithdrawn(long tag, PendingRequest call) {
-        if (allWithdrawn || withdrawn.contains(tag)) {
-            call.abandon();
+    private void abandonIfCancelled(long tag, PendingRequest request) {
+        if (allCancelled || cancelled.contains(tag)) {
+            request.abandon();
         }
     }
 
     /** On the actor: the request is given up, unless the reader has told the engine so. */
-    void giveUp(long tag, PendingRequest call) {
-        if (taken.remove(tag, call)) {
-            engine.clientDisconnected(call);
+    void cancelInEngine(long tag, PendingRequest request) {
+        if (inEngine.remove(tag, request)) {
+            engine.clientDisconnected(request);
         }
     }
 
     /** On the actor: the request has its answer. */
     void answered(long tag) {
-        taken.remove(tag);
+        inEngine.remove(tag);
     }
 
     /** On the actor: it has heard that the client gave the request up. */
-    void workedOff(long tag) {
-        withdrawn.remove(tag);
+    void processed(long tag) {
+        cancelled.remove(tag);
     }
 }
--- a/src/main/java/magpiewheel/resp/ClientReader.java
+++ b/src/main/java/magpiewheel/resp/ClientReader.java
@@ -15,24 +15,24 @@
  */
 final class ClientReader {
     /** Where the frames go. */
-    interface Frames {
+    interface FrameHandler {
         /** A frame; false where the connection was ended first, and nothing is taken any more. */
-        boolean taken(RespParser.Frame frame);
+        boolean onFrame(RespParser.Frame frame);
 
         /** What came is no frame. */
-        void malformed();
+        void onMalformed();
 
         /** There is no room to read in. */
-        void noRoom();
+        void onNoBuffer();
     }
 
     /** ns; half a request that grew so lately is work: written in pieces, it is served in the end. */
-    private static final long GROWS_NS = TimeUnit.MILLISECONDS.toNanos(300);
+    private static final long RECENT_INPUT_NS = TimeUnit.MILLISECONDS.toNanos(300);
 
     private final ClientSocket socket;
     private final BufferPool pool;
     private final Counters counters;
-    private volatile RespParser reader;
+    private volatile RespParser parser;
 
     ClientReader(ClientSocket socket, BufferPool pool, Counters counters) {
         this.socket = socket;
@@ -41,7 +41,7 @@
     }
 
     /** Reads until the connection is over; the caller closes it then. */
-    void run(Frames to) {
+    void run(FrameHandler handler) {
         Body buffer = null;
         try {
             InputStream in = socket.in();
@@ -51,10 +51,10 @@
             }
             buffer = pool.acquire(BufferPool.BUFFER_BYTES, 0);
             if (buffer == null) {
-                to.noRoom();
+                handler.onNoBuffer();
             } else {
-                reader = new RespParser(in, buffer.firstBuffer(), first, pool);
-                handOn(reader, to);
+                parser = new RespParser(in, buffer.firstBuffer(), first, pool);
+                deliverFrames(parser, handler);
             }
             LingeringClose.drain(in);
         } catch (IOException e) {
@@ -69,51 +69,53 @@
         }
     }
 
-    private static void handOn(RespParser from, Frames to) throws IOException {
+    private static void deliverFrames(RespParser source, FrameHandler handler) throws IOException {
         try {
-            RespParser.Frame frame = from.next();
-            while (frame != null && to.taken(frame)) {
-                frame = from.next();
+            RespParser.Frame frame = source.next();
+            while (frame != null && handler.onFrame(frame)) {
+                frame = source.next();
             }
-        } catch (RespParser.Malformed e) {
-            to.malformed();
+        } catch (RespParser.MalformedFrameException e) {
+            handler.onMalformed();
         }
     }
 
     /** On the reader: others know of the frame that came last. */
-    void handedOn() {
-        reader.handedOn();
+    void frameAdmitted() {
+        parser.frameAdmitted();
     }
 
     // ---------------------------------------------------------------- for other threads to look at
 
     /** Whether bytes came after a time. */
-    boolean spokeSince(long then) {
-        RespParser frames = reader;
-        return frames != null && frames.grewAt() - then > 0;
+    boolean receivedSince(long since) {
+        RespParser current = parser;
+        return current != null && current.lastReadAt() - since > 0;
     }
 
     /** ns; when the first byte of the frame came that is being read; 0 between frames. */
-    long frameSince() {
-        RespParser frames = reader;
-        return frames == null ? 0 : frames.frameSince();
+    long frameStartedAt() {
+        RespParser current = parser;
+        return current == null ? 0 : current.frameStartedAt();
     }
 
     /** Whether a body is being read. */
     boolean inBody() {
-        RespParser frames = reader;
-        return frames != null && frames.inBody();
+        RespParser current = parser;
+        return current != null && current.inBody();
     }
 
     /** Whether a frame is being read, and grew lately. */
-    boolean frameGrows(long now) {
-        RespParser frames = reader;
-        return frames != null && frames.frameSince() != 0 && now - frames.grewAt() < GROWS_NS;
+    boolean frameGrowing(long now) {
+        RespParser current = parser;
+        return current != null && current.frameStartedAt() != 0 && now - current.lastReadAt() < RECENT_INPUT_NS;
     }
 
     /** Whether it holds part of a request, or one behind those that were handed on, and that grew lately. */
-    boolean inHand() {
-        RespParser frames = reader;
-        return frames != null && frames.inHand() && System.nanoTime() - frames.grewAt() < GROWS_NS;
+    boolean hasUnadmittedInput() {
+        RespParser current = parser;
+        return current != null
+                && current.hasUnadmittedInput()
+                && System.nanoTime() - current.lastReadAt() < RECENT_INPUT_NS;
     }
 }
--- a/src/main/java/magpiewheel/resp/ClientSocket.java
+++ b/src/main/java/magpiewheel/resp/ClientSocket.java
@@ -16,14 +16,14 @@
  */
 final class ClientSocket {
     private final Socket socket;
-    private final AtomicLong endedAt = new AtomicLong();
+    private final AtomicLong halfClosedAt = new AtomicLong();
 
     ClientSocket(Socket socket) {
         this.socket = socket;
     }
 
     /** Sends small writes at once: those that the system held back would be lost with a reset. */
-    void sendAtOnce() throws IOException {
+    void disableSendDelay() throws IOException {
         socket.setTcpNoDelay(true);
     }
 
@@ -37,12 +37,12 @@
 
     /** The addresses at both ends; null where they are not known any more. */
     PendingRequest.ConnectionAddresses ends() {
-        InetSocketAddress here = (InetSocketAddress) socket.getLocalSocketAddress();
-        InetSocketAddress there = (InetSocketAddress) socket.getRemoteSocketAddress();
-        return here == null || there == null
+        InetSocketAddress local = (InetSocketAddress) socket.getLocalSocketAddress();
+        InetSocketAddress remote = (InetSocketAddress) socket.getRemoteSocketAddress();
+        return local == null || remote == null
                 ? null
                 : new PendingRequest.ConnectionAddresses(
-                        Ipv4.toInt(here), here.getPort(), Ipv4.toInt(there), there.getPort());
+                        Ipv4.toInt(local), local.getPort(), Ipv4.toInt(remote), remote.getPort());
     }
 
     /** Whether bytes have come that nobody has read: on a busy machine a reader may be late for its turn. */
@@ -55,18 +55,18 @@
     }
 
     /** Whether this side was ended. */
-    boolean ended() {
-        return endedAt.get() != 0;
+    boolean halfClosed() {
+        return halfClosedAt.get() != 0;
     }
 
     /** ns; when this side was ended; 0 while the client is served. */
-    long endedAt() {
-        return endedAt.get();
+    long halfClosedAt() {
+        return halfClosedAt.get();
     }
 
     /** Ends this side, for good and once. The client reads all that was written to it and then the end. */
     void halfClose() {
-        if (!endedAt.compareAndSet(0, System.nanoTime() | 1)) {
+        if (!halfClosedAt.compareAndSet(0, System.nanoTime() | 1)) {
             return;
         }
         try {
@@ -77,7 +77,7 @@
     }
 
     /** The reader sees the end and closes: that costs much less than a close under a thread that reads. */
-    void endReading() {
+    void shutdownInput() {
         try {
             socket.shutdownInput();
         } catch (IOException e) {
--- a/src/main/java/magpiewheel/resp/ListeningSocket.java
+++ b/src/main/java/magpiewheel/resp/ListeningSocket.java
@@ -27,7 +27,7 @@
     abstract void close() throws IOException;
 
     /** Whether clients go on coming in elsewhere when this front stops: then it need not wait for them. */
-    public abstract boolean handedOn();
+    public abstract boolean isShared();
 
     /** Listens on the address. */
     public static ListeningSocket bind(InetSocketAddress listen) throws IOException {
@@ -52,7 +52,7 @@
             }
 
             @Override
-            public boolean handedOn() {
+            public boolean isShared() {
                 return false;
             }
         };
@@ -68,8 +68,8 @@
         // before,
         // could hang in an accept that another was faster in: so it never blocks, and is waited for beside.
         listener.configureBlocking(false);
-        Selector arrivals = Selector.open();
-        listener.register(arrivals, SelectionKey.OP_ACCEPT);
+        Selector selector = Selector.open();
+        listener.register(selector, SelectionKey.OP_ACCEPT);
         return new ListeningSocket() {
             @Override
             public InetSocketAddress address() {
@@ -78,8 +78,8 @@
 
             @Override
             Socket accept(int waitMs) throws IOException {
-                arrivals.select(waitMs);
-                arrivals.selectedKeys().clear();
+                selector.select(waitMs);
+                selector.selectedKeys().clear();
                 SocketChannel client = listener.accept();
                 if (client == null) {
                     throw new SocketTimeoutException("nobody, or another process was faster");
@@ -93,7 +93,7 @@
             }
 
             @Override
-            public boolean handedOn() {
+            public boolean isShared() {
                 return true;
             }
         };
--- a/src/main/java/magpiewheel/resp/RequestAdmission.java
+++ b/src/main/java/magpiewheel/resp/RequestAdmission.java
@@ -5,55 +5,55 @@
  * connection and letting a frame in exclude each other, so a request that is read behind the end is never sent on.
  */
 final class RequestAdmission {
-    private int frames;
-    private int open;
-    private boolean ended;
+    private int pendingFrames;
+    private int openRequests;
+    private boolean closed;
 
     /** Lets a frame in; false where the connection has been ended. */
-    synchronized boolean take() {
-        if (ended) {
+    synchronized boolean admitFrame() {
+        if (closed) {
             return false;
         }
-        frames++;
+        pendingFrames++;
         return true;
     }
 
     /** A frame that was let in has been worked off. */
-    synchronized void done() {
-        frames--;
+    synchronized void frameDone() {
+        pendingFrames--;
     }
 
     /** How many requests are open now. */
-    synchronized void open(int count) {
-        open = count;
+    synchronized void setOpenRequests(int count) {
+        openRequests = count;
     }
 
     /** Requests that were taken and not ended. */
-    synchronized int open() {
-        return open;
+    synchronized int openRequests() {
+        return openRequests;
     }
 
     /** Whether an answer is owed or on its way. */
     synchronized boolean busy() {
-        return frames > 0 || open > 0;
+        return pendingFrames > 0 || openRequests > 0;
     }
 
     /** Lets nothing in any more; what is open is still answered. */
-    synchronized void end() {
-        ended = true;
+    synchronized void close() {
+        closed = true;
     }
 
     /** Likewise, but only where nothing is owed; false where something is, or it was ended before. */
-    synchronized boolean endIfIdle() {
-        if (ended || frames > 0 || open > 0) {
+    synchronized boolean closeIfIdle() {
+        if (closed || pendingFrames > 0 || openRequests > 0) {
             return false;
         }
-        ended = true;
+        closed = true;
         return true;
     }
 
     /** Whether it lets nothing in any more. */
-    synchronized boolean ended() {
-        return ended;
+    synchronized boolean closed() {
+        return closed;
     }
 }
--- a/src/main/java/magpiewheel/resp/RequestFields.java
+++ b/src/main/java/magpiewheel/resp/RequestFields.java
@@ -13,20 +13,20 @@
  */
 final class RequestFields {
     private static final int ID_DIGITS = 16;
-    private static final int MOST_DIGITS = 64;
-    private static final double MOST_PATIENCE_MS = 600_000;
-    private static final int MOST_GROUP = 255;
-    private static final int MOST_PART = 1_000_000;
-    private static final double MOST_KBYTES = 1e7;
+    private static final int MAX_DIGITS = 64;
+    private static final double MAX_PATIENCE_MS = 600_000;
+    private static final int MAX_GROUP = 255;
+    private static final int MAX_PART = 1_000_000;
+    private static final double MAX_SIZE_KB = 1e7;
     private String trace;
     private String nonce;
-    private String held;
+    private String heldVersion;
     private double patienceMs = -1;
     private long object;
     private boolean objectGiven;
     private int part;
     private int group;
-    private double kbytes;
+    private double sizeKb;
     private String hint;
 
     private RequestFields() {}
@@ -36,32 +36,32 @@
      * says by itself what is wrong with it.
      */
     static PendingRequest.ClientRequest read(
-            RespParser.Frame frame, List<String> classes, List<Long> deadlinesUs, boolean hints)
+            RespParser.Frame frame, List<String> classes, List<Long> deadlinesUs, boolean hintsEnabled)
             throws InvalidHintException {
-        int profile = classes.indexOf(frame.word());
+        int profile = classes.indexOf(frame.className());
         RequestFields fields = new RequestFields();
-        if (profile < 0 || !fields.taken(frame.fields()) || fields.trace == null || !fields.objectGiven) {
+        if (profile < 0 || !fields.parse(frame.fields()) || fields.trace == null || !fields.objectGiven) {
             return null;
         }
         // No client waits longer than its class's deadline, and what it asks for is remembered until its time is up.
-        long most = deadlinesUs.get(profile);
-        long patienceUs = fields.patienceMs < 0 ? most : Math.min(most, (long) (fields.patienceMs * 1000));
+        long deadlineUs = deadlinesUs.get(profile);
+        long patienceUs = fields.patienceMs < 0 ? deadlineUs : Math.min(deadlineUs, (long) (fields.patienceMs * 1000));
         return new PendingRequest.ClientRequest(
                 fields.trace,
                 profile,
-                frame.word(),
+                frame.className(),
                 fields.object,
                 fields.part,
                 fields.group,
-                fields.kbytes,
+                fields.sizeKb,
                 patienceUs,
                 fields.nonce,
-                fields.held,
+                fields.heldVersion,
                 frame.body(),
-                hints && fields.hint != null ? ReadHint.parse(fields.hint) : ReadHint.NONE);
+                hintsEnabled && fields.hint != null ? ReadHint.parse(fields.hint) : ReadHint.NONE);
     }
 
-    private boolean taken(String text) {
+    private boolean parse(String text) {
         Set<String> names = new HashSet<>();
         try {
             for (String field : text.split(",", -1)) {
@@ -70,7 +70,7 @@
                 if (equals <= 0 || !names.add(field.substring(0, equals))) {
                     return false;
                 }
-                take(field.substring(0, equals), field.substring(equals + 1));
+                parseField(field.substring(0, equals), field.substring(equals + 1));
             }
         } catch (NumberFormatException e) {
             return false;
@@ -78,48 +78,48 @@
         return true;
     }
 
-    private void take(String name, String value) {
+    private void parseField(String name, String value) {
         switch (name) {
-            case "trace" -> trace = hex(value, ID_DIGITS, ID_DIGITS);
-            case "nonce" -> nonce = hex(value, 1, MOST_DIGITS);
-            case "ver" -> held = hex(value, 1, MOST_DIGITS);
-            case "patience" -> patienceMs = within(Double.parseDouble(plain(value)), 1, MOST_PATIENCE_MS);
+            case "trace" -> trace = requireHex(value, ID_DIGITS, ID_DIGITS);
+            case "nonce" -> nonce = requireHex(value, 1, MAX_DIGITS);
+            case "ver" -> heldVersion = requireHex(value, 1, MAX_DIGITS);
+            case "patience" -> patienceMs = requireRange(Double.parseDouble(requireDecimal(value)), 1, MAX_PATIENCE_MS);
             case "entity" -> {
-                object = Long.parseUnsignedLong(hex(value, ID_DIGITS, ID_DIGITS), 16);
+                object = Long.parseUnsignedLong(requireHex(value, ID_DIGITS, ID_DIGITS), 16);
                 objectGiven = true;
             }
-            case "piece" -> part = (int) within(Integer.parseInt(plain(value)), 0, MOST_PART);
-            case "lot" -> group = (int) within(Integer.parseInt(plain(value)), 0, MOST_GROUP);
-            case "size" -> kbytes = within(Double.parseDouble(plain(value)), 0, MOST_KBYTES);
+            case "piece" -> part = (int) requireRange(Integer.parseInt(requireDecimal(value)), 0, MAX_PART);
+            case "lot" -> group = (int) requireRange(Integer.parseInt(requireDecimal(value)), 0, MAX_GROUP);
+            case "size" -> sizeKb = requireRange(Double.parseDouble(requireDecimal(value)), 0, MAX_SIZE_KB);
             case "hint" -> hint = value;
             default -> {}
         }
     }
 
     /** NaN is within nothing. */
-    private static double within(double value, double least, double most) {
-        if (!(value >= least && value <= most)) {
+    private static double requireRange(double value, double min, double max) {
+        if (!(value >= min && value <= max)) {
             throw new NumberFormatException("out of range");
         }
         return value;
     }
 
     /** The library's parsers take signs, hexadecimal figures, blanks and words such as Infinity, too. */
-    private static String plain(String value) {
-        return checked(
-                value, value.length() <= MOST_DIGITS && value.chars().allMatch(c -> c >= '0' && c <= '9' || c == '.'));
+    private static String requireDecimal(String value) {
+        return require(
+                value, value.length() <= MAX_DIGITS && value.chars().allMatch(c -> c >= '0' && c <= '9' || c == '.'));
     }
 
-    private static String hex(String value, int least, int most) {
-        return checked(
+    private static String requireHex(String value, int minLength, int maxLength) {
+        return require(
                 value,
-                value.length() >= least
-                        && value.length() <= most
+                value.length() >= minLength
+                        && value.length() <= maxLength
                         && value.chars().allMatch(c -> c >= '0' && c <= '9' || c >= 'a' && c <= 'f'));
     }
 
-    private static String checked(String value, boolean holds) {
-        if (!holds) {
+    private static String require(String value, boolean valid) {
+        if (!valid) {
             throw new NumberFormatException(value);
         }
         return value;
--- a/src/main/java/magpiewheel/resp/RequestWindow.java
+++ b/src/main/java/magpiewheel/resp/RequestWindow.java
@@ -15,36 +15,36 @@
  */
 final class RequestWindow {
     /** As many as the protocol lets be open on a connection. */
-    static final int MOST_OPEN = 32;
+    static final int MAX_OPEN = 32;
 
-    private static final int FIRST_WINDOW = 8;
+    private static final int INITIAL_WINDOW = 8;
     /** us; so long a request taken back still counts in the window, which outlasts a burst read in one go. */
-    private static final long TAKEN_BACK_US = 50_000;
+    private static final long CANCELLED_HOLD_US = 50_000;
     /** us; the longest that a request waits here for the window: short against every class's aim. */
-    private static final long WAIT_US = 150_000;
+    private static final long MAX_QUEUE_US = 150_000;
 
-    private record Waiting(long tag, PendingRequest call, long until) {}
+    private record Queued(long tag, PendingRequest request, long expiresAt) {}
 
     /** A request by its number on the connection. */
-    record Numbered(long tag, PendingRequest call) {}
+    record Tagged(long tag, PendingRequest request) {}
 
-    private final Cancellations withdrawals;
-    private final RequestAdmission intake;
+    private final Cancellations cancellations;
+    private final RequestAdmission admission;
     private final Map<Long, PendingRequest> open = new HashMap<>();
     private final Map<PendingRequest, Long> tags = new HashMap<>();
-    private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
-    private final ArrayDeque<Long> takenBack = new ArrayDeque<>();
-    private int inModule;
-    private int window = FIRST_WINDOW;
-
-    RequestWindow(Engine engine, RequestAdmission intake) {
-        this.withdrawals = new Cancellations(engine);
-        this.intake = intake;
+    private final ArrayDeque<Queued> queue = new ArrayDeque<>();
+    private final ArrayDeque<Long> cancelledHolds = new ArrayDeque<>();
+    private int inEngine;
+    private int window = INITIAL_WINDOW;
+
+    RequestWindow(Engine engine, RequestAdmission admission) {
+        this.cancellations = new Cancellations(engine);
+        this.admission = admission;
     }
 
     /** What the client gave up, for the connection's reader too. */
-    Cancellations withdrawals() {
-        return withdrawals;
+    Cancellations cancellations() {
+        return cancellations;
     }
 
     boolean isEmpty() {
@@ -52,7 +52,7 @@
     }
 
     boolean isFull() {
-        return open.size() >= MOST_OPEN;
+        return open.size() >= MAX_OPEN;
     }
 
     boolean contains(long tag) {
@@ -60,110 +60,112 @@
     }
 
     /** Takes a request, which the engine gets once the window has room. */
-    void add(long tag, PendingRequest call, long now) {
-        open.put(tag, call);
-        tags.put(call, tag);
-        ended();
-        waiting.addLast(new Waiting(
-                tag, call, now + Math.min(WAIT_US, call.clientRequest().timeBudgetUs() / 4)));
+    void add(long tag, PendingRequest request, long now) {
+        open.put(tag, request);
+        tags.put(request, tag);
+        updateOpenCount();
+        queue.addLast(new Queued(
+                tag,
+                request,
+                now + Math.min(MAX_QUEUE_US, request.clientRequest().timeBudgetUs() / 4)));
         admit();
     }
 
     /** Gives the engine what the window has room for. */
     void admit() {
-        while (!waiting.isEmpty() && inModule + takenBack.size() < window) {
-            inModule++;
-            Waiting next = waiting.pollFirst();
-            withdrawals.take(next.tag(), next.call());
+        while (!queue.isEmpty() && inEngine + cancelledHolds.size() < window) {
+            inEngine++;
+            Queued next = queue.pollFirst();
+            cancellations.submit(next.tag(), next.request());
         }
     }
 
     /** The client gave a request up; the request, where it never came to the engine, and else null. */
-    PendingRequest takeBack(long tag, long now) {
-        withdrawals.workedOff(tag);
-        PendingRequest call = open.remove(tag);
-        if (call == null) {
+    PendingRequest cancel(long tag, long now) {
+        cancellations.processed(tag);
+        PendingRequest request = open.remove(tag);
+        if (request == null) {
             return null;
         }
-        tags.remove(call);
-        ended();
-        if (waiting.removeIf(each -> each.call() == call)) {
-            return call;
+        tags.remove(request);
+        updateOpenCount();
+        if (queue.removeIf(each -> each.request() == request)) {
+            return request;
         }
-        inModule--;
-        takenBack.addLast(now + TAKEN_BACK_US);
-        withdrawals.giveUp(tag, call);
+        inEngine--;
+        cancelledHolds.addLast(now + CANCELLED_HOLD_US);
+        cancellations.cancelInEngine(tag, request);
         return null;
     }
 
     /** The number of a request that the engine has answered; null where nobody waits for it any more. */
-    Long answered(PendingRequest call) {
-        Long tag = tags.get(call);
-        if (tag == null || withdrawals.contains(tag)) {
+    Long answered(PendingRequest request) {
+        Long tag = tags.get(request);
+        if (tag == null || cancellations.contains(tag)) {
             return null;
         }
-        tags.remove(call);
+        tags.remove(request);
         open.remove(tag);
-        withdrawals.answered(tag);
-        inModule--;
+        cancellations.answered(tag);
+        inEngine--;
         return tag;
     }
 
     /** A request was served, and its answer written: one more may be with the engine. */
     void grow() {
-        window = Math.min(MOST_OPEN, window + 1);
+        window = Math.min(MAX_OPEN, window + 1);
     }
 
     /** What has ended is owed no more: only behind its answer, as a front that ends waits for what is being written. */
-    void ended() {
-        intake.open(open.size());
+    void updateOpenCount() {
+        admission.setOpenRequests(open.size());
     }
 
     /** Us; when there is something to look at; {@link Long#MAX_VALUE} for never. */
     long nextAt() {
         return Math.min(
-                takenBack.isEmpty() ? Long.MAX_VALUE : takenBack.peekFirst(),
-                waiting.isEmpty() ? Long.MAX_VALUE : waiting.peekFirst().until());
+                cancelledHolds.isEmpty() ? Long.MAX_VALUE : cancelledHolds.peekFirst(),
+                queue.isEmpty() ? Long.MAX_VALUE : queue.peekFirst().expiresAt());
     }
 
     /** Lets those in that have room now, and takes those out that have waited too long for it. */
-    List<Numbered> overdue(long now) {
-        while (!takenBack.isEmpty() && takenBack.peekFirst() <= now) {
-            takenBack.pollFirst();
+    List<Tagged> overdue(long now) {
+        while (!cancelledHolds.isEmpty() && cancelledHolds.peekFirst() <= now) {
+            cancelledHolds.pollFirst();
         }
         admit();
-        List<Numbered> overdue = new ArrayList<>();
-        while (!waiting.isEmpty() && waiting.peekFirst().until() <= now) {
-            Waiting first = waiting.pollFirst();
+        List<Tagged> overdue = new ArrayList<>();
+        while (!queue.isEmpty() && queue.peekFirst().expiresAt() <= now) {
+            Queued first = queue.pollFirst();
             open.remove(first.tag());
-            tags.remove(first.call());
-            overdue.add(new Numbered(first.tag(), first.call()));
+            tags.remove(first.request());
+            overdue.add(new Tagged(first.tag(), first.request()));
         }
         return overdue;
     }
 
     /** Takes all out that the engine never got: their bodies are still the connection's. */
-    List<PendingRequest> dropWaiting() {
+    List<PendingRequest> dropQueued() {
         List<PendingRequest> dropped = new ArrayList<>();
-        for (Waiting each : waiting) {
-            dropped.add(each.call());
+        for (Queued each : queue) {
+            dropped.add(each.request());
         }
-        waiting.clear();
+        queue.clear();
         return dropped;
     }
 
     /** Takes all out, and tells the engine of those that it has; those are returned for which the client waits. */
-    List<Numbered> dropAll() {
-        List<Numbered> dropped = new ArrayList<>();
-        open.forEach((tag, call) -> {
-            withdrawals.giveUp(tag, call);
-            if (!withdrawals.contains(tag)) {
-                dropped.add(new Numbered(tag, call));
+    List<Tagged> dropAll() {
+        List<Tagged> dropped = new ArrayList<>();
+        open.forEach((tag, request) -> {
+            cancellations.cancelInEngine(tag, request);
+            if (!cancellations.contains(tag)) {
+                dropped.add(new Tagged(tag, request));
             }
         });
         open.clear();
         tags.clear();
-        inModule = 0;
+        inEngine = 0;
         return dropped;
     }
 }
--- a/src/main/java/magpiewheel/resp/RespParser.java
+++ b/src/main/java/magpiewheel/resp/RespParser.java
@@ -9,21 +9,21 @@
 
 /** Reads RESP arrays of bulk strings from a client; every length is checked before room is taken for it. */
 final class RespParser {
-    private static final int MOST_PARTS = 5;
-    private static final int LONGEST_PART = 2_048;
-    private static final int LARGEST_BODY = 48_000;
-    private static final int LONGEST_NUMBER = 12;
+    private static final int MAX_ARRAY_LENGTH = 5;
+    private static final int MAX_STRING_BYTES = 2_048;
+    private static final int MAX_BODY_BYTES = 48_000;
+    private static final int MAX_NUMBER_DIGITS = 12;
     private static final long BUFFER_WAIT_MS = 50;
-    private static final int BODY_PART = 4;
+    private static final int BODY_INDEX = 4;
 
     /** A frame: verb, tag, and what stands behind them; {@code bodyRefused} where there was no room for it. */
-    record Frame(String verb, long tag, String word, String fields, Body body, boolean bodyRefused) {}
+    record Frame(String verb, long tag, String className, String fields, Body body, boolean bodyRefused) {}
 
     /** The client does not keep to the form. */
-    static final class Malformed extends IOException {
+    static final class MalformedFrameException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        Malformed(String what) {
+        MalformedFrameException(String what) {
             super(what);
         }
     }
@@ -31,12 +31,12 @@
     private final InputStream in;
     private final byte[] buffer;
     private final BufferPool pool;
-    private int at;
+    private int position;
     private int end;
-    private volatile long frameSince;
-    private volatile long grewAt = System.nanoTime();
+    private volatile long frameStartedAt;
+    private volatile long lastReadAt = System.nanoTime();
     private volatile boolean inBody;
-    private volatile boolean inHand = true;
+    private volatile boolean hasUnadmittedInput = true;
 
     /** Reads on behind a first byte that was read already. */
     RespParser(InputStream in, byte[] buffer, int first, BufferPool pool) {
@@ -48,23 +48,23 @@
     }
 
     /** ns; when the first byte of the frame came that is being read; 0 between frames. For other threads to look at. */
-    long frameSince() {
-        return frameSince;
+    long frameStartedAt() {
+        return frameStartedAt;
     }
 
     /** ns; when bytes came last: some clients write a request in many pieces. For other threads to look at. */
-    long grewAt() {
-        return grewAt;
+    long lastReadAt() {
+        return lastReadAt;
     }
 
     /** Whether bytes were read whose request nobody knows of yet. For other threads to look at. */
-    boolean inHand() {
-        return inHand;
+    boolean hasUnadmittedInput() {
+        return hasUnadmittedInput;
     }
 
     /** Others know of the frame that came last. */
-    void handedOn() {
-        inHand = at != end;
+    void frameAdmitted() {
+        hasUnadmittedInput = position != end;
     }
 
     /** Whether a body is being read. */
@@ -74,38 +74,38 @@
 
     /** The next frame; null at a clean end. */
     Frame next() throws IOException {
-        frameSince = 0;
+        frameStartedAt = 0;
         inBody = false;
-        if (at == end && !more()) {
+        if (position == end && !fillBuffer()) {
             return null;
         }
-        frameSince = System.nanoTime() | 1;
-        int parts = number('*');
-        if (parts < 2 || parts > MOST_PARTS) {
-            throw new Malformed("an array of " + parts);
+        frameStartedAt = System.nanoTime() | 1;
+        int parts = readNumber('*');
+        if (parts < 2 || parts > MAX_ARRAY_LENGTH) {
+            throw new MalformedFrameException("an array of " + parts);
         }
         String[] words = {"", "", "", ""};
         Body body = null;
         boolean refused = false;
         for (int i = 0; i < parts; i++) {
-            int length = number('$');
-            if (length < 0 || length > (i == BODY_PART ? LARGEST_BODY : LONGEST_PART)) {
-                throw new Malformed("a part of " + length + " bytes");
+            int length = readNumber('$');
+            if (length < 0 || length > (i == BODY_INDEX ? MAX_BODY_BYTES : MAX_STRING_BYTES)) {
+                throw new MalformedFrameException("a part of " + length + " bytes");
             }
-            if (i < BODY_PART) {
-                words[i] = new String(exactly(length), StandardCharsets.ISO_8859_1);
+            if (i < BODY_INDEX) {
+                words[i] = new String(readBytes(length), StandardCharsets.ISO_8859_1);
             } else if (length > 0) {
                 inBody = true;
                 body = pool.acquire(length, BUFFER_WAIT_MS);
                 refused = body == null;
-                body(body, length);
+                readBody(body, length);
             }
-            lineEnd(body);
+            readLineEnd(body);
         }
-        return new Frame(words[0], tag(words[1], body), words[2], words[3], body, refused);
+        return new Frame(words[0], parseTag(words[1], body), words[2], words[3], body, refused);
     }
 
-    private static long tag(String text, Body body) throws Malformed {
+    private static long parseTag(String text, Body body) throws MalformedFrameException {
         try {
             long tag = Long.parseLong(text);
             // The answer repeats it, so only the form that comes out again will do.
@@ -118,30 +118,30 @@
         if (body != null) {
             body.release();
         }
-        throw new Malformed("the tag " + text);
+        throw new MalformedFrameException("the tag " + text);
     }
 
-    private void body(Body body, int length) throws IOException {
+    private void readBody(Body body, int length) throws IOException {
         try {
             if (body == null) {
                 for (int rest = length; rest > 0; rest--) {
-                    one();
+                    readByte();
                 }
             } else {
                 body.readFrom(new InputStream() {
                     @Override
                     public int read() throws IOException {
-                        return one();
+                        return readByte();
                     }
 
                     @Override
                     public int read(byte[] to, int from, int count) throws IOException {
-                        if (at == end && !more()) {
+                        if (position == end && !fillBuffer()) {
                             return -1;
                         }
-                        int part = Math.min(count, end - at);
-                        System.arraycopy(buffer, at, to, from, part);
-                        at += part;
+                        int part = Math.min(count, end - position);
+                        System.arraycopy(buffer, position, to, from, part);
+                        position += part;
                         return part;
                     }
                 });
@@ -154,10 +154,10 @@
         }
     }
 
-    private void lineEnd(Body body) throws IOException {
+    private void readLineEnd(Body body) throws IOException {
         try {
-            if (one() != '\r' || one() != '\n') {
-                throw new Malformed("a part without its line end");
+            if (readByte() != '\r' || readByte() != '\n') {
+                throw new MalformedFrameException("a part without its line end");
             }
         } catch (IOException e) {
             if (body != null) {
@@ -167,46 +167,46 @@
         }
     }
 
-    private int number(char mark) throws IOException {
-        if (one() != mark) {
-            throw new Malformed("no " + mark);
+    private int readNumber(char marker) throws IOException {
+        if (readByte() != marker) {
+            throw new MalformedFrameException("no " + marker);
         }
         int value = 0;
         for (int digits = 0; ; digits++) {
-            int next = one();
+            int next = readByte();
             if (next == '\r' && digits > 0) {
-                if (one() != '\n') {
-                    throw new Malformed("a number without its line end");
+                if (readByte() != '\n') {
+                    throw new MalformedFrameException("a number without its line end");
                 }
                 return value;
             }
-            if (next < '0' || next > '9' || digits >= LONGEST_NUMBER || value > LARGEST_BODY) {
-                throw new Malformed("a number that is none");
+            if (next < '0' || next > '9' || digits >= MAX_NUMBER_DIGITS || value > MAX_BODY_BYTES) {
+                throw new MalformedFrameException("a number that is none");
             }
             value = value * 10 + next - '0';
         }
     }
 
-    private byte[] exactly(int length) throws IOException {
+    private byte[] readBytes(int length) throws IOException {
         byte[] bytes = new byte[length];
         for (int i = 0; i < length; i++) {
-            bytes[i] = (byte) one();
+            bytes[i] = (byte) readByte();
         }
         return bytes;
     }
 
-    private int one() throws IOException {
-        if (at == end && !more()) {
+    private int readByte() throws IOException {
+        if (position == end && !fillBuffer()) {
             throw new EOFException();
         }
-        return Byte.toUnsignedInt(buffer[at++]);
+        return Byte.toUnsignedInt(buffer[position++]);
     }
 
-    private boolean more() throws IOException {
-        at = 0;
+    private boolean fillBuffer() throws IOException {
+        position = 0;
         end = Math.max(0, in.read(buffer, 0, buffer.length));
-        inHand = true;
-        grewAt = System.nanoTime();
+        hasUnadmittedInput = true;
+        lastReadAt = System.nanoTime();
         return end > 0;
     }
 }
--- a/src/main/java/magpiewheel/resp/RespServer.java
+++ b/src/main/java/magpiewheel/resp/RespServer.java
@@ -30,28 +30,28 @@
             UnixClock clock,
             List<String> classes,
             List<Long> deadlinesUs,
-            BooleanSupplier up,
-            WorkerPool crew,
-            ServiceStats figures,
-            ConnectionDrain leave,
-            ResponseListener watch,
-            boolean hints) {}
+            BooleanSupplier ready,
+            WorkerPool workers,
+            ServiceStats stats,
+            ConnectionDrain drain,
+            ResponseListener responseListener,
+            boolean hintsEnabled) {}
 
     private static final int SWEEP_MS = 50;
     /** ms; how long a newcomer waits for a place before it is turned away, and between two looks. */
-    private static final int PLACE_MS = 300;
+    private static final int MAX_ROOM_WAIT_MS = 300;
 
-    private static final int LOOK_MS = 5;
+    private static final int POLL_MS = 5;
     /** ms; who waits in the listener's queue is there at once, on a busy machine a moment later. */
-    private static final int LAST_MS = 20;
+    private static final int QUEUED_ACCEPT_MS = 20;
     /** A part of all places: so many connections may stay that nobody uses. */
-    private static final int UNUSED_PART = 6;
+    private static final int UNUSED_DIVISOR = 6;
     /** A part of all places: so many connections more may be ended on this side and not yet closed by their clients. */
-    private static final int ENDED_PART = 16;
+    private static final int HALF_CLOSED_DIVISOR = 16;
 
     private final Shared shared;
-    private final int most;
-    private volatile ListeningSocket entrance;
+    private final int maxClients;
+    private volatile ListeningSocket listener;
     private volatile Thread acceptor;
     private volatile boolean closed;
     private final Set<ClientConnection> clients = ConcurrentHashMap.newKeySet();
@@ -60,19 +60,19 @@
      * With so many places; {@code up} says whether the front is ready for clients, {@code hints} whether it heeds them.
      */
     public RespServer(
-            int most,
+            int maxClients,
             Engine engine,
             BufferPool pool,
             Counters counters,
             UnixClock clock,
             List<String> classes,
             List<Long> deadlinesUs,
-            BooleanSupplier up,
-            WorkerPool crew,
-            ServiceStats figures,
-            ResponseListener watch,
-            boolean hints) {
-        ConnectionDrain leave = new ConnectionDrain();
+            BooleanSupplier ready,
+            WorkerPool workers,
+            ServiceStats stats,
+            ResponseListener responseListener,
+            boolean hintsEnabled) {
+        ConnectionDrain drain = new ConnectionDrain();
         this.shared = new Shared(
                 engine,
                 pool,
@@ -80,36 +80,36 @@
                 clock,
                 classes,
                 deadlinesUs,
-                () -> up.getAsBoolean() && !leave.asked(),
-                crew,
-                figures,
-                leave,
-                watch,
-                hints);
-        this.most = most;
+                () -> ready.getAsBoolean() && !drain.draining(),
+                workers,
+                stats,
+                drain,
+                responseListener,
+                hintsEnabled);
+        this.maxClients = maxClients;
     }
 
     /** The most descriptors that clients take, for so many places. */
     public static int descriptors(int places) {
-        return places + places / ENDED_PART;
+        return places + places / HALF_CLOSED_DIVISOR;
     }
 
     /** Where it listens. */
     public InetSocketAddress address() {
-        return entrance.address();
+        return listener.address();
     }
 
     /** Starts to let clients in. */
-    public void start(ListeningSocket from) {
-        entrance = from;
+    public void start(ListeningSocket socket) {
+        listener = socket;
         acceptor = Actor.daemonThread("accept", this::accept);
         acceptor.start();
     }
 
     /** Whether any client is owed an answer or is being sent one or, where others take the clients, has yet to go. */
     public boolean busy() {
-        return handedOn() && hasClients()
-                || clients.stream().anyMatch(client -> client.busy() || !client.drained(System.nanoTime()));
+        return isShared() && hasClients()
+                || clients.stream().anyMatch(client -> client.busy() || !client.allRead(System.nanoTime()));
     }
 
     /** Whether any client has yet to go, or may still be on its way in. */
@@ -120,15 +120,15 @@
     }
 
     /** Whether clients find another process by the same entrance. */
-    public boolean handedOn() {
-        ListeningSocket from = entrance;
-        return from != null && from.handedOn();
+    public boolean isShared() {
+        ListeningSocket socket = listener;
+        return socket != null && socket.isShared();
     }
 
     /** The process is about to end: what is taken from now on gets no more time than it has left. */
     public void answerWithin(long us) {
-        shared.leave().answerBy(shared.clock().now() + us);
-        clients.forEach(ClientConnection::hearOfTheEnd);
+        shared.drain().answerBy(shared.clock().now() + us);
+        clients.forEach(ClientConnection::wakeForShutdown);
     }
 
     /**
@@ -139,28 +139,28 @@
         boolean first = !closed;
         closed = true;
         if (first) {
-            shared.leave().beginLast(!handedOn());
-            Actor.daemonThread("leave", this::takeLeave).start();
+            shared.drain().beginShutdown(!isShared());
+            Actor.daemonThread("leave", this::drainClients).start();
         }
     }
 
     /** Sends clients away: it says that it is down, and takes leave of each connection when nothing is open on it. */
     public void quiesce() {
-        shared.leave().begin();
+        shared.drain().begin();
     }
 
     /** Takes clients again. */
     public void resume() {
-        shared.leave().end();
+        shared.drain().end();
     }
 
     /** Requests taken and not yet ended. */
     public int inFlight() {
-        return clients.stream().mapToInt(ClientConnection::open).sum();
+        return clients.stream().mapToInt(ClientConnection::openRequests).sum();
     }
 
     /** Serves a connection that was made. */
-    public void take(Socket socket) {
+    public void serve(Socket socket) {
         shared.counters().add(Counter.CLIENTS);
         ClientConnection client = new ClientConnection(socket, shared, clients::remove);
         clients.add(client);
@@ -177,7 +177,7 @@
         long swept = System.nanoTime();
         while (!closed) {
             try {
-                letIn(entrance.accept(SWEEP_MS));
+                admit(listener.accept(SWEEP_MS));
             } catch (SocketTimeoutException e) {
                 // Time to look at the others.
             } catch (IOException e) {
@@ -190,19 +190,19 @@
                 sweep(now);
             }
         }
-        if (!entrance.handedOn()) {
-            letInTheLast();
+        if (!listener.isShared()) {
+            acceptQueued();
         }
         try {
-            entrance.close();
+            listener.close();
         } catch (IOException e) {
             // It is closed all the same.
         }
     }
 
-    private void letIn(Socket socket) throws IOException {
-        if (place()) {
-            take(socket);
+    private void admit(Socket socket) throws IOException {
+        if (makeRoom()) {
+            serve(socket);
         } else {
             shared.counters().add(Counter.CLIENTS_TURNED_AWAY);
             socket.close();
@@ -210,10 +210,10 @@
     }
 
     /** The machine has accepted those who still wait in the listener's queue: closed with it, they would be reset. */
-    private void letInTheLast() {
+    private void acceptQueued() {
         try {
             while (true) {
-                letIn(entrance.accept(LAST_MS));
+                admit(listener.accept(QUEUED_ACCEPT_MS));
             }
         } catch (IOException e) {
             // Nobody waits any more.
@@ -223,17 +223,17 @@
     /** Every connection costs a thread: of those without work only so many are kept that were not used lately. */
     private void sweep(long now) {
         clients.forEach(client -> client.sweep(now));
-        if (shared.leave().closes()) {
-            clients.forEach(ClientConnection::takeLeave);
+        if (shared.drain().closesIdle()) {
+            clients.forEach(ClientConnection::drainIfUnused);
         }
-        boolean crowded = clients.size() > most / 2;
+        boolean crowded = clients.size() > maxClients / 2;
         List<ClientConnection> unused = clients.stream()
-                .filter(client -> client.unused(now, crowded))
-                .sorted(Comparator.comparingLong((ClientConnection client) -> client.spare(now))
+                .filter(client -> client.evictable(now, crowded))
+                .sorted(Comparator.comparingLong((ClientConnection client) -> client.evictionRank(now))
                         .reversed())
                 .toList();
-        for (int i = 0; i < unused.size() - most / UNUSED_PART; i++) {
-            if (unused.get(i).closeUnused()) {
+        for (int i = 0; i < unused.size() - maxClients / UNUSED_DIVISOR; i++) {
+            if (unused.get(i).evict()) {
                 shared.counters().add(Counter.CLIENTS_MADE_ROOM);
             }
         }
@@ -243,54 +243,54 @@
      * Whether there is a place for a newcomer. In a full front the silent clients go first, then those that have been
      * idle for longest; never one with work open. Others that come meanwhile wait in the listener's queue.
      */
-    private boolean place() {
-        for (int waited = 0; full(); waited += LOOK_MS) {
-            ClientConnection spare = sparest();
-            if (spare != null && spare.closeUnused()) {
+    private boolean makeRoom() {
+        for (int waited = 0; full(); waited += POLL_MS) {
+            ClientConnection candidate = evictionCandidate();
+            if (candidate != null && candidate.evict()) {
                 shared.counters().add(Counter.CLIENTS_MADE_ROOM);
-            } else if (waited >= PLACE_MS) {
+            } else if (waited >= MAX_ROOM_WAIT_MS) {
                 return false;
             } else {
                 pause();
             }
         }
-        while (clients.size() >= descriptors(most)) {
-            closeLongestEnded();
+        while (clients.size() >= descriptors(maxClients)) {
+            closeLongestHalfClosed();
         }
         return true;
     }
 
     private boolean full() {
-        return clients.size() >= most
-                && clients.stream().filter(client -> !client.ended()).count() >= most;
+        return clients.size() >= maxClients
+                && clients.stream().filter(client -> !client.halfClosed()).count() >= maxClients;
     }
 
     /** Of those that were ended and have yet to go there are only so many: each holds a descriptor. */
-    private void closeLongestEnded() {
+    private void closeLongestHalfClosed() {
         clients.stream()
-                .filter(ClientConnection::ended)
-                .min(Comparator.comparingLong(ClientConnection::endedAt))
+                .filter(ClientConnection::halfClosed)
+                .min(Comparator.comparingLong(ClientConnection::halfClosedAt))
                 .ifPresent(client -> {
-                    client.endReading();
+                    client.shutdownInput();
                     clients.remove(client);
                 });
     }
 
-    private void takeLeave() {
+    private void drainClients() {
         while (hasClients()) {
             sweep(System.nanoTime());
             pause();
         }
     }
 
-    private ClientConnection sparest() {
+    private ClientConnection evictionCandidate() {
         long now = System.nanoTime();
         ClientConnection best = null;
-        long most = 0;
+        long highest = 0;
         for (ClientConnection client : clients) {
-            long spare = client.spare(now);
-            if (spare > most) {
-                most = spare;
+            long rank = client.evictionRank(now);
+            if (rank > highest) {
+                highest = rank;
                 best = client;
             }
         }
@@ -299,7 +299,7 @@
 
     private static void pause() {
         try {
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/magpiewheel/resp/ResponseWriter.java
+++ b/src/main/java/magpiewheel/resp/ResponseWriter.java
@@ -12,19 +12,19 @@
 /** Writes the answers on one connection, for its actor; other threads look how far that has come. */
 final class ResponseWriter {
     /** ns; the longest that one answer may take to be written. */
-    private static final long STUCK_NS = TimeUnit.SECONDS.toNanos(10);
+    private static final long WRITE_TIMEOUT_NS = TimeUnit.SECONDS.toNanos(10);
     /** ns a byte; slow clients read 1 MB a second. */
-    private static final long READ_NS = 1_000;
+    private static final long READ_NS_PER_BYTE = 1_000;
 
     private static final byte[] LINE_END = {'\r', '\n'};
 
     private OutputStream out;
-    private long written;
+    private long bytesWritten;
     private volatile long writingSince;
-    private volatile long drainedAt = System.nanoTime();
+    private volatile long allReadAt = System.nanoTime();
 
     /** Where the answers go; set before the first of them. */
-    void to(OutputStream stream) {
+    void setOutput(OutputStream stream) {
         out = stream;
     }
 
@@ -36,22 +36,22 @@
     /** Whether the client has not taken an answer for so long that it will not. For other threads to look at. */
     boolean stuck(long now) {
         long from = writingSince;
-        return from != 0 && now - from > STUCK_NS;
+        return from != 0 && now - from > WRITE_TIMEOUT_NS;
     }
 
     /** Whether the client has read all that was written to it, as far as one can know. For other threads to look at. */
-    boolean drained(long now) {
-        return now - drainedAt >= 0;
+    boolean allRead(long now) {
+        return now - allReadAt >= 0;
     }
 
     /** ns; by then a slow client, too, has read all that was written. */
-    long drainedAt() {
-        return drainedAt;
+    long allReadAt() {
+        return allReadAt;
     }
 
     /** Octets of the last answer that the socket took. */
-    long written() {
-        return written;
+    long bytesWritten() {
+        return bytesWritten;
     }
 
     /** Writes an answer of the engine. */
@@ -87,11 +87,11 @@
         int length = body == null ? 0 : body.length();
         begin(length);
         try {
-            part(head(tag, word, fields, length) + (length == 0 ? "\r\n" : ""));
+            send(head(tag, word, fields, length) + (length == 0 ? "\r\n" : ""));
             if (length > 0) {
-                body.writeTo(out, octets -> written += octets);
+                body.writeTo(out, count -> bytesWritten += count);
                 out.write(LINE_END);
-                written += LINE_END.length;
+                bytesWritten += LINE_END.length;
             }
         } finally {
             writingSince = 0;
@@ -99,10 +99,10 @@
     }
 
     /** Likewise, with words in the place of the body. */
-    void write(long tag, String word, String fields, String words) throws IOException {
+    void write(long tag, String word, String fields, String text) throws IOException {
         begin(0);
         try {
-            part(head(tag, word, fields, words.length()) + words + "\r\n");
+            send(head(tag, word, fields, text.length()) + text + "\r\n");
         } finally {
             writingSince = 0;
         }
@@ -111,14 +111,14 @@
     private void begin(int length) {
         long now = System.nanoTime();
         writingSince = now;
-        drainedAt = now + Math.max(0, drainedAt - now) + length * READ_NS;
-        written = 0;
+        allReadAt = now + Math.max(0, allReadAt - now) + length * READ_NS_PER_BYTE;
+        bytesWritten = 0;
     }
 
-    private void part(String text) throws IOException {
+    private void send(String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         out.write(bytes);
-        written += bytes.length;
+        bytesWritten += bytes.length;
     }
 
     private static String head(long tag, String word, String fields, int length) {
--- a/src/test/java/magpiewheel/resp/ClientConnectionTest.java
+++ b/src/test/java/magpiewheel/resp/ClientConnectionTest.java
@@ -72,7 +72,7 @@
                 Socket client = new Socket(listener.getInetAddress(), listener.getLocalPort());
                 Socket accepted = listener.accept()) {
             ClientConnection connection = new ClientConnection(accepted, shared, gone -> {});
-            assertTrue(connection.spare(System.nanoTime() + SECOND) > 0, "silent and not young");
+            assertTrue(connection.evictionRank(System.nanoTime() + SECOND) > 0, "silent and not young");
             client.getOutputStream().write("*2\r\n$6\r\nSTA".getBytes());
             until(() -> {
                 try {
@@ -82,15 +82,15 @@
                 }
             });
             Thread.sleep(60);
-            assertFalse(connection.closeUnused(), "what waits in the socket is work");
+            assertFalse(connection.evict(), "what waits in the socket is work");
             connection.begin();
-            until(() -> connection.spare(System.nanoTime() + SECOND / 10) == 0);
-            assertTrue(connection.spare(System.nanoTime() + SECOND) > 0, "but half a request is not for long");
+            until(() -> connection.evictionRank(System.nanoTime() + SECOND / 10) == 0);
+            assertTrue(connection.evictionRank(System.nanoTime() + SECOND) > 0, "but half a request is not for long");
             client.getOutputStream().write("TUS\r\n$1\r\n7\r\n".getBytes());
             byte[] answer = new byte[5];
             assertEquals(5, client.getInputStream().readNBytes(answer, 0, 5));
-            until(() -> connection.unused(System.nanoTime() + SECOND, false));
-            until(connection::closeUnused);
+            until(() -> connection.evictable(System.nanoTime() + SECOND, false));
+            until(connection::evict);
             client.getInputStream().skipNBytes("*4\r\n$1\r\n7\r\n$2\r\nUP\r\n$0\r\n\r\n$0\r\n\r\n".length() - 5);
             assertEquals(-1, client.getInputStream().read(), "the end comes behind the answer, and is no reset");
             assertFalse(accepted.isClosed(), "what the client may still send is read");
@@ -210,14 +210,14 @@
     /** The client sends such a request again, elsewhere: sent on as well, it would be in work twice. */
     @Test
     void aRequestReadBehindTheEndOfARestingConnectionIsNotSentOn() throws Exception {
-        assertEquals(0, requestsThatCross(ClientConnection::closeUnused));
+        assertEquals(0, requestsThatCross(ClientConnection::evict));
     }
 
     @Test
     void aRequestReadBehindTheLeaveIsNotSentOn() throws Exception {
         assertEquals(0, requestsThatCross(client -> {
-            client.takeLeave();
-            return client.ended();
+            client.drainIfUnused();
+            return client.halfClosed();
         }));
     }
 
@@ -247,8 +247,8 @@
                 Socket accepted = listener.accept()) {
             long before = System.nanoTime();
             ClientConnection connection = new ClientConnection(accepted, shared, gone -> {});
-            assertEquals(0, connection.spare(before + SECOND / 100));
-            assertTrue(connection.spare(System.nanoTime() + SECOND / 40) > 0);
+            assertEquals(0, connection.evictionRank(before + SECOND / 100));
+            assertTrue(connection.evictionRank(System.nanoTime() + SECOND / 40) > 0);
             assertTrue(client.isConnected());
         }
     }
--- a/src/test/java/magpiewheel/resp/RespServerTest.java
+++ b/src/test/java/magpiewheel/resp/RespServerTest.java
@@ -88,7 +88,7 @@
         }
 
         @Override
-        public boolean handedOn() {
+        public boolean isShared() {
             return false;
         }
     }
@@ -117,7 +117,7 @@
     void aFrontThatEndsBeforeItBeganHoldsNobodyUp() {
         front.answerWithin(1_000_000);
         front.close();
-        assertFalse(front.handedOn());
+        assertFalse(front.isShared());
         assertFalse(front.busy());
         assertFalse(front.hasClients());
     }
