--- a/src/main/java/magpiewheel/adapter/Adapter.java
+++ b/src/main/java/magpiewheel/adapter/Adapter.java
@@ -29,10 +29,10 @@
 /** Drives instances of the decision module from the wire's batches. It decides nothing. */
 public final class Adapter {
     private static final String USAGE = "usage: magpiewheel.jar adapter";
-    private static final int CLIENT_REPEAT = 2;
-    private static final int WRITE = 4;
-    private static final CacheStatus[] NOTES = CacheStatus.values();
-    private static final EndpointListMode[] MODES = EndpointListMode.values();
+    private static final int FLAG_CLIENT_RETRY = 2;
+    private static final int FLAG_WRITE = 4;
+    private static final CacheStatus[] CACHE_STATUSES = CacheStatus.values();
+    private static final EndpointListMode[] LIST_MODES = EndpointListMode.values();
     private final Map<Integer, RoutingPolicy> instances = new HashMap<>();
     private final FrameReader reader;
     private final FrameWriter writer = new FrameWriter();
@@ -61,190 +61,190 @@
     void run() throws IOException {
         while (reader.nextBatch()) {
             for (int code = reader.nextRecord(); code >= 0; code = reader.nextRecord()) {
-                record(code);
+                handleRecord(code);
             }
             writer.flush(out);
         }
     }
 
-    private void record(int code) throws IOException {
-        if (code > Wire.IN_PURGED) {
+    private void handleRecord(int code) throws IOException {
+        if (code > Wire.IN_OBJECTS_PURGED) {
             throw new FrameReader.MalformedInput("unknown record " + code);
         }
-        int who = reader.u16();
-        Runnable event = decode(code, who);
+        int instanceId = reader.u16();
+        Runnable event = decode(code, instanceId);
         reader.endRecord(code);
         try {
             event.run();
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            writer.text(Wire.OUT_BUG, who, e + (trace.length > 0 ? " at " + trace[0] : ""));
+            writer.textRecord(Wire.OUT_INTERNAL_ERROR, instanceId, e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
-    private static RoutingSettings settings(byte[] text) throws IOException {
+    private static RoutingSettings parseSettings(byte[] json) throws IOException {
         try {
-            return Settings.parse(new String(text, StandardCharsets.UTF_8)).module();
+            return Settings.parse(new String(json, StandardCharsets.UTF_8)).module();
         } catch (ConfigException e) {
             throw new FrameReader.MalformedInput("settings: " + e.getMessage());
         }
     }
 
-    private RoutingPolicy instance(int who) throws IOException {
-        RoutingPolicy found = instances.get(who);
+    private RoutingPolicy instance(int instanceId) throws IOException {
+        RoutingPolicy found = instances.get(instanceId);
         if (found == null) {
-            throw new FrameReader.MalformedInput("record for instance " + who + ", which was not started");
+            throw new FrameReader.MalformedInput("record for instance " + instanceId + ", which was not started");
         }
         return found;
     }
 
-    private Runnable decode(int code, int who) throws IOException {
-        if (code == Wire.IN_INIT) {
+    private Runnable decode(int code, int instanceId) throws IOException {
+        if (code == Wire.IN_START_INSTANCE) {
             long seed = reader.u64();
-            RoutingSettings settings = settings(reader.bytes(reader.u32()));
+            RoutingSettings settings = parseSettings(reader.bytes(reader.u32()));
             long now = reader.clock();
             return () -> {
-                RoutingPolicy made = new RequestRouter(
+                RoutingPolicy router = new RequestRouter(
                         settings,
                         seed,
-                        writer.actionsOf(who),
+                        writer.actionsOf(instanceId),
                         settings.topology()
                                 .membershipConfig(
                                         0, MembershipConfig.SLOW_HEARTBEAT_US, Math.max(1, now / 1_000), false),
                         null,
                         false);
-                made.setServing(now, true);
-                instances.put(who, made);
+                router.setServing(now, true);
+                instances.put(instanceId, router);
             };
         }
-        if (code == Wire.IN_STOP) {
-            return () -> instances.remove(who);
+        if (code == Wire.IN_STOP_INSTANCE) {
+            return () -> instances.remove(instanceId);
         }
-        RoutingPolicy director = instance(who);
+        RoutingPolicy policy = instance(instanceId);
         long now = reader.clock();
         return switch (code) {
-            case Wire.IN_UPDATE -> update(director, now);
-            case Wire.IN_INGRESS -> ingress(director, now);
-            case Wire.IN_ACCEPTED -> accepted(director, now);
-            case Wire.IN_ANSWER -> answer(director, now);
-            case Wire.IN_CANCELLED_BY_CLIENT -> {
-                long request = reader.u64();
-                yield () -> director.clientDisconnected(now, request);
+            case Wire.IN_ENDPOINTS_CHANGED -> endpointsChanged(policy, now);
+            case Wire.IN_REQUEST_ARRIVED -> requestArrived(policy, now);
+            case Wire.IN_STREAM_STARTED -> streamStarted(policy, now);
+            case Wire.IN_ATTEMPT_ENDED -> attemptEnded(policy, now);
+            case Wire.IN_CLIENT_DISCONNECTED -> {
+                long requestId = reader.u64();
+                yield () -> policy.clientDisconnected(now, requestId);
             }
-            case Wire.IN_BELL -> {
+            case Wire.IN_TIMER_EXPIRED -> {
                 long handle = reader.u64();
-                yield () -> director.timerExpired(now, handle);
+                yield () -> policy.timerExpired(now, handle);
             }
-            case Wire.IN_STATUS_BACK -> statusBack(director, now);
-            case Wire.IN_MEMO -> {
+            case Wire.IN_HEALTH_CHECK_ENDED -> healthCheckEnded(policy, now);
+            case Wire.IN_PEER_MESSAGE -> {
                 long sender = reader.u32();
                 byte[] message = reader.bytes(reader.u16());
-                yield () -> director.peerMessageReceived(now, sender, message);
+                yield () -> policy.peerMessageReceived(now, sender, message);
             }
-            default -> purged(director, now);
+            default -> objectsPurged(policy, now);
         };
     }
 
-    private Runnable update(RoutingPolicy director, long now) throws IOException {
+    private Runnable endpointsChanged(RoutingPolicy policy, long now) throws IOException {
         int mode = reader.u8();
-        if (mode >= MODES.length) {
+        if (mode >= LIST_MODES.length) {
             throw new FrameReader.MalformedInput("unknown list mode " + mode);
         }
         reader.u32();
-        long rows = reader.u32();
-        List<EndpointInfo> members = new ArrayList<>();
-        for (long i = 0; i < rows; i++) {
+        long endpointCount = reader.u32();
+        List<EndpointInfo> endpoints = new ArrayList<>();
+        for (long i = 0; i < endpointCount; i++) {
             int kind = reader.u16();
-            long started = reader.u64();
+            long startedUs = reader.u64();
             int zone = reader.u16();
             double weight = reader.f32();
-            long node = reader.node();
+            long endpointId = reader.endpointId();
             int state = reader.u8();
             if (state >= EndpointState.values().length) {
                 throw new FrameReader.MalformedInput("unknown availability " + state);
             }
-            members.add(EndpointInfo.builder(node, kind, zone)
-                    .startedUs(started)
+            endpoints.add(EndpointInfo.builder(endpointId, kind, zone)
+                    .startedUs(startedUs)
                     .weight(weight)
                     .state(EndpointState.values()[state])
                     .cell(reader.u16())
                     .build());
         }
-        return () -> director.endpointsChanged(now, MODES[mode], members);
+        return () -> policy.endpointsChanged(now, LIST_MODES[mode], endpoints);
     }
 
-    private Runnable ingress(RoutingPolicy director, long now) throws IOException {
-        long id = reader.u64();
-        int bits = reader.u8();
+    private Runnable requestArrived(RoutingPolicy policy, long now) throws IOException {
+        long requestId = reader.u64();
+        int flags = reader.u8();
         int tenant = (int) reader.u32();
         int group = (int) reader.f32();
-        double kbytes = reader.f32();
-        long budget = reader.u32();
+        double sizeKb = reader.f32();
+        long timeBudgetUs = reader.u32();
         int part = (int) reader.f32();
         int profile = reader.u8();
-        RoutingRequest request = RoutingRequest.builder(id, profile, reader.u64())
+        RoutingRequest request = RoutingRequest.builder(requestId, profile, reader.u64())
                 .tenant(tenant)
                 .group(group)
-                .sizeKb(kbytes)
-                .timeBudgetUs(budget)
+                .sizeKb(sizeKb)
+                .timeBudgetUs(timeBudgetUs)
                 .part(part)
-                .clientRetry((bits & CLIENT_REPEAT) != 0)
-                .write((bits & WRITE) != 0)
+                .clientRetry((flags & FLAG_CLIENT_RETRY) != 0)
+                .write((flags & FLAG_WRITE) != 0)
                 .build();
-        return () -> director.requestArrived(now, request);
+        return () -> policy.requestArrived(now, request);
     }
 
-    private Runnable accepted(RoutingPolicy director, long now) throws IOException {
-        long request = reader.u64();
+    private Runnable streamStarted(RoutingPolicy policy, long now) throws IOException {
+        long requestId = reader.u64();
         reader.u32();
-        reader.node();
+        reader.endpointId();
         int attempt = reader.u8();
-        return () -> director.streamStarted(now, request, attempt);
+        return () -> policy.streamStarted(now, requestId, attempt);
     }
 
-    private Runnable answer(RoutingPolicy director, long now) throws IOException {
-        long request = reader.u64();
+    private Runnable attemptEnded(RoutingPolicy policy, long now) throws IOException {
+        long requestId = reader.u64();
         int attempt = reader.u8();
-        long node = reader.node();
+        long endpointId = reader.endpointId();
         AttemptResult result = Wire.result(reader.u16());
-        long took = reader.u32();
-        boolean over = reader.u8() != 0;
-        int note = reader.u8();
-        if (note >= NOTES.length) {
-            throw new FrameReader.MalformedInput("unknown note " + note);
+        long durationUs = reader.u32();
+        boolean requestCompleted = reader.u8() != 0;
+        int cacheStatus = reader.u8();
+        if (cacheStatus >= CACHE_STATUSES.length) {
+            throw new FrameReader.MalformedInput("unknown note " + cacheStatus);
         }
         long firstByteUs = reader.u32();
-        skipLoad();
-        AttemptOutcome outcome = AttemptOutcome.builder(request, attempt, node, result)
-                .durationUs(took)
-                .requestCompleted(over)
-                .cacheStatus(NOTES[note])
+        skipLoadReport();
+        AttemptOutcome outcome = AttemptOutcome.builder(requestId, attempt, endpointId, result)
+                .durationUs(durationUs)
+                .requestCompleted(requestCompleted)
+                .cacheStatus(CACHE_STATUSES[cacheStatus])
                 .firstByteUs(firstByteUs)
                 .build();
-        return () -> director.attemptEnded(now, outcome);
+        return () -> policy.attemptEnded(now, outcome);
     }
 
     /** A load report: no decision needs it. */
-    private void skipLoad() throws IOException {
+    private void skipLoadReport() throws IOException {
         int values = reader.u8();
         for (int i = 0; i < values; i++) {
             reader.f32();
         }
     }
 
-    private Runnable statusBack(RoutingPolicy director, long now) throws IOException {
-        long took = reader.u32();
-        long node = reader.node();
+    private Runnable healthCheckEnded(RoutingPolicy policy, long now) throws IOException {
+        long durationUs = reader.u32();
+        long endpointId = reader.endpointId();
         AttemptResult result = Wire.result(reader.u16());
-        skipLoad();
-        HealthCheckResult probe = new HealthCheckResult(node, result, took);
-        return () -> director.healthCheckEnded(now, probe);
+        skipLoadReport();
+        HealthCheckResult healthCheck = new HealthCheckResult(endpointId, result, durationUs);
+        return () -> policy.healthCheckEnded(now, healthCheck);
     }
 
-    private Runnable purged(RoutingPolicy director, long now) throws IOException {
-        long ago = reader.u32();
-        long object = reader.u64();
-        Purge purge = new Purge(ago, object, reader.u16());
-        return () -> director.objectsPurged(now, purge);
+    private Runnable objectsPurged(RoutingPolicy policy, long now) throws IOException {
+        long ageUs = reader.u32();
+        long objectId = reader.u64();
+        Purge purge = new Purge(ageUs, objectId, reader.u16());
+        return () -> policy.objectsPurged(now, purge);
     }
 }
--- a/src/main/java/magpiewheel/adapter/FrameReader.java
+++ b/src/main/java/magpiewheel/adapter/FrameReader.java
@@ -9,9 +9,9 @@
 /** Reads batches and the fields of their records; every overrun is a {@link MalformedInput}. */
 final class FrameReader {
     private static final int CLOCK_BYTES = 8;
-    private static final int LARGEST_BATCH = 1 << 30;
+    private static final int MAX_BATCH_BYTES = 1 << 30;
     private final InputStream in;
-    private ByteBuffer batch = empty();
+    private ByteBuffer batch = emptyBatch();
     private long clock;
     private int recordEnd;
 
@@ -19,21 +19,21 @@
         this.in = in;
     }
 
-    private static ByteBuffer empty() {
+    private static ByteBuffer emptyBatch() {
         return ByteBuffer.allocate(0).order(ByteOrder.LITTLE_ENDIAN);
     }
 
     /** Reads the next batch; false at a clean end of input. */
     boolean nextBatch() throws IOException {
-        byte[] head = in.readNBytes(Integer.BYTES);
-        if (head.length == 0) {
+        byte[] header = in.readNBytes(Integer.BYTES);
+        if (header.length == 0) {
             return false;
         }
-        if (head.length < Integer.BYTES) {
+        if (header.length < Integer.BYTES) {
             throw new MalformedInput("input ends inside a batch header");
         }
-        int length = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt();
-        if (length < CLOCK_BYTES || length > LARGEST_BATCH) {
+        int length = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN).getInt();
+        if (length < CLOCK_BYTES || length > MAX_BATCH_BYTES) {
             throw new MalformedInput("batch length " + Integer.toUnsignedString(length) + " is out of range");
         }
         byte[] body = in.readNBytes(length);
@@ -76,40 +76,40 @@
         }
     }
 
-    private void need(int bytes) throws MalformedInput {
+    private void requireRemaining(int bytes) throws MalformedInput {
         if (bytes < 0 || recordEnd - batch.position() < bytes) {
             throw new MalformedInput("record ends inside a field");
         }
     }
 
     int u8() throws MalformedInput {
-        need(1);
+        requireRemaining(1);
         return Byte.toUnsignedInt(batch.get());
     }
 
     int u16() throws MalformedInput {
-        need(Short.BYTES);
+        requireRemaining(Short.BYTES);
         return Short.toUnsignedInt(batch.getShort());
     }
 
     long u32() throws MalformedInput {
-        need(Integer.BYTES);
+        requireRemaining(Integer.BYTES);
         return Integer.toUnsignedLong(batch.getInt());
     }
 
     long u64() throws MalformedInput {
-        need(Long.BYTES);
+        requireRemaining(Long.BYTES);
         return batch.getLong();
     }
 
     double f32() throws MalformedInput {
-        need(Float.BYTES);
+        requireRemaining(Float.BYTES);
         return batch.getFloat();
     }
 
     /** A node as one number: four bytes of address, first byte first, then the port. */
-    long node() throws MalformedInput {
-        need(Wire.NODE_BYTES);
+    long endpointId() throws MalformedInput {
+        requireRemaining(Wire.ENDPOINT_ID_BYTES);
         long address = Integer.toUnsignedLong(Integer.reverseBytes(batch.getInt()));
         return address << Short.SIZE | u16();
     }
@@ -118,7 +118,7 @@
         if (count > Integer.MAX_VALUE) {
             throw new MalformedInput("record ends inside a field");
         }
-        need((int) count);
+        requireRemaining((int) count);
         byte[] data = new byte[(int) count];
         batch.get(data);
         return data;
--- a/src/main/java/magpiewheel/adapter/FrameWriter.java
+++ b/src/main/java/magpiewheel/adapter/FrameWriter.java
@@ -11,11 +11,11 @@
 
 /** Collects the actions of one reply and writes it. */
 final class FrameWriter {
-    private static final int FIRST_BYTES = 1 << 16;
-    private static final int LARGEST_FIXED_RECORD = 64;
-    private static final int HEADER = 2 * Integer.BYTES;
-    private ByteBuffer buffer = buffer(FIRST_BYTES);
-    private int records;
+    private static final int INITIAL_CAPACITY_BYTES = 1 << 16;
+    private static final int MAX_FIXED_RECORD_BYTES = 64;
+    private static final int HEADER_BYTES = 2 * Integer.BYTES;
+    private ByteBuffer buffer = buffer(INITIAL_CAPACITY_BYTES);
+    private int recordCount;
 
     FrameWriter() {
         reset();
@@ -27,134 +27,134 @@
 
     private void reset() {
         buffer.clear();
-        buffer.position(HEADER);
-        records = 0;
+        buffer.position(HEADER_BYTES);
+        recordCount = 0;
     }
 
     /** Writes and flushes the reply, and starts the next. */
     void flush(OutputStream out) throws IOException {
-        buffer.putInt(0, records);
-        buffer.putInt(Integer.BYTES, buffer.position() - HEADER);
+        buffer.putInt(0, recordCount);
+        buffer.putInt(Integer.BYTES, buffer.position() - HEADER_BYTES);
         out.write(buffer.array(), 0, buffer.position());
         out.flush();
         reset();
     }
 
-    private int begin(int code, int who, int variable) {
-        if (buffer.remaining() < LARGEST_FIXED_RECORD + variable) {
-            ByteBuffer larger = buffer(2 * buffer.capacity() + variable);
+    private int beginRecord(int code, int instanceId, int variableBytes) {
+        if (buffer.remaining() < MAX_FIXED_RECORD_BYTES + variableBytes) {
+            ByteBuffer larger = buffer(2 * buffer.capacity() + variableBytes);
             buffer.flip();
             larger.put(buffer);
             buffer = larger;
         }
-        records++;
+        recordCount++;
         buffer.put((byte) code).putInt(0);
         int start = buffer.position();
-        buffer.putShort((short) who);
+        buffer.putShort((short) instanceId);
         return start;
     }
 
-    private void end(int start) {
+    private void endRecord(int start) {
         buffer.putInt(start - Integer.BYTES, buffer.position() - start);
     }
 
-    private void node(long node) {
-        buffer.putInt(Integer.reverseBytes((int) (node >>> Short.SIZE))).putShort((short) node);
+    private void putEndpointId(long endpointId) {
+        buffer.putInt(Integer.reverseBytes((int) (endpointId >>> Short.SIZE))).putShort((short) endpointId);
     }
 
     /** A record whose only field is text, cut to what its length can say. */
-    void text(int code, int who, String message) {
+    void textRecord(int code, int instanceId, String message) {
         byte[] bytes = message.getBytes(StandardCharsets.UTF_8);
-        byte[] cut = bytes.length > 0xffff ? Arrays.copyOf(bytes, 0xffff) : bytes;
-        int start = begin(code, who, cut.length);
-        buffer.putShort((short) cut.length).put(cut);
-        end(start);
+        byte[] truncated = bytes.length > 0xffff ? Arrays.copyOf(bytes, 0xffff) : bytes;
+        int start = beginRecord(code, instanceId, truncated.length);
+        buffer.putShort((short) truncated.length).put(truncated);
+        endRecord(start);
     }
 
     /** The actions of one instance. */
-    RoutingActions actionsOf(int who) {
-        return new InstanceActions(who);
+    RoutingActions actionsOf(int instanceId) {
+        return new InstanceActions(instanceId);
     }
 
     private final class InstanceActions implements RoutingActions {
-        private final int who;
+        private final int instanceId;
 
-        InstanceActions(int who) {
-            this.who = who;
+        InstanceActions(int instanceId) {
+            this.instanceId = instanceId;
         }
 
         @Override
-        public void startAttempt(long request, long node, AttemptPlan plan) {
-            int start = begin(Wire.OUT_READ_THROUGH, who, 0);
-            buffer.putLong(request);
-            node(node);
-            int manner = (plan.joinFill() ? Wire.JOIN : 0)
-                    | (plan.cachedOnly() ? Wire.HELD_ONLY : 0)
-                    | (plan.bypassParentCache() ? Wire.PARENT_KEEPS_NONE : 0)
-                    | (plan.revalidate() ? Wire.RENEW : 0);
-            buffer.put((byte) plan.retentionRank()).putLong(plan.deadlineUs()).put((byte) manner);
-            node(plan.fillSource());
+        public void startAttempt(long requestId, long endpointId, AttemptPlan plan) {
+            int start = beginRecord(Wire.OUT_START_ATTEMPT, instanceId, 0);
+            buffer.putLong(requestId);
+            putEndpointId(endpointId);
+            int flags = (plan.joinFill() ? Wire.FLAG_JOIN_FILL : 0)
+                    | (plan.cachedOnly() ? Wire.FLAG_CACHED_ONLY : 0)
+                    | (plan.bypassParentCache() ? Wire.FLAG_BYPASS_PARENT_CACHE : 0)
+                    | (plan.revalidate() ? Wire.FLAG_REVALIDATE : 0);
+            buffer.put((byte) plan.retentionRank()).putLong(plan.deadlineUs()).put((byte) flags);
+            putEndpointId(plan.fillSource());
             buffer.putInt((int) Math.min(plan.maxAgeUs(), 0xffffffffL));
-            end(start);
+            endRecord(start);
         }
 
         @Override
-        public void cancelAttempt(long request, int attempt) {
-            int start = begin(Wire.OUT_CANCEL, who, 0);
-            buffer.putLong(request).put((byte) attempt);
-            end(start);
+        public void cancelAttempt(long requestId, int attempt) {
+            int start = beginRecord(Wire.OUT_CANCEL_ATTEMPT, instanceId, 0);
+            buffer.putLong(requestId).put((byte) attempt);
+            endRecord(start);
         }
 
         @Override
-        public void reject(long request, long backoffUs) {
-            int start = begin(Wire.OUT_SHED, who, 0);
-            buffer.putLong(request).putInt((int) Math.min(backoffUs, 0xffffffffL));
-            end(start);
+        public void reject(long requestId, long retryAfterUs) {
+            int start = beginRecord(Wire.OUT_REJECT, instanceId, 0);
+            buffer.putLong(requestId).putInt((int) Math.min(retryAfterUs, 0xffffffffL));
+            endRecord(start);
         }
 
         @Override
-        public void fail(long request) {
-            int start = begin(Wire.OUT_REPORT_FAILURE, who, 0);
-            buffer.putLong(request);
-            end(start);
+        public void fail(long requestId) {
+            int start = beginRecord(Wire.OUT_FAIL, instanceId, 0);
+            buffer.putLong(requestId);
+            endRecord(start);
         }
 
         @Override
         public void setTimer(long atUs, long handle) {
-            int start = begin(Wire.OUT_REMIND, who, 0);
+            int start = beginRecord(Wire.OUT_SET_TIMER, instanceId, 0);
             buffer.putLong(atUs).putLong(handle);
-            end(start);
+            endRecord(start);
         }
 
         @Override
-        public void checkHealth(long node) {
-            int start = begin(Wire.OUT_POLL, who, 0);
-            node(node);
-            end(start);
+        public void checkHealth(long endpointId) {
+            int start = beginRecord(Wire.OUT_CHECK_HEALTH, instanceId, 0);
+            putEndpointId(endpointId);
+            endRecord(start);
         }
 
         @Override
-        public void sendToPeer(int recipient, byte[] message) {
-            int start = begin(Wire.OUT_SAY, who, message.length);
-            buffer.putShort((short) recipient).putShort((short) message.length).put(message);
-            end(start);
+        public void sendToPeer(int router, byte[] message) {
+            int start = beginRecord(Wire.OUT_SEND_TO_PEER, instanceId, message.length);
+            buffer.putShort((short) router).putShort((short) message.length).put(message);
+            endRecord(start);
         }
 
         @Override
         public void subscribe(boolean on) {
-            int start = begin(Wire.OUT_SUBSCRIBE, who, 0);
+            int start = beginRecord(Wire.OUT_SUBSCRIBE, instanceId, 0);
             buffer.put((byte) (on ? 1 : 0));
-            end(start);
+            endRecord(start);
         }
 
         @Override
         public void fetchEndpointList() {
-            end(begin(Wire.OUT_QUERY_ALL, who, 0));
+            endRecord(beginRecord(Wire.OUT_FETCH_ENDPOINT_LIST, instanceId, 0));
         }
 
         @Override
         public void log(String line) {
-            text(Wire.OUT_PRINT, who, line);
+            textRecord(Wire.OUT_LOG, instanceId, line);
         }
     }
 }
--- a/src/main/java/magpiewheel/adapter/Wire.java
+++ b/src/main/java/magpiewheel/adapter/Wire.java
@@ -4,36 +4,36 @@
 
 /** Codes of the wire. */
 final class Wire {
-    static final int NODE_BYTES = 6;
+    static final int ENDPOINT_ID_BYTES = 6;
 
-    static final int IN_INIT = 0;
-    static final int IN_UPDATE = 1;
-    static final int IN_INGRESS = 2;
-    static final int IN_ACCEPTED = 3;
-    static final int IN_ANSWER = 4;
-    static final int IN_CANCELLED_BY_CLIENT = 5;
-    static final int IN_BELL = 6;
-    static final int IN_STATUS_BACK = 7;
-    static final int IN_MEMO = 8;
-    static final int IN_STOP = 9;
-    static final int IN_PURGED = 10;
+    static final int IN_START_INSTANCE = 0;
+    static final int IN_ENDPOINTS_CHANGED = 1;
+    static final int IN_REQUEST_ARRIVED = 2;
+    static final int IN_STREAM_STARTED = 3;
+    static final int IN_ATTEMPT_ENDED = 4;
+    static final int IN_CLIENT_DISCONNECTED = 5;
+    static final int IN_TIMER_EXPIRED = 6;
+    static final int IN_HEALTH_CHECK_ENDED = 7;
+    static final int IN_PEER_MESSAGE = 8;
+    static final int IN_STOP_INSTANCE = 9;
+    static final int IN_OBJECTS_PURGED = 10;
 
-    static final int OUT_SHED = 1;
-    static final int OUT_REPORT_FAILURE = 2;
-    static final int OUT_CANCEL = 3;
-    static final int OUT_REMIND = 4;
-    static final int OUT_POLL = 5;
-    static final int OUT_SAY = 7;
-    static final int OUT_PRINT = 8;
-    static final int OUT_BUG = 9;
+    static final int OUT_REJECT = 1;
+    static final int OUT_FAIL = 2;
+    static final int OUT_CANCEL_ATTEMPT = 3;
+    static final int OUT_SET_TIMER = 4;
+    static final int OUT_CHECK_HEALTH = 5;
+    static final int OUT_SEND_TO_PEER = 7;
+    static final int OUT_LOG = 8;
+    static final int OUT_INTERNAL_ERROR = 9;
     static final int OUT_SUBSCRIBE = 10;
-    static final int OUT_QUERY_ALL = 11;
-    static final int OUT_READ_THROUGH = 12;
+    static final int OUT_FETCH_ENDPOINT_LIST = 11;
+    static final int OUT_START_ATTEMPT = 12;
 
-    static final int JOIN = 1;
-    static final int HELD_ONLY = 2;
-    static final int PARENT_KEEPS_NONE = 4;
-    static final int RENEW = 8;
+    static final int FLAG_JOIN_FILL = 1;
+    static final int FLAG_CACHED_ONLY = 2;
+    static final int FLAG_BYPASS_PARENT_CACHE = 4;
+    static final int FLAG_REVALIDATE = 8;
 
     private Wire() {}
 
