--- a/src/main/java/magpiewheel/Startup.java
+++ b/src/main/java/magpiewheel/Startup.java
@@ -323,7 +323,7 @@
         }
 
         @Override
-        public String figures() {
+        public String stats() {
             return shown.format(front.inFlight());
         }
 
--- a/src/main/java/magpiewheel/admin/AdminServer.java
+++ b/src/main/java/magpiewheel/admin/AdminServer.java
@@ -28,7 +28,7 @@
         boolean serving();
 
         /** The figures, a line each. */
-        String figures();
+        String stats();
 
         /** Sends clients away. */
         void quiesce();
@@ -37,34 +37,34 @@
         void resume();
     }
 
-    private static final int PLACES = 12;
+    private static final int MAX_CONNECTIONS = 12;
     private static final int BACKLOG = 64;
     /** ns; who has not finished a call by then is closed. */
-    private static final long UNFINISHED_NS = TimeUnit.SECONDS.toNanos(5);
+    private static final long REQUEST_TIMEOUT_NS = TimeUnit.SECONDS.toNanos(5);
 
     /** ms; so long a caller that has its answer may say nothing before the connection is closed on it. */
     private static final int LINGER_MS = 2_000;
 
-    private static final int LOOK_MS = 250;
-    private static final int AGAIN_MS = 5;
+    private static final int ACCEPT_TIMEOUT_MS = 250;
+    private static final int ACCEPT_RETRY_MS = 5;
 
-    private record Caller(Socket socket, long since) {}
+    private record Connection(Socket socket, long acceptedNs) {}
 
     private final ServerSocket listener = new ServerSocket();
-    private final Set<Caller> callers = ConcurrentHashMap.newKeySet();
+    private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
     private final Service service;
     private final Counters counters;
-    private final WorkerPool crew;
+    private final WorkerPool workers;
 
     /** Listens on the address. */
-    public AdminServer(InetSocketAddress listen, Service service, Counters counters, WorkerPool crew)
+    public AdminServer(InetSocketAddress listen, Service service, Counters counters, WorkerPool workers)
             throws IOException {
         this.service = service;
         this.counters = counters;
-        this.crew = crew;
+        this.workers = workers;
         listener.setReuseAddress(true);
         listener.bind(listen, BACKLOG);
-        listener.setSoTimeout(LOOK_MS);
+        listener.setSoTimeout(ACCEPT_TIMEOUT_MS);
     }
 
     /** Starts to take calls. */
@@ -79,7 +79,7 @@
         } catch (IOException e) {
             // It is closed all the same.
         }
-        callers.forEach(caller -> close(caller.socket()));
+        connections.forEach(connection -> close(connection.socket()));
     }
 
     /** Where it listens. */
@@ -90,11 +90,11 @@
     private void accept() {
         while (!listener.isClosed()) {
             try {
-                Caller caller = new Caller(listener.accept(), System.nanoTime());
+                Connection connection = new Connection(listener.accept(), System.nanoTime());
                 counters.add(Counter.DOOR_CALLS);
-                makeRoom();
-                callers.add(caller);
-                crew.runReader(() -> serve(caller));
+                evictUntilBelowLimit();
+                connections.add(connection);
+                workers.runReader(() -> serve(connection));
             } catch (SocketTimeoutException e) {
                 // Time to look at the others.
             } catch (IOException e) {
@@ -102,31 +102,31 @@
                 pause();
             }
             long now = System.nanoTime();
-            callers.stream()
-                    .filter(caller -> now - caller.since() > UNFINISHED_NS)
-                    .forEach(this::turnAway);
+            connections.stream()
+                    .filter(connection -> now - connection.acceptedNs() > REQUEST_TIMEOUT_NS)
+                    .forEach(this::evict);
         }
     }
 
-    private void makeRoom() {
-        while (callers.size() >= PLACES) {
-            Iterator<Caller> all = callers.iterator();
-            if (!all.hasNext()) {
+    private void evictUntilBelowLimit() {
+        while (connections.size() >= MAX_CONNECTIONS) {
+            Iterator<Connection> iterator = connections.iterator();
+            if (!iterator.hasNext()) {
                 return;
             }
-            Caller eldest = all.next();
-            while (all.hasNext()) {
-                Caller next = all.next();
-                eldest = next.since() < eldest.since() ? next : eldest;
+            Connection oldest = iterator.next();
+            while (iterator.hasNext()) {
+                Connection next = iterator.next();
+                oldest = next.acceptedNs() < oldest.acceptedNs() ? next : oldest;
             }
-            turnAway(eldest);
+            evict(oldest);
         }
     }
 
-    private void turnAway(Caller caller) {
-        if (callers.remove(caller)) {
+    private void evict(Connection connection) {
+        if (connections.remove(connection)) {
             counters.add(Counter.DOOR_TURNED_AWAY);
-            close(caller.socket());
+            close(connection.socket());
         }
     }
 
@@ -140,24 +140,24 @@
 
     private static void pause() {
         try {
-            Thread.sleep(AGAIN_MS);
+            Thread.sleep(ACCEPT_RETRY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void serve(Caller caller) {
-        Socket socket = caller.socket();
+    private void serve(Connection connection) {
+        Socket socket = connection.socket();
         try (socket) {
             socket.setTcpNoDelay(true);
-            HttpCall.Answer answer;
+            HttpRequest.Response response;
             try {
-                answer = answer(HttpCall.read(socket.getInputStream()));
-            } catch (HttpCall.Malformed e) {
+                response = response(HttpRequest.read(socket.getInputStream()));
+            } catch (HttpRequest.MalformedRequest e) {
                 counters.add(Counter.DOOR_GARBAGE);
-                answer = e.answer();
+                response = e.response();
             }
-            socket.getOutputStream().write(answer.text().getBytes(StandardCharsets.ISO_8859_1));
+            socket.getOutputStream().write(response.text().getBytes(StandardCharsets.ISO_8859_1));
             socket.shutdownOutput();
             socket.setSoTimeout(LINGER_MS);
             LingeringClose.drain(socket.getInputStream());
@@ -167,30 +167,33 @@
             counters.add(Counter.FAULTS);
             System.err.println("admin: " + e + " at " + e.getStackTrace()[0]);
         } finally {
-            callers.remove(caller);
+            connections.remove(connection);
         }
     }
 
-    private HttpCall.Answer answer(HttpCall call) {
-        boolean order = call.path().equals("/admin/quiesce") || call.path().equals("/admin/resume");
-        if (!order && !call.path().equals("/admin/health") && !call.path().equals("/admin/stats")) {
-            return new HttpCall.Answer(404, "Not Found", "no such call\n");
+    private HttpRequest.Response response(HttpRequest request) {
+        boolean command =
+                request.path().equals("/admin/quiesce") || request.path().equals("/admin/resume");
+        if (!command
+                && !request.path().equals("/admin/health")
+                && !request.path().equals("/admin/stats")) {
+            return new HttpRequest.Response(404, "Not Found", "no such call\n");
         }
-        if (!call.method().equals(order ? "POST" : "GET")) {
-            return new HttpCall.Answer(405, "Method Not Allowed", "it takes " + (order ? "POST" : "GET") + "\n");
+        if (!request.method().equals(command ? "POST" : "GET")) {
+            return new HttpRequest.Response(405, "Method Not Allowed", "it takes " + (command ? "POST" : "GET") + "\n");
         }
-        switch (call.path()) {
+        switch (request.path()) {
             case "/admin/health" -> {
                 return service.serving()
-                        ? new HttpCall.Answer(200, "OK", "serving\n")
-                        : new HttpCall.Answer(503, "Service Unavailable", "not serving yet\n");
+                        ? new HttpRequest.Response(200, "OK", "serving\n")
+                        : new HttpRequest.Response(503, "Service Unavailable", "not serving yet\n");
             }
             case "/admin/stats" -> {
-                return new HttpCall.Answer(200, "OK", service.figures());
+                return new HttpRequest.Response(200, "OK", service.stats());
             }
             case "/admin/quiesce" -> service.quiesce();
             default -> service.resume();
         }
-        return new HttpCall.Answer(200, "OK", "done\n");
+        return new HttpRequest.Response(200, "OK", "done\n");
     }
 }
