--- a/src/main/java/magpiewheel/dns/DnsMessage.java
+++ b/src/main/java/magpiewheel/dns/DnsMessage.java
@@ -22,21 +22,21 @@
     static final int TYPE_ANY = 255;
     static final int CLASS_IN = 1;
     /** Largest answer over UDP without EDNS, and the largest that is sent unfragmented with it. */
-    static final int PLAIN_BYTES = 512;
+    static final int MAX_PLAIN_UDP_BYTES = 512;
 
-    static final int EDNS_BYTES = 1_232;
-    static final int MOST_BYTES = 65_535;
+    static final int MAX_EDNS_UDP_BYTES = 1_232;
+    static final int MAX_TCP_BYTES = 65_535;
     private static final int TYPE_OPT = 41;
-    private static final int HEADER = 12;
-    private static final int LONGEST_NAME = 255;
-    private static final int LONGEST_LABEL = 63;
+    private static final int HEADER_BYTES = 12;
+    private static final int MAX_NAME_BYTES = 255;
+    private static final int MAX_LABEL_BYTES = 63;
     private static final int QR = 0x8000;
     private static final int OPCODE = 0x7800;
     private static final int AA = 0x0400;
     private static final int TC = 0x0200;
     private static final int RD = 0x0100;
-    private static final int OWNER_OF_QUESTION = 0xc000 | HEADER;
-    private static final int[] SOA_TIMES = {1, 3_600, 600, 86_400, 0};
+    private static final int POINTER_TO_QUESTION_NAME = 0xc000 | HEADER_BYTES;
+    private static final int[] SOA_NUMBERS = {1, 3_600, 600, 86_400, 0};
 
     /** A query as far as it could be read; {@code error} is its rcode where it can't be answered. */
     record Query(
@@ -47,150 +47,154 @@
             int type,
             int qclass,
             boolean edns,
-            int room,
+            int maxResponseBytes,
             int error) {}
 
     private DnsMessage() {}
 
     /** The query, or null for what deserves no answer: too short for a header, or itself an answer. */
     static Query parse(byte[] bytes, int length, boolean tcp) {
-        if (length < HEADER) {
+        if (length < HEADER_BYTES) {
             return null;
         }
-        ByteBuffer at = ByteBuffer.wrap(bytes, 0, length);
-        int id = Short.toUnsignedInt(at.getShort());
-        int flags = Short.toUnsignedInt(at.getShort());
+        ByteBuffer buffer = ByteBuffer.wrap(bytes, 0, length);
+        int id = Short.toUnsignedInt(buffer.getShort());
+        int flags = Short.toUnsignedInt(buffer.getShort());
         if ((flags & QR) != 0) {
             return null;
         }
-        int plain = tcp ? MOST_BYTES : PLAIN_BYTES;
-        Query bad = new Query(id, flags, new byte[0], List.of(), 0, 0, false, plain, FORMERR);
+        int defaultMaxBytes = tcp ? MAX_TCP_BYTES : MAX_PLAIN_UDP_BYTES;
+        Query formatError = new Query(id, flags, new byte[0], List.of(), 0, 0, false, defaultMaxBytes, FORMERR);
         if ((flags & OPCODE) != 0) {
-            return new Query(id, flags, new byte[0], List.of(), 0, 0, false, plain, NOTIMP);
+            return new Query(id, flags, new byte[0], List.of(), 0, 0, false, defaultMaxBytes, NOTIMP);
         }
         try {
-            int questions = Short.toUnsignedInt(at.getShort());
-            int others = Short.toUnsignedInt(at.getShort()) + Short.toUnsignedInt(at.getShort());
-            int additional = Short.toUnsignedInt(at.getShort());
+            int questions = Short.toUnsignedInt(buffer.getShort());
+            int answersAndAuthorities = Short.toUnsignedInt(buffer.getShort()) + Short.toUnsignedInt(buffer.getShort());
+            int additional = Short.toUnsignedInt(buffer.getShort());
             if (questions != 1) {
-                return bad;
+                return formatError;
             }
-            List<String> labels = name(at);
+            List<String> labels = readName(buffer);
             if (labels == null) {
-                return bad;
+                return formatError;
             }
-            int type = Short.toUnsignedInt(at.getShort());
-            int qclass = Short.toUnsignedInt(at.getShort());
-            byte[] question = Arrays.copyOfRange(bytes, HEADER, at.position());
-            int opts = 0;
-            int room = plain;
+            int type = Short.toUnsignedInt(buffer.getShort());
+            int qclass = Short.toUnsignedInt(buffer.getShort());
+            byte[] question = Arrays.copyOfRange(bytes, HEADER_BYTES, buffer.position());
+            int optRecords = 0;
+            int maxResponseBytes = defaultMaxBytes;
             int error = NOERROR;
-            for (int i = 0; i < others + additional; i++) {
-                skipName(at);
-                int kind = Short.toUnsignedInt(at.getShort());
-                int size = Short.toUnsignedInt(at.getShort());
-                int version = at.getInt() >>> 16 & 0xff;
-                int data = Short.toUnsignedInt(at.getShort());
-                at.position(at.position() + data);
-                if (kind == TYPE_OPT && i >= others) {
-                    opts++;
-                    room = tcp ? MOST_BYTES : Math.max(PLAIN_BYTES, Math.min(EDNS_BYTES, size));
+            for (int i = 0; i < answersAndAuthorities + additional; i++) {
+                skipName(buffer);
+                int recordType = Short.toUnsignedInt(buffer.getShort());
+                int recordClass = Short.toUnsignedInt(buffer.getShort());
+                int version = buffer.getInt() >>> 16 & 0xff;
+                int dataLength = Short.toUnsignedInt(buffer.getShort());
+                buffer.position(buffer.position() + dataLength);
+                if (recordType == TYPE_OPT && i >= answersAndAuthorities) {
+                    optRecords++;
+                    maxResponseBytes = tcp
+                            ? MAX_TCP_BYTES
+                            : Math.max(MAX_PLAIN_UDP_BYTES, Math.min(MAX_EDNS_UDP_BYTES, recordClass));
                     error = version > 0 ? BADVERS : error;
                 }
             }
-            if (opts > 1) {
-                return bad;
+            if (optRecords > 1) {
+                return formatError;
             }
-            return new Query(id, flags, question, labels, type, qclass, opts == 1, room, error);
+            return new Query(id, flags, question, labels, type, qclass, optRecords == 1, maxResponseBytes, error);
         } catch (BufferUnderflowException | IllegalArgumentException e) {
-            return bad;
+            return formatError;
         }
     }
 
     /** A name without pointers, in lower case; null where it is none. */
-    private static List<String> name(ByteBuffer at) {
+    private static List<String> readName(ByteBuffer buffer) {
         List<String> labels = new ArrayList<>();
         int total = 1;
-        for (int length = Byte.toUnsignedInt(at.get()); length != 0; length = Byte.toUnsignedInt(at.get())) {
+        for (int length = Byte.toUnsignedInt(buffer.get()); length != 0; length = Byte.toUnsignedInt(buffer.get())) {
             total += 1 + length;
-            if (length > LONGEST_LABEL || total > LONGEST_NAME) {
+            if (length > MAX_LABEL_BYTES || total > MAX_NAME_BYTES) {
                 return null;
             }
             byte[] label = new byte[length];
-            at.get(label);
+            buffer.get(label);
             labels.add(new String(label, StandardCharsets.ISO_8859_1).toLowerCase(Locale.ROOT));
         }
         return labels;
     }
 
-    private static void skipName(ByteBuffer at) {
-        for (int length = Byte.toUnsignedInt(at.get()); length != 0; length = Byte.toUnsignedInt(at.get())) {
-            if (length > LONGEST_LABEL) {
-                at.get();
+    private static void skipName(ByteBuffer buffer) {
+        for (int length = Byte.toUnsignedInt(buffer.get()); length != 0; length = Byte.toUnsignedInt(buffer.get())) {
+            if (length > MAX_LABEL_BYTES) {
+                buffer.get();
                 return;
             }
-            at.position(at.position() + length);
+            buffer.position(buffer.position() + length);
         }
     }
 
     /** An answer with addresses; one that does not fit goes out without any and marked as cut. */
-    static byte[] addresses(Query query, List<Integer> addresses) {
-        ByteBuffer at = start(query, NOERROR, addresses.size(), 0, false);
-        int room = query.room() - (query.edns() ? 11 : 0);
-        if (at.position() + addresses.size() * 16 > room) {
-            return finish(start(query, NOERROR, 0, 0, true), query, NOERROR);
+    static byte[] addressResponse(Query query, List<Integer> addresses) {
+        ByteBuffer buffer = startResponse(query, NOERROR, addresses.size(), 0, false);
+        int maxResponseBytes = query.maxResponseBytes() - (query.edns() ? 11 : 0);
+        if (buffer.position() + addresses.size() * 16 > maxResponseBytes) {
+            return finishResponse(startResponse(query, NOERROR, 0, 0, true), query, NOERROR);
         }
         for (int address : addresses) {
-            at.putShort((short) OWNER_OF_QUESTION).putShort((short) TYPE_A).putShort((short) CLASS_IN);
-            at.putInt(0).putShort((short) Integer.BYTES).putInt(address);
+            buffer.putShort((short) POINTER_TO_QUESTION_NAME)
+                    .putShort((short) TYPE_A)
+                    .putShort((short) CLASS_IN);
+            buffer.putInt(0).putShort((short) Integer.BYTES).putInt(address);
         }
-        return finish(at, query, NOERROR);
+        return finishResponse(buffer, query, NOERROR);
     }
 
     /** An answer that names an rcode alone. */
-    static byte[] bare(Query query, int rcode) {
-        return finish(start(query, rcode, 0, 0, false), query, rcode);
+    static byte[] rcodeResponse(Query query, int rcode) {
+        return finishResponse(startResponse(query, rcode, 0, 0, false), query, rcode);
     }
 
     /** NODATA or NXDOMAIN with the zone's SOA, or with {@code answer} the SOA itself. */
-    static byte[] soa(Query query, int rcode, List<String> zone, boolean answer) {
-        ByteBuffer at = start(query, rcode, answer ? 1 : 0, answer ? 0 : 1, false);
-        putName(at, zone);
-        at.putShort((short) TYPE_SOA).putShort((short) CLASS_IN).putInt(0);
-        int length = at.position();
-        at.putShort((short) 0);
-        at.put((byte) 2).put((byte) 'n').put((byte) 's');
-        putName(at, zone);
-        at.put((byte) 10).put("hostmaster".getBytes(StandardCharsets.ISO_8859_1));
-        putName(at, zone);
-        for (int time : SOA_TIMES) {
-            at.putInt(time);
+    static byte[] soaResponse(Query query, int rcode, List<String> zone, boolean asAnswer) {
+        ByteBuffer buffer = startResponse(query, rcode, asAnswer ? 1 : 0, asAnswer ? 0 : 1, false);
+        putName(buffer, zone);
+        buffer.putShort((short) TYPE_SOA).putShort((short) CLASS_IN).putInt(0);
+        int lengthPosition = buffer.position();
+        buffer.putShort((short) 0);
+        buffer.put((byte) 2).put((byte) 'n').put((byte) 's');
+        putName(buffer, zone);
+        buffer.put((byte) 10).put("hostmaster".getBytes(StandardCharsets.ISO_8859_1));
+        putName(buffer, zone);
+        for (int number : SOA_NUMBERS) {
+            buffer.putInt(number);
         }
-        at.putShort(length, (short) (at.position() - length - Short.BYTES));
-        return finish(at, query, rcode);
+        buffer.putShort(lengthPosition, (short) (buffer.position() - lengthPosition - Short.BYTES));
+        return finishResponse(buffer, query, rcode);
     }
 
-    private static void putName(ByteBuffer at, List<String> labels) {
+    private static void putName(ByteBuffer buffer, List<String> labels) {
         for (String label : labels) {
-            at.put((byte) label.length()).put(label.getBytes(StandardCharsets.ISO_8859_1));
+            buffer.put((byte) label.length()).put(label.getBytes(StandardCharsets.ISO_8859_1));
         }
-        at.put((byte) 0);
+        buffer.put((byte) 0);
     }
 
-    private static ByteBuffer start(Query query, int rcode, int answers, int authorities, boolean cut) {
-        ByteBuffer at = ByteBuffer.allocate(4_096 + answers * 16);
-        at.putShort((short) query.id());
-        at.putShort((short) (QR | query.flags() & (OPCODE | RD) | AA | (cut ? TC : 0) | rcode & 0xf));
-        at.putShort((short) (query.question().length > 0 ? 1 : 0)).putShort((short) answers);
-        at.putShort((short) authorities).putShort((short) (query.edns() ? 1 : 0));
-        return at.put(query.question());
+    private static ByteBuffer startResponse(Query query, int rcode, int answers, int authorities, boolean truncated) {
+        ByteBuffer buffer = ByteBuffer.allocate(4_096 + answers * 16);
+        buffer.putShort((short) query.id());
+        buffer.putShort((short) (QR | query.flags() & (OPCODE | RD) | AA | (truncated ? TC : 0) | rcode & 0xf));
+        buffer.putShort((short) (query.question().length > 0 ? 1 : 0)).putShort((short) answers);
+        buffer.putShort((short) authorities).putShort((short) (query.edns() ? 1 : 0));
+        return buffer.put(query.question());
     }
 
-    private static byte[] finish(ByteBuffer at, Query query, int rcode) {
+    private static byte[] finishResponse(ByteBuffer buffer, Query query, int rcode) {
         if (query.edns()) {
-            at.put((byte) 0).putShort((short) TYPE_OPT).putShort((short) EDNS_BYTES);
-            at.put((byte) (rcode >>> 4)).put((byte) 0).putShort((short) 0).putShort((short) 0);
+            buffer.put((byte) 0).putShort((short) TYPE_OPT).putShort((short) MAX_EDNS_UDP_BYTES);
+            buffer.put((byte) (rcode >>> 4)).put((byte) 0).putShort((short) 0).putShort((short) 0);
         }
-        return Arrays.copyOf(at.array(), at.position());
+        return Arrays.copyOf(buffer.array(), buffer.position());
     }
 }
--- a/src/main/java/magpiewheel/dns/DnsServer.java
+++ b/src/main/java/magpiewheel/dns/DnsServer.java
@@ -29,18 +29,18 @@
  * as the network might, and the resolver asks again.
  */
 public final class DnsServer extends Actor {
-    private static final int MAILBOX = 1_024;
+    private static final int MAILBOX_CAPACITY = 1_024;
     private static final int BACKLOG = 64;
-    private static final int BIND_TRIES = 20;
+    private static final int MAX_BIND_ATTEMPTS = 20;
     private static final int TCP_IDLE_MS = 5_000;
-    private static final long ANSWER_MS = 1_000;
+    private static final long RESPONSE_TIMEOUT_MS = 1_000;
     private final DatagramSocket udp;
     private final ServerSocket tcp;
-    private final List<String> zone;
-    private final List<String> branches;
+    private final List<String> dnsZone;
+    private final List<String> zoneNames;
     private final Engine engine;
     private final Counters counters;
-    private final Semaphore tcpRoom;
+    private final Semaphore tcpPermits;
 
     /**
      * Answers for the zone, whose branches are named in the order of their numbers, and so many resolvers at a time
@@ -48,37 +48,37 @@
      */
     public DnsServer(
             InetSocketAddress listen,
-            String zone,
-            List<String> branches,
-            int resolvers,
+            String dnsZone,
+            List<String> zoneNames,
+            int maxTcpConnections,
             Engine engine,
             Counters counters)
             throws IOException {
-        super("dns", MAILBOX, counters);
-        this.tcpRoom = new Semaphore(resolvers);
-        this.zone = List.of(zone.toLowerCase(Locale.ROOT).split("\\."));
-        this.branches =
-                branches.stream().map(name -> name.toLowerCase(Locale.ROOT)).toList();
+        super("dns", MAILBOX_CAPACITY, counters);
+        this.tcpPermits = new Semaphore(maxTcpConnections);
+        this.dnsZone = List.of(dnsZone.toLowerCase(Locale.ROOT).split("\\."));
+        this.zoneNames =
+                zoneNames.stream().map(name -> name.toLowerCase(Locale.ROOT)).toList();
         this.engine = engine;
         this.counters = counters;
-        ServerSocket streams = null;
-        DatagramSocket datagrams = null;
-        for (int tries = listen.getPort() == 0 ? BIND_TRIES : 1; datagrams == null; tries--) {
-            streams = new ServerSocket();
-            streams.setReuseAddress(true);
-            streams.bind(listen, BACKLOG);
+        ServerSocket tcpSocket = null;
+        DatagramSocket udpSocket = null;
+        for (int attemptsLeft = listen.getPort() == 0 ? MAX_BIND_ATTEMPTS : 1; udpSocket == null; attemptsLeft--) {
+            tcpSocket = new ServerSocket();
+            tcpSocket.setReuseAddress(true);
+            tcpSocket.bind(listen, BACKLOG);
             try {
-                datagrams = new DatagramSocket(new InetSocketAddress(listen.getAddress(), streams.getLocalPort()));
+                udpSocket = new DatagramSocket(new InetSocketAddress(listen.getAddress(), tcpSocket.getLocalPort()));
             } catch (IOException e) {
                 // The system chose a port that somebody else has for UDP: it may choose again.
-                streams.close();
-                if (tries <= 1) {
+                tcpSocket.close();
+                if (attemptsLeft <= 1) {
                     throw e;
                 }
             }
         }
-        tcp = streams;
-        udp = datagrams;
+        tcp = tcpSocket;
+        udp = udpSocket;
     }
 
     /** Where it listens. */
@@ -96,29 +96,29 @@
     // ---------------------------------------------------------------- UDP
 
     private void readUdp() {
-        byte[] buffer = new byte[DnsMessage.EDNS_BYTES];
+        byte[] buffer = new byte[DnsMessage.MAX_EDNS_UDP_BYTES];
         while (!udp.isClosed()) {
             try {
                 DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
                 udp.receive(packet);
                 SocketAddress from = packet.getSocketAddress();
-                resolve(buffer, packet.getLength(), false, answer -> reply(answer, from));
+                resolve(buffer, packet.getLength(), false, response -> reply(response, from));
             } catch (IOException e) {
                 counters.add(Counter.DNS_DROPPED);
             }
         }
     }
 
-    private void reply(byte[] answer, SocketAddress to) {
-        boolean taken = offer(() -> {
+    private void reply(byte[] response, SocketAddress to) {
+        boolean queued = offer(() -> {
             try {
-                udp.send(new DatagramPacket(answer, answer.length, to));
+                udp.send(new DatagramPacket(response, response.length, to));
                 counters.add(Counter.DNS_ANSWERS);
             } catch (IOException e) {
                 counters.add(Counter.DNS_DROPPED);
             }
         });
-        if (!taken) {
+        if (!queued) {
             counters.add(Counter.DNS_DROPPED);
         }
     }
@@ -129,7 +129,7 @@
         while (!tcp.isClosed()) {
             try {
                 Socket socket = tcp.accept();
-                if (tcpRoom.tryAcquire()) {
+                if (tcpPermits.tryAcquire()) {
                     daemonThread("dns-client", () -> serve(socket)).start();
                 } else {
                     counters.add(Counter.DNS_DROPPED);
@@ -150,11 +150,11 @@
             while (true) {
                 byte[] query = new byte[in.readUnsignedShort()];
                 in.readFully(query);
-                CompletableFuture<byte[]> answer = new CompletableFuture<>();
-                if (!resolve(query, query.length, true, answer::complete)) {
+                CompletableFuture<byte[]> response = new CompletableFuture<>();
+                if (!resolve(query, query.length, true, response::complete)) {
                     return;
                 }
-                byte[] bytes = answer.get(ANSWER_MS, TimeUnit.MILLISECONDS);
+                byte[] bytes = response.get(RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 byte[] framed = Arrays.copyOf(
                         new byte[] {(byte) (bytes.length >>> Byte.SIZE), (byte) bytes.length},
                         Short.BYTES + bytes.length);
@@ -167,7 +167,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            tcpRoom.release();
+            tcpPermits.release();
         }
     }
 
@@ -181,41 +181,44 @@
             return false;
         }
         counters.add(Counter.DNS_QUERIES);
-        int own = query.labels().size() - zone.size();
+        int relativeCount = query.labels().size() - dnsZone.size();
         if (query.error() != DnsMessage.NOERROR) {
-            reply.accept(DnsMessage.bare(query, query.error()));
+            reply.accept(DnsMessage.rcodeResponse(query, query.error()));
         } else if (query.qclass() != DnsMessage.CLASS_IN
-                || own < 0
-                || !query.labels().subList(own, own + zone.size()).equals(zone)) {
-            reply.accept(DnsMessage.bare(query, DnsMessage.REFUSED));
+                || relativeCount < 0
+                || !query.labels()
+                        .subList(relativeCount, relativeCount + dnsZone.size())
+                        .equals(dnsZone)) {
+            reply.accept(DnsMessage.rcodeResponse(query, DnsMessage.REFUSED));
         } else {
-            inZone(query, query.labels().subList(0, own), reply);
+            answerInZone(query, query.labels().subList(0, relativeCount), reply);
         }
         return true;
     }
 
-    private void inZone(DnsMessage.Query query, List<String> own, Consumer<byte[]> reply) {
-        int branch = own.isEmpty() ? -1 : branches.indexOf(own.get(own.size() - 1));
-        Long object = own.size() == 2 ? object(own.get(0)) : null;
-        boolean exists = own.isEmpty() || branch >= 0 && (own.size() == 1 || object != null);
+    private void answerInZone(DnsMessage.Query query, List<String> relativeLabels, Consumer<byte[]> reply) {
+        int zone = relativeLabels.isEmpty() ? -1 : zoneNames.indexOf(relativeLabels.get(relativeLabels.size() - 1));
+        Long objectId = relativeLabels.size() == 2 ? parseObjectId(relativeLabels.get(0)) : null;
+        boolean exists = relativeLabels.isEmpty() || zone >= 0 && (relativeLabels.size() == 1 || objectId != null);
         if (!exists) {
-            reply.accept(DnsMessage.soa(query, DnsMessage.NXDOMAIN, zone, false));
-        } else if (own.isEmpty() && query.type() == DnsMessage.TYPE_SOA) {
-            reply.accept(DnsMessage.soa(query, DnsMessage.NOERROR, zone, true));
-        } else if (own.isEmpty() || query.type() != DnsMessage.TYPE_A && query.type() != DnsMessage.TYPE_ANY) {
-            reply.accept(DnsMessage.soa(query, DnsMessage.NOERROR, zone, false));
+            reply.accept(DnsMessage.soaResponse(query, DnsMessage.NXDOMAIN, dnsZone, false));
+        } else if (relativeLabels.isEmpty() && query.type() == DnsMessage.TYPE_SOA) {
+            reply.accept(DnsMessage.soaResponse(query, DnsMessage.NOERROR, dnsZone, true));
+        } else if (relativeLabels.isEmpty()
+                || query.type() != DnsMessage.TYPE_A && query.type() != DnsMessage.TYPE_ANY) {
+            reply.accept(DnsMessage.soaResponse(query, DnsMessage.NOERROR, dnsZone, false));
         } else {
             engine.lookup(
-                    branch,
-                    object,
+                    zone,
+                    objectId,
                     addresses -> reply.accept(
                             addresses.isEmpty()
-                                    ? DnsMessage.bare(query, DnsMessage.SERVFAIL)
-                                    : DnsMessage.addresses(query, addresses)));
+                                    ? DnsMessage.rcodeResponse(query, DnsMessage.SERVFAIL)
+                                    : DnsMessage.addressResponse(query, addresses)));
         }
     }
 
-    private static Long object(String label) {
+    private static Long parseObjectId(String label) {
         return label.matches("[0-9a-f]{16}") ? Long.parseUnsignedLong(label, 16) : null;
     }
 }
--- a/src/test/java/magpiewheel/dns/DnsMessageTest.java
+++ b/src/test/java/magpiewheel/dns/DnsMessageTest.java
@@ -27,12 +27,12 @@
     void whatDoesNotFitIsCut() {
         List<Integer> many = Collections.nCopies(40, 0x7f000001);
         DnsMessage.Query udp = parse("0001010000010000000000" + "00" + QUESTION, false);
-        byte[] cut = DnsMessage.addresses(udp, many);
+        byte[] cut = DnsMessage.addressResponse(udp, many);
         assertTrue(cut.length <= 512 && (flags(cut) & 0x0200) != 0 && cut[7] == 0);
-        byte[] whole = DnsMessage.addresses(parse("0001010000010000000000" + "00" + QUESTION, true), many);
+        byte[] whole = DnsMessage.addressResponse(parse("0001010000010000000000" + "00" + QUESTION, true), many);
         assertEquals(40, whole[7]);
         assertEquals(0, flags(whole) & 0x0200);
-        byte[] few = DnsMessage.addresses(udp, many.subList(0, 28));
+        byte[] few = DnsMessage.addressResponse(udp, many.subList(0, 28));
         assertEquals(28, few[7]);
         assertTrue(few.length <= 512);
     }
@@ -41,18 +41,18 @@
     void ednsIsReadOnceAndInVersionZero() {
         DnsMessage.Query query = parse("000101000001000000000001" + QUESTION + OPT, false);
         assertTrue(query.edns());
-        assertEquals(512, query.room());
+        assertEquals(512, query.maxResponseBytes());
         String larger = OPT.replace("00290200", "00290fff");
         assertEquals(
-                DnsMessage.EDNS_BYTES,
-                parse("000101000001000000000001" + QUESTION + larger, false).room());
+                DnsMessage.MAX_EDNS_UDP_BYTES,
+                parse("000101000001000000000001" + QUESTION + larger, false).maxResponseBytes());
         assertEquals(
                 DnsMessage.FORMERR,
                 parse("000101000001000000000002" + QUESTION + OPT + OPT, false).error());
         String later = "000029020000010000" + "0000";
         DnsMessage.Query next = parse("000101000001000000000001" + QUESTION + later, false);
         assertEquals(DnsMessage.BADVERS, next.error());
-        byte[] answer = DnsMessage.bare(next, next.error());
+        byte[] answer = DnsMessage.rcodeResponse(next, next.error());
         assertEquals(0, flags(answer) & 0xf);
         assertEquals(1, answer[answer.length - 6], "the upper bits of the rcode stand in the OPT record");
     }
