--- a/src/main/java/magpiewheel/adapter/Adapter.java
+++ b/src/main/java/magpiewheel/adapter/Adapter.java
@@ -26,9 +26,10 @@
 import magpiewheel.routing.RoutingRequest;
 import magpiewheel.routing.RoutingSettings;
 
-/** Drives instances of the decision module from the wire's batches. It decides nothing. */
+/** Decodes the simulator's batches into calls of routing policy instances; makes no routing decisions. */
 public final class Adapter {
     private static final String USAGE = "usage: magpiewheel.jar adapter";
+    // Flags of IN_REQUEST_ARRIVED.
     private static final int FLAG_CLIENT_RETRY = 2;
     private static final int FLAG_WRITE = 4;
     private static final CacheStatus[] CACHE_STATUSES = CacheStatus.values();
@@ -43,7 +44,10 @@
         this.out = out;
     }
 
-    /** Exit code 0 at a clean end of input, 2 on malformed input or a wrong call. */
+    /**
+     * Runs the adapter on standard input and output. Exits with 0 after the input ends, with 2 on malformed input, an
+     * I/O error or wrong arguments.
+     */
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("adapter")) {
             System.err.println(USAGE);
@@ -224,7 +228,7 @@
         return () -> policy.attemptEnded(now, outcome);
     }
 
-    /** A load report: no decision needs it. */
+    /** Skips a load report; no routing decision uses it. */
     private void skipLoadReport() throws IOException {
         int values = reader.u8();
         for (int i = 0; i < values; i++) {
--- a/src/main/java/magpiewheel/adapter/FrameReader.java
+++ b/src/main/java/magpiewheel/adapter/FrameReader.java
@@ -6,7 +6,10 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 
-/** Reads batches and the fields of their records; every overrun is a {@link MalformedInput}. */
+/**
+ * Reads batches and the fields of their records, all little-endian. Reading past the end of a record or of the input
+ * throws {@link MalformedInput}. Not thread-safe.
+ */
 final class FrameReader {
     private static final int CLOCK_BYTES = 8;
     private static final int MAX_BATCH_BYTES = 1 << 30;
@@ -23,7 +26,7 @@
         return ByteBuffer.allocate(0).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    /** Reads the next batch; false at a clean end of input. */
+    /** Reads the next batch; returns false if the input ends before it. */
     boolean nextBatch() throws IOException {
         byte[] header = in.readNBytes(Integer.BYTES);
         if (header.length == 0) {
@@ -48,11 +51,12 @@
         return true;
     }
 
+    /** Returns the time of the current batch, in microseconds. */
     long clock() {
         return clock;
     }
 
-    /** Moves to the next record and returns its code; -1 after the last. */
+    /** Advances to the next record and returns its code, or -1 after the last record of the batch. */
     int nextRecord() throws MalformedInput {
         if (batch.remaining() == 0) {
             return -1;
@@ -69,7 +73,7 @@
         return code;
     }
 
-    /** Checks that the fields filled the record to its end. */
+    /** Checks that the fields read so far make up the whole record. */
     void endRecord(int code) throws MalformedInput {
         if (batch.position() != recordEnd) {
             throw new MalformedInput("record " + code + " has " + (recordEnd - batch.position()) + " bytes too many");
@@ -107,7 +111,7 @@
         return batch.getFloat();
     }
 
-    /** A node as one number: four bytes of address, first byte first, then the port. */
+    /** Reads an endpoint id: the four bytes of the IPv4 address in network order, then the port, as one number. */
     long endpointId() throws MalformedInput {
         requireRemaining(Wire.ENDPOINT_ID_BYTES);
         long address = Integer.toUnsignedLong(Integer.reverseBytes(batch.getInt()));
@@ -124,7 +128,7 @@
         return data;
     }
 
-    /** An {@link IOException} whose message is the plain line for standard error. */
+    /** Input that violates the protocol; the message is printed to standard error as it is. */
     static final class MalformedInput extends EOFException {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/magpiewheel/adapter/FrameWriter.java
+++ b/src/main/java/magpiewheel/adapter/FrameWriter.java
@@ -9,10 +9,12 @@
 import magpiewheel.routing.AttemptPlan;
 import magpiewheel.routing.RoutingActions;
 
-/** Collects the actions of one reply and writes it. */
+/** Encodes actions as records of the reply to one batch and writes the reply. Not thread-safe. */
 final class FrameWriter {
     private static final int INITIAL_CAPACITY_BYTES = 1 << 16;
+    /** Upper bound for the fixed-length fields of a record. */
     private static final int MAX_FIXED_RECORD_BYTES = 64;
+
     private static final int HEADER_BYTES = 2 * Integer.BYTES;
     private ByteBuffer buffer = buffer(INITIAL_CAPACITY_BYTES);
     private int recordCount;
@@ -31,7 +33,7 @@
         recordCount = 0;
     }
 
-    /** Writes and flushes the reply, and starts the next. */
+    /** Writes the reply, flushes the stream and starts an empty reply. */
     void flush(OutputStream out) throws IOException {
         buffer.putInt(0, recordCount);
         buffer.putInt(Integer.BYTES, buffer.position() - HEADER_BYTES);
@@ -62,7 +64,7 @@
         buffer.putInt(Integer.reverseBytes((int) (endpointId >>> Short.SIZE))).putShort((short) endpointId);
     }
 
-    /** A record whose only field is text, cut to what its length can say. */
+    /** Adds a record with one text field, truncated to the 65,535 bytes that its 16-bit length field can express. */
     void textRecord(int code, int instanceId, String message) {
         byte[] bytes = message.getBytes(StandardCharsets.UTF_8);
         byte[] truncated = bytes.length > 0xffff ? Arrays.copyOf(bytes, 0xffff) : bytes;
@@ -71,7 +73,7 @@
         endRecord(start);
     }
 
-    /** The actions of one instance. */
+    /** Returns actions that add records for one instance to the reply. */
     RoutingActions actionsOf(int instanceId) {
         return new InstanceActions(instanceId);
     }
--- a/src/main/java/magpiewheel/adapter/Wire.java
+++ b/src/main/java/magpiewheel/adapter/Wire.java
@@ -2,10 +2,12 @@
 
 import magpiewheel.routing.AttemptResult;
 
-/** Codes of the wire. */
+/** Numeric codes of the simulator protocol. */
 final class Wire {
+    /** Length of an endpoint id: an IPv4 address and a port. */
     static final int ENDPOINT_ID_BYTES = 6;
 
+    // Record codes from the simulator.
     static final int IN_START_INSTANCE = 0;
     static final int IN_ENDPOINTS_CHANGED = 1;
     static final int IN_REQUEST_ARRIVED = 2;
@@ -18,6 +20,7 @@
     static final int IN_STOP_INSTANCE = 9;
     static final int IN_OBJECTS_PURGED = 10;
 
+    // Record codes to the simulator.
     static final int OUT_REJECT = 1;
     static final int OUT_FAIL = 2;
     static final int OUT_CANCEL_ATTEMPT = 3;
@@ -30,6 +33,7 @@
     static final int OUT_FETCH_ENDPOINT_LIST = 11;
     static final int OUT_START_ATTEMPT = 12;
 
+    // Flags of OUT_START_ATTEMPT, see AttemptPlan.
     static final int FLAG_JOIN_FILL = 1;
     static final int FLAG_CACHED_ONLY = 2;
     static final int FLAG_BYPASS_PARENT_CACHE = 4;
@@ -37,6 +41,7 @@
 
     private Wire() {}
 
+    /** Returns the attempt result that a code of the simulator stands for. */
     static AttemptResult result(int code) throws FrameReader.MalformedInput {
         return switch (code) {
             case 0 -> AttemptResult.OK;
--- a/src/main/java/magpiewheel/adapter/package-info.java
+++ b/src/main/java/magpiewheel/adapter/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The simulator's wire: batches of records are read from one stream, drive instances of the decision module, and the
- * module's actions are written back. Nothing is decided here.
+ * The simulator adapter: reads batches of records from one stream, passes them as events to routing policy instances
+ * and writes the actions of these instances back. It makes no routing decisions.
  */
 package magpiewheel.adapter;
