--- a/src/main/java/magpiewheel/admin/AdminServer.java
+++ b/src/main/java/magpiewheel/admin/AdminServer.java
@@ -17,35 +17,38 @@
 import magpiewheel.engine.WorkerPool;
 
 /**
- * The admin server: HTTP/1.1 at an address of its own, one call a connection. A call holds no state but its own
- * connection's, so its reader answers it; nothing here waits for an actor, so that a front under load still answers. It
- * has few places: with all taken, the call that has been unfinished for longest makes room.
+ * The admin server: HTTP/1.1 at a separate address, one request per connection. A request uses no state outside its
+ * connection, so the connection's reader thread serves it. Nothing here waits for an actor, so that a router under load
+ * still responds. The number of connections is limited; at the limit, the oldest open connection is closed for a new
+ * one.
  */
 public final class AdminServer {
-    /** What operators can ask of the front. None of it may wait. */
+    /** The operations that operators can request of the router. No method may block. */
     public interface Service {
-        /** Whether this process can serve. */
+        /** Whether this process is ready to serve clients. */
         boolean serving();
 
-        /** The figures, a line each. */
+        /** Returns the metrics, one per line. */
         String stats();
 
-        /** Sends clients away. */
+        /** Reports this router as down to clients and closes each connection once no request is open on it. */
         void quiesce();
 
-        /** Takes clients again. */
+        /** Resumes taking clients. */
         void resume();
     }
 
     private static final int MAX_CONNECTIONS = 12;
     private static final int BACKLOG = 64;
-    /** ns; who has not finished a call by then is closed. */
+    /** A connection that is still open this long after it was accepted is closed. */
     private static final long REQUEST_TIMEOUT_NS = TimeUnit.SECONDS.toNanos(5);
 
-    /** ms; so long a caller that has its answer may say nothing before the connection is closed on it. */
+    /** How long a client may stay silent after its response before the connection is closed. */
     private static final int LINGER_MS = 2_000;
 
+    /** How long accept blocks at most, so that timed-out connections are closed without a new one. */
     private static final int ACCEPT_TIMEOUT_MS = 250;
+    /** Pause after a failed accept. */
     private static final int ACCEPT_RETRY_MS = 5;
 
     private record Connection(Socket socket, long acceptedNs) {}
@@ -56,7 +59,7 @@
     private final Counters counters;
     private final WorkerPool workers;
 
-    /** Listens on the address. */
+    /** Binds the listening socket; connections are accepted after {@link #start}. */
     public AdminServer(InetSocketAddress listen, Service service, Counters counters, WorkerPool workers)
             throws IOException {
         this.service = service;
@@ -67,22 +70,22 @@
         listener.setSoTimeout(ACCEPT_TIMEOUT_MS);
     }
 
-    /** Starts to take calls. */
+    /** Starts accepting connections, on a thread of its own. */
     public void start() {
         Actor.daemonThread("admin", this::accept).start();
     }
 
-    /** Takes no further calls, and ends those in hand. */
+    /** Stops accepting connections and closes the open ones. */
     public void close() {
         try {
             listener.close();
         } catch (IOException e) {
-            // It is closed all the same.
+            // The socket is closed even if close() fails.
         }
         connections.forEach(connection -> close(connection.socket()));
     }
 
-    /** Where it listens. */
+    /** Returns the address that the server listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
@@ -96,9 +99,9 @@
                 connections.add(connection);
                 workers.runReader(() -> serve(connection));
             } catch (SocketTimeoutException e) {
-                // Time to look at the others.
+                // No new connection; check the open ones for timeouts below.
             } catch (IOException e) {
-                // Without descriptors accept fails at once, again and again.
+                // Without free file descriptors accept fails immediately each time; the pause avoids a busy loop.
                 pause();
             }
             long now = System.nanoTime();
@@ -134,7 +137,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // It is closed all the same.
+            // The socket is closed even if close() fails.
         }
     }
 
@@ -162,7 +165,7 @@
             socket.setSoTimeout(LINGER_MS);
             LingeringClose.drain(socket.getInputStream());
         } catch (IOException e) {
-            // Gone, or closed to make room.
+            // The client disconnected, or the connection was closed by a timeout or at the connection limit.
         } catch (RuntimeException e) {
             counters.add(Counter.FAULTS);
             System.err.println("admin: " + e + " at " + e.getStackTrace()[0]);
--- a/src/main/java/magpiewheel/admin/HttpRequest.java
+++ b/src/main/java/magpiewheel/admin/HttpRequest.java
@@ -6,7 +6,8 @@
 import java.util.Locale;
 
 /**
- * One call in HTTP/1.1, as much of it as the admin server needs; every length is checked before room is taken for it.
+ * The parts of an HTTP/1.1 request that the admin server needs. Every length is checked before memory is allocated for
+ * it.
  */
 record HttpRequest(String method, String path) {
     private static final int MAX_LINE_CHARS = 1_024;
@@ -15,7 +16,7 @@
     private static final int READ_BUFFER_BYTES = 1_024;
     private static final int MAX_LENGTH_DIGITS = 9;
 
-    /** What a caller is told; the connection ends behind it. */
+    /** A plain-text response; the connection is closed after it. */
     record Response(int status, String reason, String body) {
         String text() {
             return "HTTP/1.1 " + status + " " + reason + "\r\nContent-Type: text/plain\r\nContent-Length: "
@@ -24,7 +25,7 @@
         }
     }
 
-    /** The call can't be read; the answer says so. */
+    /** A malformed or oversized request, with the response that reports it. */
     static final class MalformedRequest extends IOException {
         private static final long serialVersionUID = 1L;
         private final transient Response response;
@@ -39,7 +40,13 @@
         }
     }
 
-    /** Reads a whole call with its body, which says nothing here: unread, it could cut off the answer. */
+    /**
+     * Reads a whole request. The body is read and ignored: left unread, it could reset the connection before the client
+     * has the response.
+     *
+     * @throws MalformedRequest if the request is malformed or exceeds a limit
+     * @throws IOException if the connection ends within the request
+     */
     static HttpRequest read(InputStream input) throws IOException {
         InputStream in = new BufferedInputStream(input, READ_BUFFER_BYTES);
         String[] requestLine = readLine(in).split(" ", -1);
--- a/src/main/java/magpiewheel/admin/package-info.java
+++ b/src/main/java/magpiewheel/admin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' interface: HTTP/1.1 at an address of its own, one call a connection, that answers without waiting for
- * any actor.
+ * The admin interface for operators: an HTTP/1.1 server at a separate address, with one request per connection, that
+ * responds without waiting for any actor.
  */
 package magpiewheel.admin;
