--- a/src/main/java/magpiewheel/dns/DnsMessage.java
+++ b/src/main/java/magpiewheel/dns/DnsMessage.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Queries and answers of RFC 1035, with the OPT record of RFC 6891. */
+/** Parses DNS queries and encodes responses (RFC 1035), with the OPT record of EDNS (RFC 6891). */
 final class DnsMessage {
     static final int NOERROR = 0;
     static final int FORMERR = 1;
@@ -21,10 +21,12 @@
     static final int TYPE_SOA = 6;
     static final int TYPE_ANY = 255;
     static final int CLASS_IN = 1;
-    /** Largest answer over UDP without EDNS, and the largest that is sent unfragmented with it. */
+    /** Maximum response over UDP without EDNS. */
     static final int MAX_PLAIN_UDP_BYTES = 512;
 
+    /** Maximum response over UDP with EDNS, which is sent unfragmented. */
     static final int MAX_EDNS_UDP_BYTES = 1_232;
+
     static final int MAX_TCP_BYTES = 65_535;
     private static final int TYPE_OPT = 41;
     private static final int HEADER_BYTES = 12;
@@ -35,10 +37,18 @@
     private static final int AA = 0x0400;
     private static final int TC = 0x0200;
     private static final int RD = 0x0100;
+    /** Compression pointer to the name in the question, which follows the header. */
     private static final int POINTER_TO_QUESTION_NAME = 0xc000 | HEADER_BYTES;
+    /** Serial number, then refresh, retry, expire and minimum times in seconds. */
     private static final int[] SOA_NUMBERS = {1, 3_600, 600, 86_400, 0};
 
-    /** A query as far as it could be read; {@code error} is its rcode where it can't be answered. */
+    /**
+     * A query, or the part of it that could be parsed.
+     *
+     * @param labels labels of the queried name, in lower case
+     * @param maxResponseBytes the maximum length of the response
+     * @param error the response code if the query can't be answered, else {@link #NOERROR}
+     */
     record Query(
             int id,
             int flags,
@@ -52,7 +62,7 @@
 
     private DnsMessage() {}
 
-    /** The query, or null for what deserves no answer: too short for a header, or itself an answer. */
+    /** Parses a query; returns null if it gets no response: shorter than a header, or itself a response. */
     static Query parse(byte[] bytes, int length, boolean tcp) {
         if (length < HEADER_BYTES) {
             return null;
@@ -109,7 +119,7 @@
         }
     }
 
-    /** A name without pointers, in lower case; null where it is none. */
+    /** Reads an uncompressed name as lower-case labels; returns null if a label or the name is too long. */
     private static List<String> readName(ByteBuffer buffer) {
         List<String> labels = new ArrayList<>();
         int total = 1;
@@ -135,7 +145,7 @@
         }
     }
 
-    /** An answer with addresses; one that does not fit goes out without any and marked as cut. */
+    /** Encodes a response with address records; if it exceeds the query's limit, one without any and with TC set. */
     static byte[] addressResponse(Query query, List<Integer> addresses) {
         ByteBuffer buffer = startResponse(query, NOERROR, addresses.size(), 0, false);
         int maxResponseBytes = query.maxResponseBytes() - (query.edns() ? 11 : 0);
@@ -151,12 +161,12 @@
         return finishResponse(buffer, query, NOERROR);
     }
 
-    /** An answer that names an rcode alone. */
+    /** Encodes a response that carries only a response code. */
     static byte[] rcodeResponse(Query query, int rcode) {
         return finishResponse(startResponse(query, rcode, 0, 0, false), query, rcode);
     }
 
-    /** NODATA or NXDOMAIN with the zone's SOA, or with {@code answer} the SOA itself. */
+    /** Encodes a response with the zone's SOA record: as the answer, or as the authority of NODATA or NXDOMAIN. */
     static byte[] soaResponse(Query query, int rcode, List<String> zone, boolean asAnswer) {
         ByteBuffer buffer = startResponse(query, rcode, asAnswer ? 1 : 0, asAnswer ? 0 : 1, false);
         putName(buffer, zone);
--- a/src/main/java/magpiewheel/dns/DnsServer.java
+++ b/src/main/java/magpiewheel/dns/DnsServer.java
@@ -24,9 +24,9 @@
 import magpiewheel.engine.Engine;
 
 /**
- * Request routing by DNS, over UDP and TCP. Names and rcodes are judged here; which fronts live and which cache an
- * object goes to is asked of the module. This actor writes the UDP answers; one that finds its mailbox full is dropped,
- * as the network might, and the resolver asks again.
+ * Request routing by DNS, over UDP and TCP. Names and response codes are determined here; the engine supplies the
+ * addresses of serving routers and of the cache selected for an object. This actor sends the UDP responses; a response
+ * is dropped if the actor's mailbox is full, as it could be in the network, and the resolver retries.
  */
 public final class DnsServer extends Actor {
     private static final int MAILBOX_CAPACITY = 1_024;
@@ -43,8 +43,12 @@
     private final Semaphore tcpPermits;
 
     /**
-     * Answers for the zone, whose branches are named in the order of their numbers, and so many resolvers at a time
-     * over TCP.
+     * Binds the UDP and TCP sockets; queries are answered after {@link #start}.
+     *
+     * @param listen the address for both; with port 0, the system chooses a port that is free for both
+     * @param dnsZone the DNS zone that is answered for
+     * @param zoneNames names of the zones of routers, by zone number; each is a subdomain of the DNS zone
+     * @param maxTcpConnections the maximum number of open TCP connections
      */
     public DnsServer(
             InetSocketAddress listen,
@@ -70,7 +74,7 @@
             try {
                 udpSocket = new DatagramSocket(new InetSocketAddress(listen.getAddress(), tcpSocket.getLocalPort()));
             } catch (IOException e) {
-                // The system chose a port that somebody else has for UDP: it may choose again.
+                // The system chose a TCP port whose UDP counterpart is in use; retry with another.
                 tcpSocket.close();
                 if (attemptsLeft <= 1) {
                     throw e;
@@ -81,7 +85,7 @@
         udp = udpSocket;
     }
 
-    /** Where it listens. */
+    /** Returns the address that the server listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) tcp.getLocalSocketAddress();
     }
@@ -163,7 +167,7 @@
                 counters.add(Counter.DNS_ANSWERS);
             }
         } catch (IOException | ExecutionException | TimeoutException e) {
-            // Closed, idle too long, or the module is stuck: the resolver sees the connection end.
+            // Closed, idle for too long, or the engine did not respond in time: the resolver sees the connection close.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -173,7 +177,7 @@
 
     // ---------------------------------------------------------------- names
 
-    /** Calls back exactly once, or returns false for what deserves no answer. */
+    /** Answers a query by one callback, on any thread; returns false, without a callback, if it gets no response. */
     private boolean resolve(byte[] bytes, int length, boolean overTcp, Consumer<byte[]> reply) {
         DnsMessage.Query query = DnsMessage.parse(bytes, length, overTcp);
         if (query == null) {
--- a/src/main/java/magpiewheel/dns/package-info.java
+++ b/src/main/java/magpiewheel/dns/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Request routing by DNS over UDP and TCP (RFC 1035, RFC 6891): queries are parsed and judged here; which fronts are
- * live and which cache an object belongs to is asked of the engine.
+ * Request routing by DNS over UDP and TCP (RFC 1035, RFC 6891). Queries are parsed and their names and response codes
+ * determined here; the engine supplies the addresses of serving routers and of the cache selected for an object.
  */
 package magpiewheel.dns;
