--- a/src/main/java/magpiewheel/adapter/Adapter.java
+++ b/src/main/java/magpiewheel/adapter/Adapter.java
@@ -73,7 +73,7 @@
 
     private void handleRecord(int code) throws IOException {
         if (code > Wire.IN_OBJECTS_PURGED) {
-            throw new FrameReader.MalformedInput("unknown record " + code);
+            throw new FrameReader.MalformedInput("unknown record code " + code);
         }
         int instanceId = reader.u16();
         Runnable event = decode(code, instanceId);
@@ -90,7 +90,7 @@
         try {
             return Settings.parse(new String(json, StandardCharsets.UTF_8)).module();
         } catch (ConfigException e) {
-            throw new FrameReader.MalformedInput("settings: " + e.getMessage());
+            throw new FrameReader.MalformedInput("invalid settings: " + e.getMessage());
         }
     }
 
@@ -152,7 +152,7 @@
     private Runnable endpointsChanged(RoutingPolicy policy, long now) throws IOException {
         int mode = reader.u8();
         if (mode >= LIST_MODES.length) {
-            throw new FrameReader.MalformedInput("unknown list mode " + mode);
+            throw new FrameReader.MalformedInput("unknown endpoint list mode " + mode);
         }
         reader.u32();
         long endpointCount = reader.u32();
@@ -165,7 +165,7 @@
             long endpointId = reader.endpointId();
             int state = reader.u8();
             if (state >= EndpointState.values().length) {
-                throw new FrameReader.MalformedInput("unknown availability " + state);
+                throw new FrameReader.MalformedInput("unknown endpoint state " + state);
             }
             endpoints.add(EndpointInfo.builder(endpointId, kind, zone)
                     .startedUs(startedUs)
@@ -215,7 +215,7 @@
         boolean requestCompleted = reader.u8() != 0;
         int cacheStatus = reader.u8();
         if (cacheStatus >= CACHE_STATUSES.length) {
-            throw new FrameReader.MalformedInput("unknown note " + cacheStatus);
+            throw new FrameReader.MalformedInput("unknown cache status " + cacheStatus);
         }
         long firstByteUs = reader.u32();
         skipLoadReport();
--- a/src/main/java/magpiewheel/adapter/FrameReader.java
+++ b/src/main/java/magpiewheel/adapter/FrameReader.java
@@ -33,7 +33,8 @@
             return false;
         }
         if (header.length < Integer.BYTES) {
-            throw new MalformedInput("input ends inside a batch header");
+            throw new MalformedInput(
+                    "input ends within a batch header: " + header.length + " of " + Integer.BYTES + " bytes");
         }
         int length = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN).getInt();
         if (length < CLOCK_BYTES || length > MAX_BATCH_BYTES) {
@@ -41,12 +42,12 @@
         }
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new MalformedInput("input ends inside a batch: " + body.length + " of " + length + " bytes");
+            throw new MalformedInput("input ends within a batch: " + body.length + " of " + length + " bytes");
         }
         batch = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
         clock = batch.getLong();
         if (clock < 0) {
-            throw new MalformedInput("clock is out of range");
+            throw new MalformedInput("batch time is negative: " + clock + " us");
         }
         return true;
     }
@@ -62,12 +63,14 @@
             return -1;
         }
         if (batch.remaining() < 1 + Integer.BYTES) {
-            throw new MalformedInput("batch ends inside a record header");
+            throw new MalformedInput("batch ends within a record header: " + batch.remaining() + " of "
+                    + (1 + Integer.BYTES) + " bytes");
         }
         int code = Byte.toUnsignedInt(batch.get());
         int length = batch.getInt();
         if (length < 0 || length > batch.remaining()) {
-            throw new MalformedInput("record " + code + " has a wrong length");
+            throw new MalformedInput("record " + code + " has length " + Integer.toUnsignedString(length)
+                    + ", but the batch has " + batch.remaining() + " bytes left");
         }
         recordEnd = batch.position() + length;
         return code;
@@ -76,13 +79,15 @@
     /** Checks that the fields read so far make up the whole record. */
     void endRecord(int code) throws MalformedInput {
         if (batch.position() != recordEnd) {
-            throw new MalformedInput("record " + code + " has " + (recordEnd - batch.position()) + " bytes too many");
+            throw new MalformedInput(
+                    "record " + code + " has " + (recordEnd - batch.position()) + " bytes after its last field");
         }
     }
 
     private void requireRemaining(int bytes) throws MalformedInput {
         if (bytes < 0 || recordEnd - batch.position() < bytes) {
-            throw new MalformedInput("record ends inside a field");
+            throw new MalformedInput(
+                    "record ends within a field: " + (recordEnd - batch.position()) + " of " + bytes + " bytes");
         }
     }
 
@@ -120,7 +125,8 @@
 
     byte[] bytes(long count) throws MalformedInput {
         if (count > Integer.MAX_VALUE) {
-            throw new MalformedInput("record ends inside a field");
+            throw new MalformedInput(
+                    "record ends within a field: " + (recordEnd - batch.position()) + " of " + count + " bytes");
         }
         requireRemaining((int) count);
         byte[] data = new byte[(int) count];
--- a/src/main/java/magpiewheel/adapter/Wire.java
+++ b/src/main/java/magpiewheel/adapter/Wire.java
@@ -53,7 +53,7 @@
             case 253 -> AttemptResult.TIMEOUT;
             case 254 -> AttemptResult.REJECTED;
             case 255 -> AttemptResult.ERROR;
-            default -> throw new FrameReader.MalformedInput("unknown outcome " + code);
+            default -> throw new FrameReader.MalformedInput("unknown attempt result code " + code);
         };
     }
 }
--- a/src/main/java/magpiewheel/admin/AdminServer.java
+++ b/src/main/java/magpiewheel/admin/AdminServer.java
@@ -168,7 +168,7 @@
             // The client disconnected, or the connection was closed by a timeout or at the connection limit.
         } catch (RuntimeException e) {
             counters.add(Counter.FAULTS);
-            System.err.println("admin: " + e + " at " + e.getStackTrace()[0]);
+            System.err.println("admin: request failed: " + e + " at " + e.getStackTrace()[0]);
         } finally {
             connections.remove(connection);
         }
--- a/src/main/java/magpiewheel/admin/HttpRequest.java
+++ b/src/main/java/magpiewheel/admin/HttpRequest.java
@@ -95,7 +95,7 @@
         StringBuilder line = new StringBuilder();
         for (int character = in.read(); character != '\n'; character = in.read()) {
             if (character < 0) {
-                throw new IOException("the call ends early");
+                throw new IOException("connection closed within a request line or header");
             }
             if (line.length() >= MAX_LINE_CHARS) {
                 throw new MalformedRequest(431, "Request Header Fields Too Large");
--- a/src/test/java/magpiewheel/adapter/AdapterTest.java
+++ b/src/test/java/magpiewheel/adapter/AdapterTest.java
@@ -37,13 +37,14 @@
 
     @Test
     void truncatedAndUnknownInputIsNamed() {
-        assertTrue(fault("080000").contains("batch header"));
-        assertTrue(fault("09000000" + CLOCK).contains("inside a batch"));
-        assertTrue(fault("0d000000" + CLOCK + "63 00000000").contains("unknown record 99"));
-        assertTrue(fault("0d000000" + CLOCK + "06 ff000000").contains("wrong length"));
+        assertTrue(fault("080000").contains("batch header: 3 of 4 bytes"));
+        assertTrue(fault("09000000" + CLOCK).contains("within a batch: 8 of 9 bytes"));
+        assertTrue(fault("0d000000" + CLOCK + "63 00000000").contains("unknown record code 99"));
+        assertTrue(fault("0d000000" + CLOCK + "06 ff000000")
+                .contains("record 6 has length 255, but the batch has 0 bytes left"));
         assertTrue(fault("0f000000" + CLOCK + "06 02000000 0300").contains("not started"));
         assertTrue(fault("1e000000" + CLOCK + "00 11000000 0300 0000000000000000 03000000 7b7d7d")
-                .contains("settings"));
+                .contains("invalid settings"));
     }
 
     private static String fault(String input) {
