--- a/src/test/java/magpiewheel/adapter/AdapterTest.java
+++ b/src/test/java/magpiewheel/adapter/AdapterTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 class AdapterTest {
-    private static final String CLOCK = "5a5c800000000000";
+    private static final String BATCH_TIME = "5a5c800000000000";
 
     private static byte[] hex(String text) {
         return HexFormat.of().parseHex(text.replace(" ", ""));
@@ -26,32 +26,32 @@
     }
 
     @Test
-    void emptyBatchHasAnEmptyReply() throws IOException {
-        assertArrayEquals(hex("00000000 00000000"), run("08000000" + CLOCK));
+    void emptyBatchGetsEmptyReply() throws IOException {
+        assertArrayEquals(hex("00000000 00000000"), run("08000000" + BATCH_TIME));
     }
 
     @Test
-    void endOfInputEndsCleanly() throws IOException {
+    void emptyInputProducesNoOutput() throws IOException {
         assertEquals(0, run("").length);
     }
 
     @Test
-    void truncatedAndUnknownInputIsNamed() {
-        assertTrue(fault("080000").contains("batch header: 3 of 4 bytes"));
-        assertTrue(fault("09000000" + CLOCK).contains("within a batch: 8 of 9 bytes"));
-        assertTrue(fault("0d000000" + CLOCK + "63 00000000").contains("unknown record code 99"));
-        assertTrue(fault("0d000000" + CLOCK + "06 ff000000")
+    void malformedInputIsReportedWithItsValues() {
+        assertTrue(errorOf("080000").contains("batch header: 3 of 4 bytes"));
+        assertTrue(errorOf("09000000" + BATCH_TIME).contains("within a batch: 8 of 9 bytes"));
+        assertTrue(errorOf("0d000000" + BATCH_TIME + "63 00000000").contains("unknown record code 99"));
+        assertTrue(errorOf("0d000000" + BATCH_TIME + "06 ff000000")
                 .contains("record 6 has length 255, but the batch has 0 bytes left"));
-        assertTrue(fault("0f000000" + CLOCK + "06 02000000 0300").contains("not started"));
-        assertTrue(fault("1e000000" + CLOCK + "00 11000000 0300 0000000000000000 03000000 7b7d7d")
+        assertTrue(errorOf("0f000000" + BATCH_TIME + "06 02000000 0300").contains("not started"));
+        assertTrue(errorOf("1e000000" + BATCH_TIME + "00 11000000 0300 0000000000000000 03000000 7b7d7d")
                 .contains("invalid settings"));
     }
 
-    private static String fault(String input) {
+    private static String errorOf(String input) {
         return assertThrows(FrameReader.MalformedInput.class, () -> run(input)).getMessage();
     }
 
-    private static String le(long value, int bytes) {
+    private static String littleEndian(long value, int bytes) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < bytes; i++) {
             text.append(String.format("%02x", value >>> 8 * i & 0xff));
@@ -60,27 +60,30 @@
     }
 
     private static String batch(String records) {
-        String body = CLOCK + records.replace(" ", "");
-        return le(body.length() / 2, 4) + body;
+        String body = BATCH_TIME + records.replace(" ", "");
+        return littleEndian(body.length() / 2, 4) + body;
     }
 
-    private static String init(String who) {
+    private static String startInstance(String instanceId) {
         String json = HexFormat.of().formatHex("{\"unknown\": [1], \"profiles\": [{\"goal_time_us\": 1}]}".getBytes());
-        String fields = who + "0100000000000000" + le(json.length() / 2, 4) + json;
-        return "00" + le(fields.length() / 2, 4) + fields;
+        String fields = instanceId + "0100000000000000" + littleEndian(json.length() / 2, 4) + json;
+        return "00" + littleEndian(fields.length() / 2, 4) + fields;
     }
 
-    /** A request, a late timer and a client that left, for two instances without any cache. */
+    /**
+     * Two instances without caches receive a request, an expired timer and a client disconnect; the request is
+     * rejected.
+     */
     @Test
-    void workedBatchOfTwoInstancesIsAnsweredInOrder() throws IOException {
-        byte[] reply = run(batch(init("0300") + init("0500"))
+    void eventsOfTwoInstancesInOneBatchAreAnsweredInOrder() throws IOException {
+        byte[] reply = run(batch(startInstance("0300") + startInstance("0500"))
                 + batch("02 28000000 0300 c4913a5dec380500 01 00000000 00003041 00002044 80a90300 00004040 00"
                         + "640ad2557c3bf091 06 0a000000 0300 4d00000000000000 05 0a000000 0500 192b6f0e5c760400"));
         assertArrayEquals(hex("00000000 00000000 01000000 13000000 01 0e000000 0300 c4913a5dec380500 00000000"), reply);
     }
 
     @Test
-    void readThroughIsWrittenAsTheWireSays() throws IOException {
+    void actionsAreEncodedInOrder() throws IOException {
         FrameWriter writer = new FrameWriter();
         writer.actionsOf(3)
                 .startAttempt(
