--- a/src/main/java/magpiewheel/Startup.java
+++ b/src/main/java/magpiewheel/Startup.java
@@ -94,7 +94,7 @@
                 : new PeerTransport(
                         config.peerListen(), config.peers(), settings.topology().routerId(), counters);
         engine = engine(nodes, copies);
-        nodes.report(engine);
+        nodes.setEngine(engine);
         FlowRing ring = app.flows() == null ? null : new FlowRing(FLOWS_ON_THE_WAY);
         metering = ring == null ? null : metering(ring);
         exporter = ring == null ? null : new FlowExporter(exportSettings(), ring, counters);
@@ -114,7 +114,7 @@
             peers.start(engine::peerMessageReceived, engine::reachabilityRefused, crew);
         }
         RespServer front = respFront(figures);
-        sockets.add(board::end);
+        sockets.add(board::close);
         if (peers != null) {
             sockets.add(peers::close);
         }
@@ -254,10 +254,10 @@
         DiscoveryClient board =
                 new DiscoveryClient(config.board(), config.knownRev(), engine, reload::boardLost, counters);
         if (app.pins()) {
-            board.tellsWhenHeard();
+            board.reportContact();
         }
         board.start(crew);
-        reload.listen(crew, read -> board.moved(read.board()));
+        reload.listen(crew, read -> board.setAddress(read.board()));
         return board;
     }
 
--- a/src/main/java/magpiewheel/WarmUp.java
+++ b/src/main/java/magpiewheel/WarmUp.java
@@ -113,7 +113,7 @@
                 nodes,
                 (to, message) -> {},
                 new ResponseCache(BUFFERS / 2, BODY, BODY));
-        nodes.report(engine);
+        nodes.setEngine(engine);
         return engine;
     }
 
--- a/src/main/java/magpiewheel/discovery/DeadlineInputStream.java
+++ b/src/main/java/magpiewheel/discovery/DeadlineInputStream.java
@@ -11,34 +11,34 @@
  */
 final class DeadlineInputStream extends InputStream {
     /** ms; bytes that have arrived are read past the deadline, too: a reader may have waited for the processor. */
-    private static final int LEAST_MS = 1;
+    private static final int MIN_READ_TIMEOUT_MS = 1;
 
     private final Socket socket;
     private final InputStream in;
     private long deadlineNs;
 
-    /** Reads from a connected socket; {@link #within} comes before the first read. */
+    /** Reads from a connected socket; {@link #setDeadline} comes before the first read. */
     DeadlineInputStream(Socket socket) throws IOException {
         this.socket = socket;
         this.in = socket.getInputStream();
     }
 
     /** What is read from now on has to arrive within so many milliseconds, else a read times out. */
-    void within(int ms) {
+    void setDeadline(int ms) {
         deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
     }
 
     @Override
     public int read() throws IOException {
-        byte[] one = new byte[1];
-        return read(one, 0, 1) < 0 ? -1 : Byte.toUnsignedInt(one[0]);
+        byte[] octet = new byte[1];
+        return read(octet, 0, 1) < 0 ? -1 : Byte.toUnsignedInt(octet[0]);
     }
 
     @Override
-    public int read(byte[] to, int from, int count) throws IOException {
+    public int read(byte[] buffer, int offset, int length) throws IOException {
         long leftMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime());
-        socket.setSoTimeout((int) Math.max(LEAST_MS, leftMs));
-        return in.read(to, from, count);
+        socket.setSoTimeout((int) Math.max(MIN_READ_TIMEOUT_MS, leftMs));
+        return in.read(buffer, offset, length);
     }
 
     @Override
--- a/src/main/java/magpiewheel/discovery/DiscoveryClient.java
+++ b/src/main/java/magpiewheel/discovery/DiscoveryClient.java
@@ -24,82 +24,85 @@
  * to the board; with a full mailbox it waits, and the board's changes with it.
  */
 public final class DiscoveryClient extends Actor {
-    private static final int MAILBOX = 64;
-    private static final int READ_BUFFER = 4_096;
-    private static final int RECORD = 27;
-    private static final int HEAD = Long.BYTES + 1;
-    private static final int LARGEST_FRAME = 1 << 20;
+    private static final int MAILBOX_CAPACITY = 64;
+    private static final int READ_BUFFER_BYTES = 4_096;
+    private static final int RECORD_BYTES = 27;
+    private static final int HEADER_BYTES = Long.BYTES + 1;
+    private static final int MAX_FRAME_BYTES = 1 << 20;
     /**
      * ms; the longest from one whole frame to the next: an empty frame comes each second, so two missing ones mean a
      * connection that is dead. What discovery has to say counts as received 7 s after it was said; two connections in a
      * row that fall silent, or six connection attempts that hang, fit in.
      */
-    private static final int SILENCE_MS = 2_300;
+    private static final int FRAME_TIMEOUT_MS = 2_300;
 
-    private static final int CONNECT_MS = 600;
-    private static final int AGAIN_MS = 100;
-    private static final EndpointState[] STATES = {EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED};
+    private static final int CONNECT_TIMEOUT_MS = 600;
+    private static final int RETRY_DELAY_MS = 100;
+    private static final EndpointState[] STATE_BY_CODE = {
+        EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED
+    };
 
     private final Engine engine;
-    private final Runnable lost;
+    private final Runnable onConnectionLost;
     private final Counters counters;
-    private volatile long last;
-    private volatile boolean tells;
+    private volatile long lastRevision;
+    private volatile boolean reportsContact;
     private volatile InetSocketAddress address;
-    private volatile Socket current;
+    private volatile Socket currentSocket;
 
     /**
-     * Goes on behind the event of the given number, at no address (null) until one is named; {@code lost} is called, by
-     * the reader, while the board is away.
+     * Goes on behind the event of the given number, at no address (null) until one is named; {@code onConnectionLost}
+     * is called, by the reader, while the board is away.
      */
-    public DiscoveryClient(InetSocketAddress address, long last, Engine engine, Runnable lost, Counters counters) {
-        super("board", MAILBOX, counters);
+    public DiscoveryClient(
+            InetSocketAddress address, long lastRevision, Engine engine, Runnable onConnectionLost, Counters counters) {
+        super("board", MAILBOX_CAPACITY, counters);
         this.address = address;
-        this.last = last;
+        this.lastRevision = lastRevision;
         this.engine = engine;
-        this.lost = lost;
+        this.onConnectionLost = onConnectionLost;
         this.counters = counters;
     }
 
     @Override
-    public void start(WorkerPool crew) {
-        super.start(crew);
+    public void start(WorkerPool workers) {
+        super.start(workers);
         if (address != null) {
             startReader();
         }
     }
 
     private void startReader() {
-        daemonThread("board-reader", this::read).start();
+        daemonThread("board-reader", this::readLoop).start();
     }
 
     /** The board is to be found elsewhere from now on; the events go on behind the last one known. */
-    public void moved(InetSocketAddress to) {
+    public void setAddress(InetSocketAddress to) {
         if (to == null || to.equals(address)) {
             return;
         }
-        boolean first = address == null;
+        boolean hadNoAddress = address == null;
         address = to;
-        if (first) {
+        if (hadNoAddress) {
             startReader();
             return;
         }
         // The reader must not go on with the old board, which tells nothing more and stays open for a while.
-        close(current);
+        closeQuietly(currentSocket);
     }
 
     /** From now on the module is told, too, whenever the board is heard. */
-    public void tellsWhenHeard() {
-        tells = true;
+    public void reportContact() {
+        reportsContact = true;
     }
 
     /** Listens no longer. */
-    public void end() {
+    public void close() {
         stop();
-        close(current);
+        closeQuietly(currentSocket);
     }
 
-    private static void close(Socket socket) {
+    private static void closeQuietly(Socket socket) {
         if (socket != null) {
             try {
                 socket.close();
@@ -109,126 +112,126 @@
         }
     }
 
-    private void read() {
+    private void readLoop() {
         while (!stopped()) {
             InetSocketAddress from = address;
             try (Socket socket = new Socket()) {
-                current = socket;
-                follow(socket, from);
+                currentSocket = socket;
+                readEvents(socket, from);
             } catch (IOException e) {
                 if (!stopped() && from.equals(address)) {
-                    lost.run();
-                    pause();
+                    onConnectionLost.run();
+                    waitBeforeRetry();
                 }
             } catch (RuntimeException e) {
                 // Without its reader the front would go on with a list that nobody renews.
                 counters.add(Counter.FAULTS);
                 System.err.println("board: " + e + " at " + e.getStackTrace()[0]);
-                pause();
+                waitBeforeRetry();
             }
         }
     }
 
     /** Reads events from the board at this address until it is named no longer. */
-    private void follow(Socket socket, InetSocketAddress from) throws IOException {
+    private void readEvents(Socket socket, InetSocketAddress from) throws IOException {
         // Looked at each time: it may have changed before this socket could be closed for it.
         if (!from.equals(address)) {
             return;
         }
         socket.setTcpNoDelay(true);
-        socket.connect(from, CONNECT_MS);
+        socket.connect(from, CONNECT_TIMEOUT_MS);
         counters.add(Counter.BOARD_CONNECTS);
-        new DataOutputStream(socket.getOutputStream()).writeLong(last);
-        DeadlineInputStream arriving = new DeadlineInputStream(socket);
-        DataInputStream in = new DataInputStream(new BufferedInputStream(arriving, READ_BUFFER));
+        new DataOutputStream(socket.getOutputStream()).writeLong(lastRevision);
+        DeadlineInputStream input = new DeadlineInputStream(socket);
+        DataInputStream in = new DataInputStream(new BufferedInputStream(input, READ_BUFFER_BYTES));
         while (from.equals(address)) {
-            arriving.within(SILENCE_MS);
-            frame(in);
+            input.setDeadline(FRAME_TIMEOUT_MS);
+            readFrame(in);
         }
     }
 
-    private static void pause() {
+    private static void waitBeforeRetry() {
         try {
-            Thread.sleep(AGAIN_MS);
+            Thread.sleep(RETRY_DELAY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void frame(DataInputStream in) throws IOException {
+    private void readFrame(DataInputStream in) throws IOException {
         int length = in.readInt();
-        if (length < HEAD || length > LARGEST_FRAME) {
-            throw garbage();
+        if (length < HEADER_BYTES || length > MAX_FRAME_BYTES) {
+            throw malformedFrame();
         }
-        long number = in.readLong();
+        long revision = in.readLong();
         int kind = in.readUnsignedByte();
-        int rest = length - HEAD;
-        boolean fits = switch (kind) {
-            case 0 -> rest == 0;
-            case 1, 2 -> rest % RECORD == 0;
-            case 3 -> rest == 2 * Long.BYTES;
-            case 4 -> rest == Short.BYTES + Long.BYTES;
+        int payloadLength = length - HEADER_BYTES;
+        boolean validLength = switch (kind) {
+            case 0 -> payloadLength == 0;
+            case 1, 2 -> payloadLength % RECORD_BYTES == 0;
+            case 3 -> payloadLength == 2 * Long.BYTES;
+            case 4 -> payloadLength == Short.BYTES + Long.BYTES;
             default -> false;
         };
-        if (!fits) {
-            throw garbage();
+        if (!validLength) {
+            throw malformedFrame();
         }
-        byte[] payload = new byte[rest];
+        byte[] payload = new byte[payloadLength];
         in.readFully(payload);
-        long heardAt = engine.now();
-        Runnable event = kind == 0 ? null : event(kind, ByteBuffer.wrap(payload));
+        long receivedAtUs = engine.now();
+        Runnable event = kind == 0 ? null : parseEvent(kind, ByteBuffer.wrap(payload));
         if (event != null) {
             putAndRun(() -> {
                 // After a reconnect the board may repeat what is known here.
-                if (number > last) {
-                    last = number;
+                if (revision > lastRevision) {
+                    lastRevision = revision;
                     counters.add(Counter.BOARD_EVENTS);
                     event.run();
                 }
             });
         }
-        if (tells) {
+        if (reportsContact) {
             // Behind the event, and behind all that came before it.
-            putAndRun(() -> engine.discoveryHeard(heardAt));
+            putAndRun(() -> engine.discoveryHeard(receivedAtUs));
         }
     }
 
-    private IOException garbage() {
+    private IOException malformedFrame() {
         counters.add(Counter.BOARD_GARBAGE);
         return new IOException("the board does not keep to the form");
     }
 
-    private Runnable event(int kind, ByteBuffer at) throws IOException {
+    private Runnable parseEvent(int kind, ByteBuffer payload) throws IOException {
         if (kind > 2) {
-            Long object = kind == 3 ? at.getLong() : null;
-            int group = kind == 3 ? 0 : Short.toUnsignedInt(at.getShort());
-            long ms = at.getLong();
+            Long object = kind == 3 ? payload.getLong() : null;
+            int group = kind == 3 ? 0 : Short.toUnsignedInt(payload.getShort());
+            long ms = payload.getLong();
             return () -> engine.objectsPurged(object, group, ms);
         }
-        List<ListedEndpoint> nodes = new ArrayList<>();
-        while (at.hasRemaining()) {
-            long id = Integer.toUnsignedLong(at.getInt());
-            int ip = at.getInt();
-            int port = Short.toUnsignedInt(at.getShort());
-            int state = Byte.toUnsignedInt(at.get());
-            int zone = Byte.toUnsignedInt(at.get());
-            int hardware = Byte.toUnsignedInt(at.get());
-            int cell = Short.toUnsignedInt(at.getShort());
-            double weight = Integer.toUnsignedLong(at.getInt()) / 1000.0;
-            long started = at.getLong();
-            if (state >= STATES.length || started < 0 || started > Long.MAX_VALUE / 4_000) {
-                throw garbage();
+        List<ListedEndpoint> endpoints = new ArrayList<>();
+        while (payload.hasRemaining()) {
+            long id = Integer.toUnsignedLong(payload.getInt());
+            int ip = payload.getInt();
+            int port = Short.toUnsignedInt(payload.getShort());
+            int state = Byte.toUnsignedInt(payload.get());
+            int zone = Byte.toUnsignedInt(payload.get());
+            int machineType = Byte.toUnsignedInt(payload.get());
+            int cell = Short.toUnsignedInt(payload.getShort());
+            double weight = Integer.toUnsignedLong(payload.getInt()) / 1000.0;
+            long startedMs = payload.getLong();
+            if (state >= STATE_BY_CODE.length || startedMs < 0 || startedMs > Long.MAX_VALUE / 4_000) {
+                throw malformedFrame();
             }
-            nodes.add(new ListedEndpoint(
-                    EndpointInfo.builder(id, hardware, zone)
-                            .startedUs(started * 1000)
+            endpoints.add(new ListedEndpoint(
+                    EndpointInfo.builder(id, machineType, zone)
+                            .startedUs(startedMs * 1000)
                             .weight(weight)
-                            .state(STATES[state])
+                            .state(STATE_BY_CODE[state])
                             .cell(cell)
                             .build(),
                     ip,
                     port));
         }
-        return () -> engine.endpointsChanged(kind == 1 ? EndpointListMode.FULL : EndpointListMode.DELTA, nodes);
+        return () -> engine.endpointsChanged(kind == 1 ? EndpointListMode.FULL : EndpointListMode.DELTA, endpoints);
     }
 }
--- a/src/main/java/magpiewheel/peers/PeerTransport.java
+++ b/src/main/java/magpiewheel/peers/PeerTransport.java
@@ -23,28 +23,28 @@
 /** Datagrams between the fronts of a tier: an actor for each of them, and one reader for what comes in. */
 public final class PeerTransport implements Engine.PeerTransport {
     /** Hears that nobody listens at a front's address, as was asked at a time. */
-    public interface Refusals {
+    public interface PortUnreachableListener {
         /** Its machine said so. */
-        void refused(int front, long askedAt);
+        void portUnreachable(int peer, long probedAt);
     }
 
-    private static final int MOST_BYTES = 256;
-    private static final int MAILBOX = 64;
+    private static final int MAX_DATAGRAM_BYTES = 256;
+    private static final int MAILBOX_CAPACITY = 64;
     private final DatagramSocket socket;
     private final Counters counters;
-    private final Map<InetSocketAddress, Integer> places = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> indexByAddress = new HashMap<>();
     private final Map<Integer, Peer> peers = new HashMap<>();
-    private final Knocker knocker;
+    private final PortProber prober;
     private BiConsumer<Integer, byte[]> receiver;
-    private Refusals refusals;
+    private PortUnreachableListener unreachableListener;
 
     /**
      * A question to a front's machine: at which time it was put, and the socket at which an answer comes, until when
      * (ns).
      */
-    private record Question(int front, InetSocketAddress address, long at) {}
+    private record Probe(int peer, InetSocketAddress address, long at) {}
 
-    private record Open(Question question, DatagramSocket probe, long untilNs) {}
+    private record PendingProbe(Probe probe, DatagramSocket probeSocket, long deadlineNs) {}
 
     /**
      * Asks whether anybody listens at a front's address, from the address that the front knows this one by: its machine
@@ -52,62 +52,64 @@
      * before an answer is waited for, so that those machines that say nothing keep none of the others waiting. A full
      * mailbox drops the question; it will be asked again.
      */
-    private final class Knocker extends Actor {
-        private static final int WAIT_MS = 40;
-        private static final byte[] KNOCK = {0};
-        private final ConcurrentLinkedQueue<Question> waiting = new ConcurrentLinkedQueue<>();
+    private final class PortProber extends Actor {
+        private static final int PROBE_TIMEOUT_MS = 40;
+        private static final byte[] PROBE_PAYLOAD = {0};
+        private final ConcurrentLinkedQueue<Probe> queued = new ConcurrentLinkedQueue<>();
 
-        Knocker() {
-            super("knocker", MAILBOX, counters);
+        PortProber() {
+            super("knocker", MAILBOX_CAPACITY, counters);
         }
 
-        void ask(Question question) {
-            waiting.add(question);
-            if (!offer(this::knock)) {
-                waiting.remove(question);
+        void enqueue(Probe probe) {
+            queued.add(probe);
+            if (!offer(this::sendProbes)) {
+                queued.remove(probe);
                 counters.add(Counter.PEER_DROPPED);
             }
         }
 
-        private void knock() {
-            List<Open> open = new ArrayList<>();
-            for (Question question = waiting.poll(); question != null; question = waiting.poll()) {
-                put(question, open);
+        private void sendProbes() {
+            List<PendingProbe> pending = new ArrayList<>();
+            for (Probe probe = queued.poll(); probe != null; probe = queued.poll()) {
+                sendProbe(probe, pending);
             }
-            for (Open each : open) {
-                await(each);
+            for (PendingProbe each : pending) {
+                awaitResult(each);
             }
         }
 
-        private void put(Question question, List<Open> open) {
+        private void sendProbe(Probe probe, List<PendingProbe> pending) {
             counters.add(Counter.KNOCKS);
-            DatagramSocket probe = null;
+            DatagramSocket probeSocket = null;
             try {
-                probe = new DatagramSocket(null);
-                probe.setReuseAddress(true);
-                probe.bind(socket.getLocalSocketAddress());
-                probe.connect(question.address);
-                probe.send(new DatagramPacket(KNOCK, KNOCK.length));
-                open.add(new Open(question, probe, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS)));
+                probeSocket = new DatagramSocket(null);
+                probeSocket.setReuseAddress(true);
+                probeSocket.bind(socket.getLocalSocketAddress());
+                probeSocket.connect(probe.address);
+                probeSocket.send(new DatagramPacket(PROBE_PAYLOAD, PROBE_PAYLOAD.length));
+                pending.add(new PendingProbe(
+                        probe, probeSocket, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PROBE_TIMEOUT_MS)));
             } catch (IOException e) {
                 counters.add(Counter.PEER_DROPPED);
-                if (probe != null) {
-                    probe.close();
+                if (probeSocket != null) {
+                    probeSocket.close();
                 }
             }
         }
 
-        private void await(Open open) {
-            try (DatagramSocket probe = open.probe) {
-                probe.setSoTimeout((int) Math.max(1, TimeUnit.NANOSECONDS.toMillis(open.untilNs - System.nanoTime())));
-                byte[] buffer = new byte[MOST_BYTES + 1];
+        private void awaitResult(PendingProbe pending) {
+            try (DatagramSocket probeSocket = pending.probeSocket) {
+                probeSocket.setSoTimeout(
+                        (int) Math.max(1, TimeUnit.NANOSECONDS.toMillis(pending.deadlineNs - System.nanoTime())));
+                byte[] buffer = new byte[MAX_DATAGRAM_BYTES + 1];
                 DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
-                probe.receive(packet);
+                probeSocket.receive(packet);
                 // It lives, and what it sent came here in place of the other socket.
-                taken(open.question.front, packet);
+                deliver(pending.probe.peer, packet);
             } catch (PortUnreachableException e) {
                 counters.add(Counter.KNOCKS_REFUSED);
-                refusals.refused(open.question.front, open.question.at);
+                unreachableListener.portUnreachable(pending.probe.peer, pending.probe.at);
             } catch (SocketTimeoutException e) {
                 // A machine that says nothing: nothing is known.
             } catch (IOException e) {
@@ -121,11 +123,11 @@
         private final InetSocketAddress address;
 
         Peer(InetSocketAddress address) {
-            super("peer", MAILBOX, counters);
+            super("peer", MAILBOX_CAPACITY, counters);
             this.address = address;
         }
 
-        void tell(byte[] message) {
+        void enqueue(byte[] message) {
             if (!offer(() -> send(message))) {
                 counters.add(Counter.PEER_DROPPED);
             }
@@ -142,28 +144,29 @@
     }
 
     /** Listens, and speaks to the fronts in the order of their numbers. */
-    public PeerTransport(InetSocketAddress listen, List<InetSocketAddress> fronts, int me, Counters counters)
+    public PeerTransport(InetSocketAddress listen, List<InetSocketAddress> routers, int ownIndex, Counters counters)
             throws IOException {
         this.counters = counters;
-        knocker = new Knocker();
+        prober = new PortProber();
         socket = new DatagramSocket(null);
         // A new version of the program listens here before the old one has ended.
         socket.setReuseAddress(true);
         socket.bind(listen);
-        for (int i = 0; i < fronts.size(); i++) {
-            places.put(fronts.get(i), i);
-            if (i != me) {
-                peers.put(i, new Peer(fronts.get(i)));
+        for (int i = 0; i < routers.size(); i++) {
+            indexByAddress.put(routers.get(i), i);
+            if (i != ownIndex) {
+                peers.put(i, new Peer(routers.get(i)));
             }
         }
     }
 
     /** Starts to send, and to receive for the engine. */
-    public void start(BiConsumer<Integer, byte[]> to, Refusals refused, WorkerPool crew) {
-        receiver = to;
-        refusals = refused;
-        peers.values().forEach(peer -> peer.start(crew));
-        knocker.start(crew);
+    public void start(
+            BiConsumer<Integer, byte[]> receiver, PortUnreachableListener unreachableListener, WorkerPool workers) {
+        this.receiver = receiver;
+        this.unreachableListener = unreachableListener;
+        peers.values().forEach(peer -> peer.start(workers));
+        prober.start(workers);
         Actor.daemonThread("peer-reader", this::receive).start();
     }
 
@@ -175,10 +178,10 @@
     @Override
     public void send(int recipient, byte[] message) {
         Peer peer = peers.get(recipient);
-        if (message.length > MOST_BYTES) {
+        if (message.length > MAX_DATAGRAM_BYTES) {
             counters.add(Counter.PEER_DROPPED);
         } else if (peer != null) {
-            peer.tell(message);
+            peer.enqueue(message);
         }
     }
 
@@ -186,27 +189,27 @@
     public void probe(int recipient, long at) {
         Peer peer = peers.get(recipient);
         if (peer != null) {
-            knocker.ask(new Question(recipient, peer.address, at));
+            prober.enqueue(new Probe(recipient, peer.address, at));
         }
     }
 
-    private void taken(int from, DatagramPacket packet) {
+    private void deliver(int from, DatagramPacket packet) {
         counters.add(Counter.PEER_RECEIVED);
         receiver.accept(from, Arrays.copyOf(packet.getData(), packet.getLength()));
     }
 
     private void receive() {
-        byte[] buffer = new byte[MOST_BYTES + 1];
+        byte[] buffer = new byte[MAX_DATAGRAM_BYTES + 1];
         while (!socket.isClosed()) {
             try {
                 DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
                 socket.receive(packet);
-                Integer from = places.get((InetSocketAddress) packet.getSocketAddress());
-                if (from == null || packet.getLength() > MOST_BYTES) {
+                Integer from = indexByAddress.get((InetSocketAddress) packet.getSocketAddress());
+                if (from == null || packet.getLength() > MAX_DATAGRAM_BYTES) {
                     counters.add(Counter.PEER_DROPPED);
                     continue;
                 }
-                taken(from, packet);
+                deliver(from, packet);
             } catch (IOException e) {
                 if (!socket.isClosed()) {
                     counters.add(Counter.PEER_DROPPED);
--- a/src/main/java/magpiewheel/upstream/ResponseLine.java
+++ b/src/main/java/magpiewheel/upstream/ResponseLine.java
@@ -13,16 +13,16 @@
         String id,
         AttemptResult result,
         boolean unchanged,
-        CacheStatus note,
-        long lagUs,
+        CacheStatus cacheStatus,
+        long firstByteUs,
         String tag,
-        long mintedMs,
+        long originTimeMs,
         int length) {
-    private static final int WORDS = 4;
-    private static final int LARGEST_BODY = 240_000;
-    private static final int LONGEST_ID = 64;
-    private static final CacheStatus[] NOTES = CacheStatus.values();
-    private static final List<String> NOTE_WORDS = List.of(
+    private static final int WORD_COUNT = 4;
+    private static final int MAX_BODY_BYTES = 240_000;
+    private static final int MAX_ID_LENGTH = 64;
+    private static final CacheStatus[] CACHE_STATUSES = CacheStatus.values();
+    private static final List<String> CACHE_STATUS_NAMES = List.of(
             "",
             "hit",
             "filled",
@@ -36,24 +36,24 @@
             "origin_failed");
 
     /** What came is no answer that can be used. */
-    static final class Garbage extends IOException {
+    static final class MalformedResponseException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        Garbage(String what) {
-            super(what);
+        MalformedResponseException(String message) {
+            super(message);
         }
     }
 
     /** Whether an answer with a copy names the copy: its tag and when the origin gave it out. */
-    boolean namesItsCopy() {
+    boolean identifiesCopy() {
         return tag != null;
     }
 
-    static ResponseLine read(String line) throws Garbage {
+    static ResponseLine parse(String line) throws MalformedResponseException {
         // Limit -1 keeps an empty last word: "ID DONE - " is an answer without its length, not one of 0 bytes.
         String[] words = line.split(" ", -1);
-        if (words.length != WORDS || words[0].isEmpty() || words[0].length() > LONGEST_ID) {
-            throw new Garbage("a line of " + words.length + " words");
+        if (words.length != WORD_COUNT || words[0].isEmpty() || words[0].length() > MAX_ID_LENGTH) {
+            throw new MalformedResponseException("a line of " + words.length + " words");
         }
         AttemptResult result = switch (words[1]) {
             case "DONE", "KEEP" -> AttemptResult.OK;
@@ -61,44 +61,46 @@
             case "WAIT" -> AttemptResult.REJECTED;
             case "BROKE" -> AttemptResult.ERROR;
             case "PAST" -> AttemptResult.EXPIRED;
-            default -> throw new Garbage("an unknown word");
+            default -> throw new MalformedResponseException("an unknown word");
         };
         boolean unchanged = words[1].equals("KEEP");
-        int length = (int) number(words[3], LARGEST_BODY);
+        int length = (int) parseNumber(words[3], MAX_BODY_BYTES);
         if (length > 0 && (unchanged || result != AttemptResult.OK)) {
-            throw new Garbage("a body behind " + words[1]);
+            throw new MalformedResponseException("a body behind " + words[1]);
         }
-        return fields(words[0], result, unchanged, words[2], length);
+        return parseFields(words[0], result, unchanged, words[2], length);
     }
 
-    private static ResponseLine fields(String id, AttemptResult result, boolean unchanged, String fields, int length)
-            throws Garbage {
-        CacheStatus note = CacheStatus.UNKNOWN;
-        long lag = 0;
+    private static ResponseLine parseFields(
+            String id, AttemptResult result, boolean unchanged, String fields, int length)
+            throws MalformedResponseException {
+        CacheStatus cacheStatus = CacheStatus.UNKNOWN;
+        long firstByteUs = 0;
         String tag = null;
-        long minted = -1;
+        long originTimeMs = -1;
         for (String field : fields.equals("-") ? new String[0] : fields.split(",", -1)) {
             int equals = field.indexOf('=');
             String value = field.substring(equals + 1);
-            if (equals <= 0 || !plain(value)) {
-                throw new Garbage("a field that is none");
+            if (equals <= 0 || !isPlainValue(value)) {
+                throw new MalformedResponseException("a field that is none");
             }
             switch (field.substring(0, equals)) {
-                case "tell" -> note = NOTES[Math.max(0, NOTE_WORDS.indexOf(value))];
-                case "lag" -> lag = micros(value);
+                case "tell" -> cacheStatus = CACHE_STATUSES[Math.max(0, CACHE_STATUS_NAMES.indexOf(value))];
+                case "lag" -> firstByteUs = parseMillisAsMicros(value);
                 case "tag" -> tag = value;
-                case "minted" -> minted = number(value, Long.MAX_VALUE);
+                case "minted" -> originTimeMs = parseNumber(value, Long.MAX_VALUE);
                 default -> {}
             }
         }
-        return new ResponseLine(id, result, unchanged, note, lag, minted < 0 ? null : tag, minted, length);
+        return new ResponseLine(
+                id, result, unchanged, cacheStatus, firstByteUs, originTimeMs < 0 ? null : tag, originTimeMs, length);
     }
 
-    private static boolean plain(String value) {
+    private static boolean isPlainValue(String value) {
         return !value.isEmpty() && value.chars().allMatch(c -> c > ' ' && c < 0x7f && c != '=');
     }
 
-    private static long micros(String millis) throws Garbage {
+    private static long parseMillisAsMicros(String millis) throws MalformedResponseException {
         try {
             double value = Double.parseDouble(millis);
             if (value >= 0 && value <= Integer.MAX_VALUE) {
@@ -107,18 +109,18 @@
         } catch (NumberFormatException e) {
             // Named below.
         }
-        throw new Garbage("the time " + millis);
+        throw new MalformedResponseException("the time " + millis);
     }
 
     /** Digits and nothing else: parsers of the library take signs, too. */
-    private static long number(String text, long most) throws Garbage {
+    private static long parseNumber(String text, long max) throws MalformedResponseException {
         try {
-            if (!text.isEmpty() && text.chars().allMatch(c -> c >= '0' && c <= '9') && Long.parseLong(text) <= most) {
+            if (!text.isEmpty() && text.chars().allMatch(c -> c >= '0' && c <= '9') && Long.parseLong(text) <= max) {
                 return Long.parseLong(text);
             }
         } catch (NumberFormatException e) {
             // Named below.
         }
-        throw new Garbage("the number " + text);
+        throw new MalformedResponseException("the number " + text);
     }
 }
--- a/src/main/java/magpiewheel/upstream/UpstreamEndpoint.java
+++ b/src/main/java/magpiewheel/upstream/UpstreamEndpoint.java
@@ -23,87 +23,91 @@
  * mailbox, or no room for a connection, turns the attempt away.
  */
 final class UpstreamEndpoint extends Actor {
-    private static final int MAILBOX = 512;
+    private static final int MAILBOX_CAPACITY = 512;
     /** Attempts let in at once. Each may be called off once, and the mailbox's reserve has room for all of that. */
-    private static final int MOST_TAKEN = 256;
+    private static final int MAX_ACCEPTED_ATTEMPTS = 256;
     /** Connections to one node: above what its module's limit and a spell of slow answers put there. */
-    private static final int MOST = 96;
+    private static final int MAX_CONNECTIONS = 96;
 
-    private static final long LOOK_US = 500_000;
+    private static final long IDLE_CHECK_INTERVAL_US = 500_000;
 
     private final ListedEndpoint listed;
     private final Shared shared;
-    private final Map<Attempt, UpstreamConnection> inHand = new HashMap<>();
-    private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
+    private final Map<Attempt, UpstreamConnection> connectionsByAttempt = new HashMap<>();
+    private final ArrayDeque<UpstreamConnection> idleConnections = new ArrayDeque<>();
     /** Connections that are coming up, the oldest first; each was begun for an attempt, which another may take over. */
-    private final Set<UpstreamConnection> comingUp = new LinkedHashSet<>();
+    private final Set<UpstreamConnection> connecting = new LinkedHashSet<>();
 
-    private final AtomicInteger taken = new AtomicInteger();
-    private int connections;
+    private final AtomicInteger acceptedAttempts = new AtomicInteger();
+    private int connectionCount;
     private boolean retired;
 
     UpstreamEndpoint(ListedEndpoint listed, Shared shared) {
-        super("node-" + Long.toHexString(listed.info().id()), MAILBOX, MOST_TAKEN + 1, shared.counters());
+        super(
+                "node-" + Long.toHexString(listed.info().id()),
+                MAILBOX_CAPACITY,
+                MAX_ACCEPTED_ATTEMPTS + 1,
+                shared.counters());
         this.listed = listed;
         this.shared = shared;
     }
 
-    boolean isAt(ListedEndpoint other) {
+    boolean isSameProcess(ListedEndpoint other) {
         return listed.address() == other.address()
                 && listed.port() == other.port()
                 && listed.info().startedUs() == other.info().startedUs();
     }
 
     boolean send(Attempt attempt) {
-        if (taken.incrementAndGet() > MOST_TAKEN || !offer(() -> sending(attempt))) {
-            taken.decrementAndGet();
+        if (acceptedAttempts.incrementAndGet() > MAX_ACCEPTED_ATTEMPTS || !offer(() -> startAttempt(attempt))) {
+            acceptedAttempts.decrementAndGet();
             return false;
         }
         return true;
     }
 
     void cancel(Attempt attempt) {
-        offerReserved(() -> cancelling(attempt));
+        offerReserved(() -> cancelAttempt(attempt));
     }
 
     /** The node left the list: what is in hand may still be answered, then the actor ends. */
     void retire() {
         offerReserved(() -> {
             retired = true;
-            idle.forEach(UpstreamConnection::close);
-            idle.clear();
+            idleConnections.forEach(UpstreamConnection::close);
+            idleConnections.clear();
         });
     }
 
-    private void sending(Attempt attempt) {
+    private void startAttempt(Attempt attempt) {
         if (!mayBegin(attempt)) {
-            endUnwritten(attempt);
+            completeUnsent(attempt);
             return;
         }
-        UpstreamConnection connection = idleFor(attempt);
+        UpstreamConnection connection = takeIdleConnection(attempt);
         if (connection != null) {
-            hand(attempt, connection);
-            write(connection);
+            assign(attempt, connection);
+            writeRequest(connection);
         } else if (!connect(attempt)) {
-            end(attempt, UpstreamOutcome.of(AttemptResult.REJECTED));
+            complete(attempt, UpstreamOutcome.of(AttemptResult.REJECTED));
         }
     }
 
     /** Begins a connection, for an attempt or, with null, for whichever waits when it is up; false without room. */
     private boolean connect(Attempt attempt) {
-        if (connections >= MOST) {
+        if (connectionCount >= MAX_CONNECTIONS) {
             return false;
         }
-        if (shared.room().getAndDecrement() <= 0) {
-            shared.room().incrementAndGet();
+        if (shared.freeConnections().getAndDecrement() <= 0) {
+            shared.freeConnections().incrementAndGet();
             return false;
         }
-        connections++;
+        connectionCount++;
         shared.counters().add(Counter.DIALS);
         UpstreamConnection connection = new UpstreamConnection(this, listed, shared);
-        comingUp.add(connection);
+        connecting.add(connection);
         if (attempt != null) {
-            hand(attempt, connection);
+            assign(attempt, connection);
         }
         connection.start();
         return true;
@@ -111,23 +115,23 @@
 
     /** Looked at in the last moment: what it waited for may have taken long. */
     private boolean mayBegin(Attempt attempt) {
-        Set<Long> ready = shared.ready();
+        Set<Long> ready = shared.readyEndpoints();
         return !retired
                 && attempt.mayStart(shared.clock().now())
                 && ready.contains(attempt.endpointId())
                 && ready.contains(attempt.plan().fillSource());
     }
 
-    private void hand(Attempt attempt, UpstreamConnection connection) {
+    private void assign(Attempt attempt, UpstreamConnection connection) {
         connection.attempt = attempt;
-        inHand.put(attempt, connection);
+        connectionsByAttempt.put(attempt, connection);
     }
 
     /** Gives a connection the attempt that has waited longest for another one to come up; false where none may. */
-    private boolean takesOver(UpstreamConnection connection) {
-        for (UpstreamConnection late : comingUp) {
-            if (late.attempt != null && !late.attempt.request().usedConnection(connection)) {
-                hand(unhand(late), connection);
+    private boolean assignWaitingAttempt(UpstreamConnection connection) {
+        for (UpstreamConnection pending : connecting) {
+            if (pending.attempt != null && !pending.attempt.request().usedConnection(connection)) {
+                assign(unassign(pending), connection);
                 return true;
             }
         }
@@ -135,10 +139,10 @@
     }
 
     /** Never one that carried an earlier try, nor one that has ended already, whose reader has yet to say so. */
-    private UpstreamConnection idleFor(Attempt attempt) {
-        for (Iterator<UpstreamConnection> from = idle.descendingIterator(); from.hasNext(); ) {
+    private UpstreamConnection takeIdleConnection(Attempt attempt) {
+        for (Iterator<UpstreamConnection> from = idleConnections.descendingIterator(); from.hasNext(); ) {
             UpstreamConnection connection = from.next();
-            if (connection.usable() && !attempt.request().usedConnection(connection)) {
+            if (connection.isUsable() && !attempt.request().usedConnection(connection)) {
                 from.remove();
                 return connection;
             }
@@ -147,18 +151,18 @@
     }
 
     /** Writes what the connection is to carry, unless that was given up meanwhile: a connection may come up late. */
-    private void write(UpstreamConnection connection) {
+    private void writeRequest(UpstreamConnection connection) {
         Attempt attempt = connection.attempt;
         if (!mayBegin(attempt)) {
-            unhand(connection);
-            endUnwritten(attempt);
-            free(connection);
+            unassign(connection);
+            completeUnsent(attempt);
+            release(connection);
             return;
         }
         try {
             attempt.request().addConnection(connection);
-            if (!connection.serve(attempt)) {
-                nothingTaken(connection);
+            if (!connection.writeRequest(attempt)) {
+                requestNotSent(connection);
             }
         } catch (IOException e) {
             // Its line arrived, and part of its body may have: that does not prove that nothing ran.
@@ -170,70 +174,70 @@
      * The connection ended before a byte of the request was taken, which proves that it never ran. One that was unused
      * was closed by its node meanwhile, which says nothing of the node: the next is tried.
      */
-    private void nothingTaken(UpstreamConnection connection) {
-        Attempt attempt = unhand(connection);
+    private void requestNotSent(UpstreamConnection connection) {
+        Attempt attempt = unassign(connection);
         connection.close();
-        if (connection.wasIdle()) {
-            sending(attempt);
+        if (connection.isReused()) {
+            startAttempt(attempt);
         } else {
-            end(attempt, UpstreamOutcome.of(AttemptResult.UNREACHABLE));
+            complete(attempt, UpstreamOutcome.of(AttemptResult.UNREACHABLE));
         }
     }
 
-    private Attempt unhand(UpstreamConnection connection) {
+    private Attempt unassign(UpstreamConnection connection) {
         Attempt attempt = connection.attempt;
         connection.attempt = null;
-        inHand.remove(attempt);
+        connectionsByAttempt.remove(attempt);
         return attempt;
     }
 
-    private void cancelling(Attempt attempt) {
-        UpstreamConnection connection = inHand.remove(attempt);
+    private void cancelAttempt(Attempt attempt) {
+        UpstreamConnection connection = connectionsByAttempt.remove(attempt);
         if (connection == null) {
             return;
         }
         connection.attempt = null;
-        if (comingUp.contains(connection)) {
+        if (connecting.contains(connection)) {
             // It goes on coming up, for the next one.
-            endUnwritten(attempt);
+            completeUnsent(attempt);
             return;
         }
         // Closed behind the cancel: a machine that has fallen silent must not get the next request too.
         connection.cancel(attempt);
-        end(attempt, UpstreamOutcome.of(AttemptResult.CANCELLED));
+        complete(attempt, UpstreamOutcome.of(AttemptResult.CANCELLED));
     }
 
     /**
      * It was given up before a byte of it was written, which proves that it never ran. Where the client left there is
      * nothing to decide any more, and the node is not to blame.
      */
-    private void endUnwritten(Attempt attempt) {
-        end(
+    private void completeUnsent(Attempt attempt) {
+        complete(
                 attempt,
                 UpstreamOutcome.of(
                         attempt.request().abandoned() ? AttemptResult.CANCELLED : AttemptResult.UNREACHABLE));
     }
 
-    private void end(Attempt attempt, UpstreamOutcome outcome) {
-        taken.decrementAndGet();
+    private void complete(Attempt attempt, UpstreamOutcome outcome) {
+        acceptedAttempts.decrementAndGet();
         shared.engine()[0].attemptEnded(attempt, outcome);
     }
 
     // ---------------------------------------------------------------- from the connections' readers
 
-    void up(UpstreamConnection connection) {
+    void connected(UpstreamConnection connection) {
         putAndRun(() -> {
-            comingUp.remove(connection);
+            connecting.remove(connection);
             if (connection.attempt != null) {
-                write(connection);
+                writeRequest(connection);
             } else {
-                free(connection);
+                release(connection);
             }
         });
     }
 
     /** An answer to an attempt; false where nobody takes it, and its body stays with the reader. */
-    boolean answered(UpstreamConnection connection, Attempt attempt, UpstreamOutcome outcome) {
+    boolean responseReceived(UpstreamConnection connection, Attempt attempt, UpstreamOutcome outcome) {
         return putAndRun(() -> {
             if (connection.attempt != attempt) {
                 if (outcome.body() != null) {
@@ -241,69 +245,69 @@
                 }
                 return;
             }
-            unhand(connection);
-            end(attempt, outcome);
-            free(connection);
+            unassign(connection);
+            complete(attempt, outcome);
+            release(connection);
         });
     }
 
     /** Something came that was not asked for. A request that is out still gets its answer, then the connection ends. */
-    void strayed(UpstreamConnection connection) {
+    void unexpectedResponse(UpstreamConnection connection) {
         put(() -> {
-            connection.outOfStep = true;
-            if (connection.attempt == null && idle.remove(connection)) {
+            connection.desynchronized = true;
+            if (connection.attempt == null && idleConnections.remove(connection)) {
                 connection.close();
             }
         });
     }
 
     /** The connection has ended, and how; its room is free again. */
-    void down(UpstreamConnection connection, AttemptResult ended) {
+    void disconnected(UpstreamConnection connection, AttemptResult result) {
         put(() -> {
-            connections--;
-            shared.room().incrementAndGet();
-            idle.remove(connection);
-            comingUp.remove(connection);
-            drop(connection, ended);
+            connectionCount--;
+            shared.freeConnections().incrementAndGet();
+            idleConnections.remove(connection);
+            connecting.remove(connection);
+            drop(connection, result);
         });
     }
 
     private void drop(UpstreamConnection connection, AttemptResult result) {
         connection.close();
         if (connection.attempt != null) {
-            end(unhand(connection), UpstreamOutcome.of(result));
+            complete(unassign(connection), UpstreamOutcome.of(result));
         }
     }
 
-    private void free(UpstreamConnection connection) {
-        if (retired || connection.outOfStep) {
+    private void release(UpstreamConnection connection) {
+        if (retired || connection.desynchronized) {
             connection.close();
-        } else if (!connection.closed() && takesOver(connection)) {
-            write(connection);
-        } else if (!connection.closed()) {
-            connection.idleSince = System.nanoTime();
-            idle.addLast(connection);
+        } else if (!connection.isClosed() && assignWaitingAttempt(connection)) {
+            writeRequest(connection);
+        } else if (!connection.isClosed()) {
+            connection.idleSinceNs = System.nanoTime();
+            idleConnections.addLast(connection);
         }
     }
 
     @Override
     protected long untilDueWorkUs() {
-        long wait = idle.isEmpty() ? Long.MAX_VALUE : LOOK_US;
+        long wait = idleConnections.isEmpty() ? Long.MAX_VALUE : IDLE_CHECK_INTERVAL_US;
         long now = shared.clock().now();
-        for (UpstreamConnection late : comingUp) {
-            wait = Math.min(wait, Math.max(0, late.attendAt() - now));
+        for (UpstreamConnection pending : connecting) {
+            wait = Math.min(wait, Math.max(0, pending.nextCheckAtUs() - now));
         }
         return wait == Long.MAX_VALUE ? -1 : wait;
     }
 
     @Override
     protected void runDueWork() {
-        long keepNs = shared.keeping().ns(shared.room().get());
-        while (!idle.isEmpty() && System.nanoTime() - idle.peekFirst().idleSince > keepNs) {
-            idle.pollFirst().close();
+        long keepNs = shared.keepAlive().idleTimeoutNs(shared.freeConnections().get());
+        while (!idleConnections.isEmpty() && System.nanoTime() - idleConnections.peekFirst().idleSinceNs > keepNs) {
+            idleConnections.pollFirst().close();
         }
-        attendLate(shared.clock().now());
-        if (retired && connections == 0) {
+        checkConnecting(shared.clock().now());
+        if (retired && connectionCount == 0) {
             stop();
         }
     }
@@ -312,15 +316,15 @@
      * At half of the time that an attempt may wait, a second connection is begun in case the first comes up late or
      * never; at its end the attempt is free to go elsewhere.
      */
-    private void attendLate(long now) {
-        for (UpstreamConnection late : List.copyOf(comingUp)) {
-            if (now < late.attendAt()) {
+    private void checkConnecting(long now) {
+        for (UpstreamConnection pending : List.copyOf(connecting)) {
+            if (now < pending.nextCheckAtUs()) {
                 continue;
             }
-            if (now >= late.attempt.startByUs()) {
-                endUnwritten(unhand(late));
+            if (now >= pending.attempt.startByUs()) {
+                completeUnsent(unassign(pending));
             } else {
-                late.backedUp = true;
+                pending.hasBackup = true;
                 connect(null);
             }
         }
--- a/src/main/java/magpiewheel/upstream/UpstreamPool.java
+++ b/src/main/java/magpiewheel/upstream/UpstreamPool.java
@@ -30,18 +30,18 @@
      */
     record Shared(
             Engine[] engine,
-            BufferPool pool,
+            BufferPool bufferPool,
             Counters counters,
-            boolean[] writes,
+            boolean[] writeClasses,
             int dialTimeoutMs,
-            AtomicInteger room,
-            KeepAlivePolicy keeping,
-            WorkerPool crew,
-            Supplier<Socket> sockets,
+            AtomicInteger freeConnections,
+            KeepAlivePolicy keepAlive,
+            WorkerPool workers,
+            Supplier<Socket> socketFactory,
             UnixClock clock,
-            Set<Long> ready) {}
+            Set<Long> readyEndpoints) {}
 
-    private final Map<Long, UpstreamEndpoint> nodes = new HashMap<>();
+    private final Map<Long, UpstreamEndpoint> endpoints = new HashMap<>();
     private final Shared shared;
 
     /**
@@ -49,49 +49,49 @@
      * time.
      */
     public UpstreamPool(
-            BufferPool pool,
+            BufferPool bufferPool,
             Counters counters,
             List<RequestClass> classes,
             long dialTimeoutUs,
             long idleCloseUs,
-            int connections,
-            WorkerPool crew,
+            int maxConnections,
+            WorkerPool workers,
             UnixClock clock,
-            Supplier<Socket> sockets) {
-        boolean[] writes = new boolean[classes.size()];
-        for (int i = 0; i < writes.length; i++) {
-            writes[i] = classes.get(i).write();
+            Supplier<Socket> socketFactory) {
+        boolean[] writeClasses = new boolean[classes.size()];
+        for (int i = 0; i < writeClasses.length; i++) {
+            writeClasses[i] = classes.get(i).write();
         }
         shared = new Shared(
                 new Engine[1],
-                pool,
+                bufferPool,
                 counters,
-                writes,
+                writeClasses,
                 (int) Math.max(1, dialTimeoutUs / 1000),
-                new AtomicInteger(connections),
-                new KeepAlivePolicy(idleCloseUs, connections),
-                crew,
-                sockets,
+                new AtomicInteger(maxConnections),
+                new KeepAlivePolicy(idleCloseUs, maxConnections),
+                workers,
+                socketFactory,
                 clock,
                 ConcurrentHashMap.newKeySet());
     }
 
     /** Names the engine that outcomes go to; before anything else. */
-    public void report(Engine engine) {
+    public void setEngine(Engine engine) {
         shared.engine()[0] = engine;
     }
 
     @Override
-    public void endpointsChanged(List<ListedEndpoint> list, boolean whole) {
-        Map<Long, ListedEndpoint> now = new HashMap<>();
-        list.forEach(node -> now.put(node.info().id(), node));
-        if (whole) {
-            shared.ready().retainAll(now.keySet());
+    public void endpointsChanged(List<ListedEndpoint> list, boolean complete) {
+        Map<Long, ListedEndpoint> listedById = new HashMap<>();
+        list.forEach(endpoint -> listedById.put(endpoint.info().id(), endpoint));
+        if (complete) {
+            shared.readyEndpoints().retainAll(listedById.keySet());
         }
-        ready(list);
-        nodes.entrySet().removeIf(entry -> {
-            ListedEndpoint listed = now.get(entry.getKey());
-            boolean gone = listed == null ? whole : listed.info().state() == EndpointState.REMOVED;
+        updateReadyEndpoints(list);
+        endpoints.entrySet().removeIf(entry -> {
+            ListedEndpoint listed = listedById.get(entry.getKey());
+            boolean gone = listed == null ? complete : listed.info().state() == EndpointState.REMOVED;
             if (gone) {
                 entry.getValue().retire();
             }
@@ -101,44 +101,44 @@
             if (listed.info().state() == EndpointState.REMOVED) {
                 continue;
             }
-            UpstreamEndpoint old = nodes.get(listed.info().id());
-            if (old != null && old.isAt(listed)) {
+            UpstreamEndpoint previous = endpoints.get(listed.info().id());
+            if (previous != null && previous.isSameProcess(listed)) {
                 continue;
             }
-            if (old != null) {
-                old.retire();
+            if (previous != null) {
+                previous.retire();
             }
-            UpstreamEndpoint node = new UpstreamEndpoint(listed, shared);
-            nodes.put(listed.info().id(), node);
-            node.start(shared.crew());
+            UpstreamEndpoint endpoint = new UpstreamEndpoint(listed, shared);
+            endpoints.put(listed.info().id(), endpoint);
+            endpoint.start(shared.workers());
         }
     }
 
-    private void ready(List<ListedEndpoint> list) {
+    private void updateReadyEndpoints(List<ListedEndpoint> list) {
         for (ListedEndpoint listed : list) {
             if (listed.info().state() == EndpointState.READY) {
-                shared.ready().add(listed.info().id());
+                shared.readyEndpoints().add(listed.info().id());
             } else {
-                shared.ready().remove(listed.info().id());
+                shared.readyEndpoints().remove(listed.info().id());
             }
         }
     }
 
     @Override
     public boolean send(Attempt attempt) {
-        UpstreamEndpoint node = nodes.get(attempt.endpointId());
-        if (node == null || !node.send(attempt)) {
+        UpstreamEndpoint endpoint = endpoints.get(attempt.endpointId());
+        if (endpoint == null || !endpoint.send(attempt)) {
             return false;
         }
-        attempt.upstreamContext(node);
+        attempt.upstreamContext(endpoint);
         return true;
     }
 
     @Override
     public void cancel(Attempt attempt) {
         // Not by the list: the node may have left it, and what it has in hand must end all the same.
-        if (attempt.upstreamContext() instanceof UpstreamEndpoint node) {
-            node.cancel(attempt);
+        if (attempt.upstreamContext() instanceof UpstreamEndpoint endpoint) {
+            endpoint.cancel(attempt);
         }
     }
 }
--- a/src/test/java/magpiewheel/discovery/DiscoveryClientTurnTest.java
+++ b/src/test/java/magpiewheel/discovery/DiscoveryClientTurnTest.java
@@ -120,7 +120,7 @@
                 assertNotNull(told, "the drain waits for a thread");
                 assertEquals(told.id() + " " + told.state(), NODE + " " + EndpointState.DRAINING);
             } finally {
-                reads.end();
+                reads.close();
             }
         } finally {
             clientsRead.countDown();
--- a/src/test/java/magpiewheel/upstream/NodeRig.java
+++ b/src/test/java/magpiewheel/upstream/NodeRig.java
@@ -98,7 +98,7 @@
                 this::socket);
         engine = new Engine(
                 settings, this::module, clock, counters, nodes, (to, message) -> {}, ResponseCache.disabled());
-        nodes.report(engine);
+        nodes.setEngine(engine);
         engine.start();
         list(EndpointState.READY);
     }
--- a/src/test/java/magpiewheel/upstream/ResponseLineTest.java
+++ b/src/test/java/magpiewheel/upstream/ResponseLineTest.java
@@ -24,10 +24,10 @@
                         "5d",
                         1_796_137_953_049L,
                         240_000),
-                ResponseLine.read("0a DONE tag=5d,minted=1796137953049,tell=via_origin,lag=39.3 240000"));
-        assertTrue(ResponseLine.read("0a KEEP tag=5d,minted=17,tell=hit 0").unchanged());
-        assertEquals(AttemptResult.REJECTED, ResponseLine.read("0a WAIT - 0").result());
-        assertFalse(ResponseLine.read("0a DONE tell=hit 52").namesItsCopy(), "a copy without its tag");
+                ResponseLine.parse("0a DONE tag=5d,minted=1796137953049,tell=via_origin,lag=39.3 240000"));
+        assertTrue(ResponseLine.parse("0a KEEP tag=5d,minted=17,tell=hit 0").unchanged());
+        assertEquals(AttemptResult.REJECTED, ResponseLine.parse("0a WAIT - 0").result());
+        assertFalse(ResponseLine.parse("0a DONE tell=hit 52").identifiesCopy(), "a copy without its tag");
     }
 
     /** Seen on the sockets: an empty length was taken for 0, and the client told 'served' with no bytes at all. */
@@ -57,6 +57,6 @@
                 "0a LACK - 7"
             })
     void whatIsNotWhollyInOrderIsNoAnswer(String line) {
-        assertThrows(ResponseLine.Garbage.class, () -> ResponseLine.read(line));
+        assertThrows(ResponseLine.MalformedResponseException.class, () -> ResponseLine.parse(line));
     }
 }
