--- a/src/main/java/magpiewheel/discovery/DeadlineInputStream.java
+++ b/src/main/java/magpiewheel/discovery/DeadlineInputStream.java
@@ -6,24 +6,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The input of a connection with one deadline for a whole message: a timeout for each read alone would never end a
- * message whose bytes come one by one.
+ * The input of a connection with one deadline for a whole message: with a timeout for each read alone, a message whose
+ * bytes arrive one by one could take forever.
  */
 final class DeadlineInputStream extends InputStream {
-    /** ms; bytes that have arrived are read past the deadline, too: a reader may have waited for the processor. */
+    /**
+     * Bytes that have already arrived are read even after the deadline, as the reader may have been waiting for a CPU.
+     */
     private static final int MIN_READ_TIMEOUT_MS = 1;
 
     private final Socket socket;
     private final InputStream in;
     private long deadlineNs;
 
-    /** Reads from a connected socket; {@link #setDeadline} comes before the first read. */
+    /** Reads from a connected socket; {@link #setDeadline} must be called before the first read. */
     DeadlineInputStream(Socket socket) throws IOException {
         this.socket = socket;
         this.in = socket.getInputStream();
     }
 
-    /** What is read from now on has to arrive within so many milliseconds, else a read times out. */
+    /** Sets the deadline for all following reads to {@code ms} milliseconds from now; later reads time out. */
     void setDeadline(int ms) {
         deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
     }
--- a/src/main/java/magpiewheel/discovery/DiscoveryClient.java
+++ b/src/main/java/magpiewheel/discovery/DiscoveryClient.java
@@ -20,8 +20,9 @@
 import magpiewheel.routing.EndpointState;
 
 /**
- * The actor of the list: it holds the number of the last event and passes on what is new. A reader keeps the connection
- * to the board; with a full mailbox it waits, and the board's changes with it.
+ * The discovery client's actor: it holds the revision of the last event and passes newer events on to the engine. A
+ * reader thread keeps the connection to the discovery service; while the mailbox is full, the reader waits and delivers
+ * no further changes.
  */
 public final class DiscoveryClient extends Actor {
     private static final int MAILBOX_CAPACITY = 64;
@@ -30,9 +31,9 @@
     private static final int HEADER_BYTES = Long.BYTES + 1;
     private static final int MAX_FRAME_BYTES = 1 << 20;
     /**
-     * ms; the longest from one whole frame to the next: an empty frame comes each second, so two missing ones mean a
-     * connection that is dead. What discovery has to say counts as received 7 s after it was said; two connections in a
-     * row that fall silent, or six connection attempts that hang, fit in.
+     * The longest time from one whole frame to the next. An empty frame is sent each second, so two missing frames mean
+     * a dead connection. A message of discovery counts as received 7 s after it was sent; two consecutive connections
+     * that stop sending, or six connection attempts that time out, fit into that time.
      */
     private static final int FRAME_TIMEOUT_MS = 2_300;
 
@@ -51,8 +52,9 @@
     private volatile Socket currentSocket;
 
     /**
-     * Goes on behind the event of the given number, at no address (null) until one is named; {@code onConnectionLost}
-     * is called, by the reader, while the board is away.
+     * Resumes after the event with revision {@code lastRevision}. With a null address, connects only once one is set.
+     * {@code onConnectionLost} is called on the reader thread after each failed connection or connection attempt,
+     * unless the address has changed meanwhile.
      */
     public DiscoveryClient(
             InetSocketAddress address, long lastRevision, Engine engine, Runnable onConnectionLost, Counters counters) {
@@ -76,7 +78,7 @@
         daemonThread("board-reader", this::readLoop).start();
     }
 
-    /** The board is to be found elsewhere from now on; the events go on behind the last one known. */
+    /** Sets the address of the discovery service; events resume after the last known one. Null is ignored. */
     public void setAddress(InetSocketAddress to) {
         if (to == null || to.equals(address)) {
             return;
@@ -87,16 +89,17 @@
             startReader();
             return;
         }
-        // The reader must not go on with the old board, which tells nothing more and stays open for a while.
+        // The reader must not stay with the old server, which sends no more events but keeps its connections open for a
+        // while.
         closeQuietly(currentSocket);
     }
 
-    /** From now on the module is told, too, whenever the board is heard. */
+    /** From now on reports each received frame to the engine, in addition to its event. */
     public void reportContact() {
         reportsContact = true;
     }
 
-    /** Listens no longer. */
+    /** Stops the actor and closes the connection. */
     public void close() {
         stop();
         closeQuietly(currentSocket);
@@ -107,7 +110,7 @@
             try {
                 socket.close();
             } catch (IOException e) {
-                // It is closed all the same.
+                // The socket counts as closed even if closing it failed.
             }
         }
     }
@@ -124,7 +127,7 @@
                     waitBeforeRetry();
                 }
             } catch (RuntimeException e) {
-                // Without its reader the front would go on with a list that nobody renews.
+                // Without the reader the router would continue with an endpoint list that is never updated.
                 counters.add(Counter.FAULTS);
                 System.err.println("board: " + e + " at " + e.getStackTrace()[0]);
                 waitBeforeRetry();
@@ -132,9 +135,9 @@
         }
     }
 
-    /** Reads events from the board at this address until it is named no longer. */
+    /** Reads events from the discovery service at an address until another address is set. */
     private void readEvents(Socket socket, InetSocketAddress from) throws IOException {
-        // Looked at each time: it may have changed before this socket could be closed for it.
+        // Checked for each connection: the address may have changed before this socket could be closed because of it.
         if (!from.equals(address)) {
             return;
         }
@@ -182,7 +185,7 @@
         Runnable event = kind == 0 ? null : parseEvent(kind, ByteBuffer.wrap(payload));
         if (event != null) {
             putAndRun(() -> {
-                // After a reconnect the board may repeat what is known here.
+                // After a reconnect the discovery service may repeat known events.
                 if (revision > lastRevision) {
                     lastRevision = revision;
                     counters.add(Counter.BOARD_EVENTS);
@@ -191,7 +194,7 @@
             });
         }
         if (reportsContact) {
-            // Behind the event, and behind all that came before it.
+            // Queued after the event and all events before it.
             putAndRun(() -> engine.discoveryHeard(receivedAtUs));
         }
     }
--- a/src/main/java/magpiewheel/discovery/package-info.java
+++ b/src/main/java/magpiewheel/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The client of the notice board: it keeps a connection to the board, resumes behind the last event it has, and passes
- * each change of the list and each purge on to the engine.
+ * The client of the discovery service: it keeps a connection to the service, resumes after the last event received, and
+ * passes each change of the endpoint list and each purge on to the engine.
  */
 package magpiewheel.discovery;
--- a/src/main/java/magpiewheel/peers/PeerTransport.java
+++ b/src/main/java/magpiewheel/peers/PeerTransport.java
@@ -20,11 +20,11 @@
 import magpiewheel.engine.Engine;
 import magpiewheel.engine.WorkerPool;
 
-/** Datagrams between the fronts of a tier: an actor for each of them, and one reader for what comes in. */
+/** UDP datagrams between routers: one sending actor for each peer, and one thread that reads what arrives. */
 public final class PeerTransport implements Engine.PeerTransport {
-    /** Hears that nobody listens at a front's address, as was asked at a time. */
+    /** Receives reports that no process listens at a peer's address. */
     public interface PortUnreachableListener {
-        /** Its machine said so. */
+        /** Called when the peer's host answered the probe of the given time with "port unreachable". */
         void portUnreachable(int peer, long probedAt);
     }
 
@@ -39,18 +39,17 @@
     private PortUnreachableListener unreachableListener;
 
     /**
-     * A question to a front's machine: at which time it was put, and the socket at which an answer comes, until when
-     * (ns).
+     * A probe of a peer's address; {@code at} is the time of the request to probe, which is passed back with a refusal.
      */
     private record Probe(int peer, InetSocketAddress address, long at) {}
 
     private record PendingProbe(Probe probe, DatagramSocket probeSocket, long deadlineNs) {}
 
     /**
-     * Asks whether anybody listens at a front's address, from the address that the front knows this one by: its machine
-     * refuses what comes for nobody, and only a socket that is connected hears of that. All questions that wait are put
-     * before an answer is waited for, so that those machines that say nothing keep none of the others waiting. A full
-     * mailbox drops the question; it will be asked again.
+     * Probes whether a process listens at a peer's address. The peer's host refuses datagrams to a port without a
+     * listener, and only a connected socket reports that. Probes are sent from the address that the peer knows this
+     * router by. All queued probes are sent before the first result is awaited, so that hosts that do not answer delay
+     * no other probe. If the mailbox is full, the probe is dropped; it will be requested again.
      */
     private final class PortProber extends Actor {
         private static final int PROBE_TIMEOUT_MS = 40;
@@ -105,20 +104,20 @@
                 byte[] buffer = new byte[MAX_DATAGRAM_BYTES + 1];
                 DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
                 probeSocket.receive(packet);
-                // It lives, and what it sent came here in place of the other socket.
+                // The peer is alive; its message arrived at this socket instead of the main one.
                 deliver(pending.probe.peer, packet);
             } catch (PortUnreachableException e) {
                 counters.add(Counter.KNOCKS_REFUSED);
                 unreachableListener.portUnreachable(pending.probe.peer, pending.probe.at);
             } catch (SocketTimeoutException e) {
-                // A machine that says nothing: nothing is known.
+                // No answer within the timeout: the peer's state remains unknown.
             } catch (IOException e) {
                 counters.add(Counter.PEER_DROPPED);
             }
         }
     }
 
-    /** Another front. A full mailbox drops the message, as the network might. */
+    /** The sending actor of one peer. If its mailbox is full, the message is dropped, as the network might drop it. */
     private final class Peer extends Actor {
         private final InetSocketAddress address;
 
@@ -143,13 +142,16 @@
         }
     }
 
-    /** Listens, and speaks to the fronts in the order of their numbers. */
+    /**
+     * Binds to {@code listen}. The index of a router in {@code routers} is its number; {@code ownIndex} is this
+     * router's.
+     */
     public PeerTransport(InetSocketAddress listen, List<InetSocketAddress> routers, int ownIndex, Counters counters)
             throws IOException {
         this.counters = counters;
         prober = new PortProber();
         socket = new DatagramSocket(null);
-        // A new version of the program listens here before the old one has ended.
+        // During a restart, the new process binds to this address before the old one has exited.
         socket.setReuseAddress(true);
         socket.bind(listen);
         for (int i = 0; i < routers.size(); i++) {
@@ -160,7 +162,7 @@
         }
     }
 
-    /** Starts to send, and to receive for the engine. */
+    /** Starts sending and receiving; {@code receiver} is called with the sender's number and the message. */
     public void start(
             BiConsumer<Integer, byte[]> receiver, PortUnreachableListener unreachableListener, WorkerPool workers) {
         this.receiver = receiver;
@@ -170,7 +172,7 @@
         Actor.daemonThread("peer-reader", this::receive).start();
     }
 
-    /** Neither sends nor receives any more. */
+    /** Closes the socket, which ends sending and receiving. */
     public void close() {
         socket.close();
     }
--- a/src/main/java/magpiewheel/peers/package-info.java
+++ b/src/main/java/magpiewheel/peers/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Datagrams between fronts over UDP: an actor for each peer, one reader, and questions whether a peer's machine refuses
- * datagrams because nobody listens.
+ * UDP datagrams between routers: an actor for each peer, one reader, and probes of whether a peer's host refuses
+ * datagrams because no process listens.
  */
 package magpiewheel.peers;
--- a/src/main/java/magpiewheel/upstream/KeepAlivePolicy.java
+++ b/src/main/java/magpiewheel/upstream/KeepAlivePolicy.java
@@ -1,16 +1,20 @@
 package magpiewheel.upstream;
 
 /**
- * For how long an unused connection to a node is kept: a handshake costs the fleet, an open connection only this front.
+ * Decides how long an idle connection to an endpoint is kept open. A handshake costs the whole fleet, an open
+ * connection only this router.
  *
- * @param idleCloseUs after so long nodes close an unused connection themselves; 0 where that is not told
- * @param maxConnections connections to all nodes together
+ * @param idleCloseUs idle time in microseconds after which endpoints close a connection; 0 if unknown
+ * @param maxConnections limit on open connections to all endpoints together
  */
 record KeepAlivePolicy(long idleCloseUs, int maxConnections) {
-    /** ns; where the nodes' own time is not told, or connections run short. */
+    /** Idle timeout where the endpoints' own timeout is unknown or few connections are free. */
     private static final long SHORT_IDLE_TIMEOUT_NS = 1_500_000_000L;
 
-    /** Half of the nodes' own time, so that none is written to while its node closes it, as long as half are free. */
+    /**
+     * Returns the idle timeout in nanoseconds: half of the endpoints' own timeout, so that no request is written to a
+     * connection that its endpoint is closing; at most 1.5 s while fewer than half of all connections are free.
+     */
     long idleTimeoutNs(int freeConnections) {
         long half = idleCloseUs > 0 ? idleCloseUs * 1_000 / 2 : SHORT_IDLE_TIMEOUT_NS;
         return 2 * freeConnections < maxConnections ? Math.min(SHORT_IDLE_TIMEOUT_NS, half) : half;
--- a/src/main/java/magpiewheel/upstream/ResponseLine.java
+++ b/src/main/java/magpiewheel/upstream/ResponseLine.java
@@ -6,8 +6,8 @@
 import magpiewheel.routing.CacheStatus;
 
 /**
- * The line that an answer begins with, checked word by word: {@code ID WORD FIELDS LENGTH}. Nodes' answers arrive
- * spoilt now and then, and what is not wholly in order must not be passed on as an answer.
+ * The status line of a response, {@code ID WORD FIELDS LENGTH}, parsed and validated. Responses of endpoints are
+ * occasionally corrupted; a line that is not entirely valid must not be passed on as a response.
  */
 record ResponseLine(
         String id,
@@ -35,7 +35,7 @@
             "no_slot",
             "origin_failed");
 
-    /** What came is no answer that can be used. */
+    /** Thrown when a response cannot be parsed or breaks the protocol. */
     static final class MalformedResponseException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -44,13 +44,13 @@
         }
     }
 
-    /** Whether an answer with a copy names the copy: its tag and when the origin gave it out. */
+    /** Whether the response identifies its copy by both tag and origin time. */
     boolean identifiesCopy() {
         return tag != null;
     }
 
     static ResponseLine parse(String line) throws MalformedResponseException {
-        // Limit -1 keeps an empty last word: "ID DONE - " is an answer without its length, not one of 0 bytes.
+        // Limit -1 keeps an empty last word: "ID DONE - " lacks its length and is not a response of 0 bytes.
         String[] words = line.split(" ", -1);
         if (words.length != WORD_COUNT || words[0].isEmpty() || words[0].length() > MAX_ID_LENGTH) {
             throw new MalformedResponseException("a line of " + words.length + " words");
@@ -107,19 +107,19 @@
                 return (long) (value * 1000);
             }
         } catch (NumberFormatException e) {
-            // Named below.
+            // Reported below.
         }
         throw new MalformedResponseException("the time " + millis);
     }
 
-    /** Digits and nothing else: parsers of the library take signs, too. */
+    /** Parses a number that consists of digits only; the parsers of the library would accept signs, too. */
     private static long parseNumber(String text, long max) throws MalformedResponseException {
         try {
             if (!text.isEmpty() && text.chars().allMatch(c -> c >= '0' && c <= '9') && Long.parseLong(text) <= max) {
                 return Long.parseLong(text);
             }
         } catch (NumberFormatException e) {
-            // Named below.
+            // Reported below.
         }
         throw new MalformedResponseException("the number " + text);
     }
--- a/src/main/java/magpiewheel/upstream/UpstreamConnection.java
+++ b/src/main/java/magpiewheel/upstream/UpstreamConnection.java
@@ -22,22 +22,34 @@
 import magpiewheel.routing.AttemptResult;
 import magpiewheel.upstream.UpstreamPool.Shared;
 
-/** One connection to a node, in the line protocol: its reader dials and then reads, the node's actor writes. */
+/**
+ * One connection to an endpoint, in the line protocol. Its reader thread connects and then reads responses; requests
+ * are written on the endpoint's actor.
+ */
 final class UpstreamConnection {
     private static final int MAX_LINE_LENGTH = 2_048;
     private static final int READ_BUFFER_BYTES = 4_096;
-    /** Above the largest request body, so that a write never waits for a machine that has fallen silent. */
+    /** Larger than the largest request body, so that a write never blocks on a host that has stopped responding. */
     private static final int SEND_BUFFER_BYTES = 160 * 1024;
 
     private static final long BODY_BUFFER_WAIT_MS = 300;
 
-    /** Set by the node's actor alone; the reader looks whose answer it reads. */
+    /**
+     * The attempt that uses this connection, or null. Written only on the endpoint's actor; the reader matches
+     * responses against it.
+     */
     volatile Attempt attempt;
-    /** What came was not asked for: nothing is sent here any more. */
+    /** Set after data that belongs to no request; no further request is sent on this connection. */
     volatile boolean desynchronized;
-    /** The node's actor's: since when it has been idle; 0 for one that never was. */
+    /**
+     * When the connection last became idle, as {@link System#nanoTime}; 0 if it never was. Used only on the endpoint's
+     * actor.
+     */
     long idleSinceNs;
-    /** The node's actor's: another connection was begun for the attempt that waits for this one. */
+    /**
+     * Whether a second connection was opened for the attempt that waits for this one. Used only on the endpoint's
+     * actor.
+     */
     boolean hasBackup;
 
     private final UpstreamEndpoint endpoint;
@@ -57,19 +69,19 @@
         shared.workers().runReader(this::run);
     }
 
-    /** Whether another request may be written to it. */
+    /** Whether a request may be written to this connection. */
     boolean isUsable() {
         return !desynchronized && !isClosed();
     }
 
-    /** Whether it was unused before what it carries now. */
+    /** Whether the connection was idle before its current attempt. */
     boolean isReused() {
         return idleSinceNs != 0;
     }
 
     /**
-     * While it comes up: when something is to be done for the attempt that waits for it, at half of the time in which
-     * that may begin, and at its end.
+     * Returns when (Unix us) the attempt that waits for this connection to open must be checked: first at half of the
+     * time in which the attempt may begin, to open a second connection, then at the end of that time.
      */
     long nextCheckAtUs() {
         Attempt waiting = attempt;
@@ -87,7 +99,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // It is closed all the same.
+            // The socket counts as closed even if closing it failed.
         }
     }
 
@@ -109,7 +121,7 @@
             shared.counters().add(Counter.NODE_GARBAGE);
             endResult = AttemptResult.CORRUPT;
         } catch (IOException e) {
-            // Refused, reset or closed: told by `down`.
+            // Connection refused, reset or closed: reported to the endpoint's actor below.
         } catch (RuntimeException e) {
             shared.counters().add(Counter.FAULTS);
             System.err.println("node-reader: " + e + " at " + e.getStackTrace()[0]);
@@ -119,11 +131,11 @@
         }
     }
 
-    // ---------------------------------------------------------------- writing, on the node's actor
+    // ---------------------------------------------------------------- writing, on the endpoint's actor
 
     /**
-     * Writes a request; false where the machine took no byte of its line. That is one write to an empty buffer with
-     * room for it, so the machine takes it whole or, if the connection has ended, not at all.
+     * Writes a request; returns false if the operating system accepted no byte of its line. The line is a single write
+     * to an empty send buffer with room for it, so it is accepted whole or, if the connection has ended, not at all.
      */
     boolean writeRequest(Attempt attempt) throws IOException {
         PendingRequest.ClientRequest ask = attempt.request().clientRequest();
@@ -173,7 +185,7 @@
                         .getBytes(StandardCharsets.ISO_8859_1));
             }
         } catch (IOException e) {
-            // The connection is gone, and with it what was open on it.
+            // The connection has ended, and the request on it with it.
         }
         close();
     }
@@ -200,11 +212,11 @@
 
     // ---------------------------------------------------------------- reading
 
-    /** Reads one answer and hands it on; false at the end of the stream. */
+    /** Reads one response and passes it to the endpoint's actor; returns false at the end of the stream. */
     private boolean readResponse(InputStream in) throws IOException {
         String text = readLine(in);
         if (text != null && text.isEmpty()) {
-            // The end of the body before; without a body some leave it out.
+            // The line end after the previous body; some endpoints omit it after a response without a body.
             text = readLine(in);
         }
         if (text == null) {
@@ -213,7 +225,8 @@
         ResponseLine line = ResponseLine.parse(text);
         Attempt current = attempt;
         if (current == null || !current.request().clientRequest().trace().equals(line.id())) {
-            // Under an unknown id, or a second copy: it takes no room, and behind the next answer the connection ends.
+            // An unknown id or a duplicate response: no buffer is taken for it, and the connection is closed after the
+            // response to the current request.
             shared.counters().add(Counter.NODE_STRAYS);
             in.skipNBytes(line.length());
             expectLineEnd(in, line.length());
@@ -235,9 +248,9 @@
             if (invalid) {
                 throw new ResponseLine.MalformedResponseException("a copy without its tag, or one that was not held");
             }
-            // What has come behind the answer belongs to nothing that was asked for.
+            // Data that has already arrived after the response belongs to no request.
             if (in.available() > 0 && !onlyLineEndRemains(in, line.length())) {
-                // Set, and never taken back here: the actor may have set it since.
+                // Only ever set here, never cleared: the actor may have set it in the meantime.
                 desynchronized = true;
             }
             UpstreamOutcome outcome = hasBody && body == null
@@ -253,7 +266,7 @@
                             line.originTimeMs());
             delivered = endpoint.responseReceived(this, current, outcome);
         } finally {
-            // On every way out, faults included: room that is not given back is lost to all.
+            // Also after exceptions: a buffer that is not released is lost to the shared pool.
             if (!delivered && body != null) {
                 body.release();
             }
@@ -261,7 +274,10 @@
         return true;
     }
 
-    /** A copy names itself, but for writes, which leave none; and only a copy that the client holds can hold. */
+    /**
+     * Whether a successful response has the fields it needs: "unchanged" is valid only if the client named the copy
+     * that it holds, and a copy needs tag and origin time except for writes, which produce no copy.
+     */
     private boolean hasValidCopyFields(ResponseLine line, PendingRequest.ClientRequest ask) {
         return line.unchanged()
                 ? ask.heldTag() != null
--- a/src/main/java/magpiewheel/upstream/UpstreamEndpoint.java
+++ b/src/main/java/magpiewheel/upstream/UpstreamEndpoint.java
@@ -18,15 +18,17 @@
 import magpiewheel.upstream.UpstreamPool.Shared;
 
 /**
- * The actor of one node. It owns the node's connections and does all writing to them; each connection has a reader of
- * its own. A connection carries one request at a time, since an answer on its way would hold up all behind it; a full
- * mailbox, or no room for a connection, turns the attempt away.
+ * The actor of one endpoint. It owns the endpoint's connections and does all writing to them; each connection has its
+ * own reader. A connection carries one request at a time, to avoid head-of-line blocking between responses. An attempt
+ * is rejected if the mailbox is full or no connection can be opened.
  */
 final class UpstreamEndpoint extends Actor {
     private static final int MAILBOX_CAPACITY = 512;
-    /** Attempts let in at once. Each may be called off once, and the mailbox's reserve has room for all of that. */
+    /**
+     * Attempts accepted at once. Each may be cancelled once, and the mailbox's reserve has room for all cancellations.
+     */
     private static final int MAX_ACCEPTED_ATTEMPTS = 256;
-    /** Connections to one node: above what its module's limit and a spell of slow answers put there. */
+    /** Connections to one endpoint: above what the routing policy's limit and a period of slow responses require. */
     private static final int MAX_CONNECTIONS = 96;
 
     private static final long IDLE_CHECK_INTERVAL_US = 500_000;
@@ -35,7 +37,7 @@
     private final Shared shared;
     private final Map<Attempt, UpstreamConnection> connectionsByAttempt = new HashMap<>();
     private final ArrayDeque<UpstreamConnection> idleConnections = new ArrayDeque<>();
-    /** Connections that are coming up, the oldest first; each was begun for an attempt, which another may take over. */
+    /** Connections being opened, the oldest first. An attempt that waits for one may move to another connection. */
     private final Set<UpstreamConnection> connecting = new LinkedHashSet<>();
 
     private final AtomicInteger acceptedAttempts = new AtomicInteger();
@@ -70,7 +72,9 @@
         offerReserved(() -> cancelAttempt(attempt));
     }
 
-    /** The node left the list: what is in hand may still be answered, then the actor ends. */
+    /**
+     * Called when the endpoint has left the endpoint list: requests in flight may still complete, then the actor stops.
+     */
     void retire() {
         offerReserved(() -> {
             retired = true;
@@ -93,7 +97,10 @@
         }
     }
 
-    /** Begins a connection, for an attempt or, with null, for whichever waits when it is up; false without room. */
+    /**
+     * Opens a connection for an attempt or, with null, for whichever attempt waits once it is open; returns false if a
+     * connection limit is reached.
+     */
     private boolean connect(Attempt attempt) {
         if (connectionCount >= MAX_CONNECTIONS) {
             return false;
@@ -113,7 +120,10 @@
         return true;
     }
 
-    /** Looked at in the last moment: what it waited for may have taken long. */
+    /**
+     * Whether the attempt may still be written; checked again right before, as the wait for a connection may have been
+     * long.
+     */
     private boolean mayBegin(Attempt attempt) {
         Set<Long> ready = shared.readyEndpoints();
         return !retired
@@ -127,7 +137,10 @@
         connectionsByAttempt.put(attempt, connection);
     }
 
-    /** Gives a connection the attempt that has waited longest for another one to come up; false where none may. */
+    /**
+     * Assigns to a connection the attempt that has waited longest for another connection to open; returns false if
+     * there is none that may use this one.
+     */
     private boolean assignWaitingAttempt(UpstreamConnection connection) {
         for (UpstreamConnection pending : connecting) {
             if (pending.attempt != null && !pending.attempt.request().usedConnection(connection)) {
@@ -138,7 +151,10 @@
         return false;
     }
 
-    /** Never one that carried an earlier try, nor one that has ended already, whose reader has yet to say so. */
+    /**
+     * Takes the most recently used idle connection, or null. Skips connections that carried an earlier attempt of the
+     * same request, and closed ones whose reader has not reported the end yet.
+     */
     private UpstreamConnection takeIdleConnection(Attempt attempt) {
         for (Iterator<UpstreamConnection> from = idleConnections.descendingIterator(); from.hasNext(); ) {
             UpstreamConnection connection = from.next();
@@ -150,7 +166,9 @@
         return null;
     }
 
-    /** Writes what the connection is to carry, unless that was given up meanwhile: a connection may come up late. */
+    /**
+     * Writes the connection's assigned attempt unless that may no longer begin: the connection may have opened late.
+     */
     private void writeRequest(UpstreamConnection connection) {
         Attempt attempt = connection.attempt;
         if (!mayBegin(attempt)) {
@@ -165,14 +183,15 @@
                 requestNotSent(connection);
             }
         } catch (IOException e) {
-            // Its line arrived, and part of its body may have: that does not prove that nothing ran.
+            // The line was accepted, and part of the body may have been: the request may have run.
             drop(connection, AttemptResult.CONNECTION_LOST);
         }
     }
 
     /**
-     * The connection ended before a byte of the request was taken, which proves that it never ran. One that was unused
-     * was closed by its node meanwhile, which says nothing of the node: the next is tried.
+     * Handles a connection that ended before a byte of the request was accepted, which proves that the request never
+     * ran. An idle connection may simply have been closed by its endpoint, which is no sign of a fault: another one is
+     * tried.
      */
     private void requestNotSent(UpstreamConnection connection) {
         Attempt attempt = unassign(connection);
@@ -198,18 +217,18 @@
         }
         connection.attempt = null;
         if (connecting.contains(connection)) {
-            // It goes on coming up, for the next one.
+            // The connection continues to open, for a later attempt.
             completeUnsent(attempt);
             return;
         }
-        // Closed behind the cancel: a machine that has fallen silent must not get the next request too.
+        // Closed after the cancel message: an unresponsive host must not get the next request too.
         connection.cancel(attempt);
         complete(attempt, UpstreamOutcome.of(AttemptResult.CANCELLED));
     }
 
     /**
-     * It was given up before a byte of it was written, which proves that it never ran. Where the client left there is
-     * nothing to decide any more, and the node is not to blame.
+     * Completes an attempt of which no byte was written, which proves that it never ran. If the client has
+     * disconnected, no decision is left to make and the endpoint is not at fault: the result is then CANCELLED.
      */
     private void completeUnsent(Attempt attempt) {
         complete(
@@ -236,7 +255,10 @@
         });
     }
 
-    /** An answer to an attempt; false where nobody takes it, and its body stays with the reader. */
+    /**
+     * Handles the response to an attempt; returns false if the actor has stopped, in which case the reader keeps
+     * ownership of the body.
+     */
     boolean responseReceived(UpstreamConnection connection, Attempt attempt, UpstreamOutcome outcome) {
         return putAndRun(() -> {
             if (connection.attempt != attempt) {
@@ -251,7 +273,10 @@
         });
     }
 
-    /** Something came that was not asked for. A request that is out still gets its answer, then the connection ends. */
+    /**
+     * Handles a response that belongs to no request. A request in flight on the connection still gets its response,
+     * then the connection is closed.
+     */
     void unexpectedResponse(UpstreamConnection connection) {
         put(() -> {
             connection.desynchronized = true;
@@ -261,7 +286,7 @@
         });
     }
 
-    /** The connection has ended, and how; its room is free again. */
+    /** Handles the end of a connection with its result, and frees its place in the connection limits. */
     void disconnected(UpstreamConnection connection, AttemptResult result) {
         put(() -> {
             connectionCount--;
@@ -313,8 +338,9 @@
     }
 
     /**
-     * At half of the time that an attempt may wait, a second connection is begun in case the first comes up late or
-     * never; at its end the attempt is free to go elsewhere.
+     * Checks the attempts that wait for a connection to open. After half of the time in which an attempt may begin, a
+     * second connection is opened in case the first opens late or never; at the end of that time the attempt ends
+     * unsent, so that the request can go to another endpoint.
      */
     private void checkConnecting(long now) {
         for (UpstreamConnection pending : List.copyOf(connecting)) {
--- a/src/main/java/magpiewheel/upstream/UpstreamPool.java
+++ b/src/main/java/magpiewheel/upstream/UpstreamPool.java
@@ -20,13 +20,14 @@
 import magpiewheel.routing.RequestClass;
 
 /**
- * The nodes of the list, each with its actor. A node is its id: a successor may come under the address of one that has
- * gone. Used on the module's actor alone.
+ * The endpoints of the endpoint list, each with its actor. Endpoints are identified by id, as a new endpoint may take
+ * over the address of a removed one. Used only on the engine's actor.
  */
 public final class UpstreamPool implements Upstream {
     /**
-     * What the nodes share: pool, counters, which classes write, the room for connections, and which nodes are ready:
-     * those that drain or have left get nothing from the moment in which that is told, nor are they a source.
+     * What the endpoints share: among others the buffer pool, the counters, which request classes write, how many more
+     * connections may be opened, and the ids of the ready endpoints. Endpoints that are draining or removed get no
+     * request and are no fill source from the moment in which the list says so.
      */
     record Shared(
             Engine[] engine,
@@ -45,8 +46,9 @@
     private final Shared shared;
 
     /**
-     * Talks to nodes over at most so many connections, each on a socket of this kind; nodes close unused ones after a
-     * time.
+     * Creates a pool without endpoints. It opens at most {@code maxConnections} connections to all endpoints together,
+     * on sockets from {@code socketFactory}; endpoints close a connection after it was idle for {@code idleCloseUs} (0
+     * if unknown).
      */
     public UpstreamPool(
             BufferPool bufferPool,
@@ -76,7 +78,7 @@
                 ConcurrentHashMap.newKeySet());
     }
 
-    /** Names the engine that outcomes go to; before anything else. */
+    /** Sets the engine that receives outcomes; must be called before any other method. */
     public void setEngine(Engine engine) {
         shared.engine()[0] = engine;
     }
@@ -136,7 +138,7 @@
 
     @Override
     public void cancel(Attempt attempt) {
-        // Not by the list: the node may have left it, and what it has in hand must end all the same.
+        // Not looked up in the list: the endpoint may have left it, and its requests in flight must end as well.
         if (attempt.upstreamContext() instanceof UpstreamEndpoint endpoint) {
             endpoint.cancel(attempt);
         }
--- a/src/main/java/magpiewheel/upstream/package-info.java
+++ b/src/main/java/magpiewheel/upstream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections to cache nodes in the line protocol: an actor for each node, bounded connections that carry one request
- * at a time, and a check of each answer's line before anything of it is passed on.
+ * Connections to endpoints in the line protocol: an actor for each endpoint, a bounded number of connections that carry
+ * one request at a time, and validation of each response line before any part of the response is passed on.
  */
 package magpiewheel.upstream;
