--- a/src/main/java/magpiewheel/discovery/DiscoveryClient.java
+++ b/src/main/java/magpiewheel/discovery/DiscoveryClient.java
@@ -58,7 +58,7 @@
      */
     public DiscoveryClient(
             InetSocketAddress address, long lastRevision, Engine engine, Runnable onConnectionLost, Counters counters) {
-        super("board", MAILBOX_CAPACITY, counters);
+        super("discovery", MAILBOX_CAPACITY, counters);
         this.address = address;
         this.lastRevision = lastRevision;
         this.engine = engine;
@@ -75,7 +75,7 @@
     }
 
     private void startReader() {
-        daemonThread("board-reader", this::readLoop).start();
+        daemonThread("discovery-reader", this::readLoop).start();
     }
 
     /** Sets the address of the discovery service; events resume after the last known one. Null is ignored. */
@@ -129,7 +129,7 @@
             } catch (RuntimeException e) {
                 // Without the reader the router would continue with an endpoint list that is never updated.
                 counters.add(Counter.FAULTS);
-                System.err.println("board: " + e + " at " + e.getStackTrace()[0]);
+                System.err.println("discovery-reader: " + e + " at " + e.getStackTrace()[0]);
                 waitBeforeRetry();
             }
         }
@@ -201,7 +201,7 @@
 
     private IOException malformedFrame() {
         counters.add(Counter.BOARD_GARBAGE);
-        return new IOException("the board does not keep to the form");
+        return new IOException("malformed frame from the discovery service");
     }
 
     private Runnable parseEvent(int kind, ByteBuffer payload) throws IOException {
--- a/src/main/java/magpiewheel/peers/PeerTransport.java
+++ b/src/main/java/magpiewheel/peers/PeerTransport.java
@@ -57,7 +57,7 @@
         private final ConcurrentLinkedQueue<Probe> queued = new ConcurrentLinkedQueue<>();
 
         PortProber() {
-            super("knocker", MAILBOX_CAPACITY, counters);
+            super("peer-prober", MAILBOX_CAPACITY, counters);
         }
 
         void enqueue(Probe probe) {
--- a/src/main/java/magpiewheel/upstream/ResponseLine.java
+++ b/src/main/java/magpiewheel/upstream/ResponseLine.java
@@ -53,7 +53,8 @@
         // Limit -1 keeps an empty last word: "ID DONE - " lacks its length and is not a response of 0 bytes.
         String[] words = line.split(" ", -1);
         if (words.length != WORD_COUNT || words[0].isEmpty() || words[0].length() > MAX_ID_LENGTH) {
-            throw new MalformedResponseException("a line of " + words.length + " words");
+            throw new MalformedResponseException("malformed response line: got " + words.length + " words, expected "
+                    + WORD_COUNT + " with an id of 1 to " + MAX_ID_LENGTH + " characters");
         }
         AttemptResult result = switch (words[1]) {
             case "DONE", "KEEP" -> AttemptResult.OK;
@@ -61,12 +62,12 @@
             case "WAIT" -> AttemptResult.REJECTED;
             case "BROKE" -> AttemptResult.ERROR;
             case "PAST" -> AttemptResult.EXPIRED;
-            default -> throw new MalformedResponseException("an unknown word");
+            default -> throw new MalformedResponseException("unknown result in response line: " + words[1]);
         };
         boolean unchanged = words[1].equals("KEEP");
         int length = (int) parseNumber(words[3], MAX_BODY_BYTES);
         if (length > 0 && (unchanged || result != AttemptResult.OK)) {
-            throw new MalformedResponseException("a body behind " + words[1]);
+            throw new MalformedResponseException("unexpected body of " + length + " bytes after " + words[1]);
         }
         return parseFields(words[0], result, unchanged, words[2], length);
     }
@@ -82,7 +83,7 @@
             int equals = field.indexOf('=');
             String value = field.substring(equals + 1);
             if (equals <= 0 || !isPlainValue(value)) {
-                throw new MalformedResponseException("a field that is none");
+                throw new MalformedResponseException("malformed field in response line: " + field);
             }
             switch (field.substring(0, equals)) {
                 case "tell" -> cacheStatus = CACHE_STATUSES[Math.max(0, CACHE_STATUS_NAMES.indexOf(value))];
@@ -109,7 +110,7 @@
         } catch (NumberFormatException e) {
             // Reported below.
         }
-        throw new MalformedResponseException("the time " + millis);
+        throw new MalformedResponseException("invalid time in response line, in milliseconds: " + millis);
     }
 
     /** Parses a number that consists of digits only; the parsers of the library would accept signs, too. */
@@ -121,6 +122,6 @@
         } catch (NumberFormatException e) {
             // Reported below.
         }
-        throw new MalformedResponseException("the number " + text);
+        throw new MalformedResponseException("invalid number in response line, at most " + max + " expected: " + text);
     }
 }
--- a/src/main/java/magpiewheel/upstream/UpstreamConnection.java
+++ b/src/main/java/magpiewheel/upstream/UpstreamConnection.java
@@ -124,7 +124,7 @@
             // Connection refused, reset or closed: reported to the endpoint's actor below.
         } catch (RuntimeException e) {
             shared.counters().add(Counter.FAULTS);
-            System.err.println("node-reader: " + e + " at " + e.getStackTrace()[0]);
+            System.err.println("endpoint-reader: " + e + " at " + e.getStackTrace()[0]);
         } finally {
             close();
             endpoint.disconnected(this, endResult);
@@ -246,7 +246,7 @@
             boolean invalid = line.result() == AttemptResult.OK
                     && !hasValidCopyFields(line, current.request().clientRequest());
             if (invalid) {
-                throw new ResponseLine.MalformedResponseException("a copy without its tag, or one that was not held");
+                throw new ResponseLine.MalformedResponseException("copy lacks tag or minted, or KEEP without known");
             }
             // Data that has already arrived after the response belongs to no request.
             if (in.available() > 0 && !onlyLineEndRemains(in, line.length())) {
@@ -298,10 +298,10 @@
     private static void expect(InputStream in, char octet) throws IOException {
         int next = in.read();
         if (next < 0) {
-            throw new EOFException("the answer ends early");
+            throw new EOFException("response truncated: stream ended before the line end after the body");
         }
         if (next != octet) {
-            throw new ResponseLine.MalformedResponseException("no line end after a body");
+            throw new ResponseLine.MalformedResponseException("no CRLF after the response body: got byte " + next);
         }
     }
 
@@ -311,13 +311,14 @@
             if (next == '\n') {
                 int length = line.length();
                 if (length == 0 || line.charAt(length - 1) != '\r') {
-                    throw new ResponseLine.MalformedResponseException("a line without its return");
+                    throw new ResponseLine.MalformedResponseException("response line ends with LF instead of CRLF");
                 }
                 line.setLength(length - 1);
                 return line.toString();
             }
             if (line.length() >= MAX_LINE_LENGTH) {
-                throw new ResponseLine.MalformedResponseException("a line without end");
+                throw new ResponseLine.MalformedResponseException(
+                        "response line longer than " + MAX_LINE_LENGTH + " characters");
             }
             line.append((char) next);
         }
--- a/src/main/java/magpiewheel/upstream/UpstreamEndpoint.java
+++ b/src/main/java/magpiewheel/upstream/UpstreamEndpoint.java
@@ -46,7 +46,7 @@
 
     UpstreamEndpoint(ListedEndpoint listed, Shared shared) {
         super(
-                "node-" + Long.toHexString(listed.info().id()),
+                "endpoint-" + Long.toHexString(listed.info().id()),
                 MAILBOX_CAPACITY,
                 MAX_ACCEPTED_ATTEMPTS + 1,
                 shared.counters());
