--- a/src/test/java/magpiewheel/discovery/DiscoveryClientTurnTest.java
+++ b/src/test/java/magpiewheel/discovery/DiscoveryClientTurnTest.java
@@ -30,28 +30,28 @@
 /** A change of the list reaches the module however long clients keep the crew's threads in their writes. */
 public class DiscoveryClientTurnTest {
     /** As many threads as a crew may have. */
-    private static final int MOST_THREADS = 64;
+    private static final int MAX_WORKER_THREADS = 64;
 
-    private static final int NODE = 7;
+    private static final int ENDPOINT_ID = 7;
     private static final int DRAINING = 1;
-    private static final int RECORD = 27;
-    private static final int HEAD = Long.BYTES + 1;
-    private static final long WAIT_S = 20;
+    private static final int RECORD_BYTES = 27;
+    private static final int HEADER_BYTES = Long.BYTES + 1;
+    private static final long TIMEOUT_S = 20;
 
     private final Counters counters = new Counters();
-    private final CountDownLatch clientsRead = new CountDownLatch(1);
-    private final BlockingQueue<EndpointInfo> members = new LinkedBlockingQueue<>();
+    private final CountDownLatch writesMayFinish = new CountDownLatch(1);
+    private final BlockingQueue<EndpointInfo> endpointUpdates = new LinkedBlockingQueue<>();
 
     /** A connection whose client does not read what is written to it. */
-    private final class StuckConnection extends Actor {
-        StuckConnection() {
+    private final class BlockedConnection extends Actor {
+        BlockedConnection() {
             super("stuck", 1, counters);
         }
 
         void write() {
             offer(() -> {
                 try {
-                    clientsRead.await();
+                    writesMayFinish.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -63,7 +63,7 @@
         return EngineStubs.routingPolicy((method, arguments) -> {
             if (method.equals("endpointsChanged")) {
                 for (Object member : (List<?>) arguments[2]) {
-                    members.add((EndpointInfo) member);
+                    endpointUpdates.add((EndpointInfo) member);
                 }
             }
             return null;
@@ -81,13 +81,13 @@
                 new ResponseCache(1, 1, 1));
     }
 
-    private static void tellOfADrain(Socket connection) throws Exception {
+    private static void sendDrainEvent(Socket connection) throws Exception {
         new DataInputStream(connection.getInputStream()).readLong();
         DataOutputStream out = new DataOutputStream(connection.getOutputStream());
-        out.writeInt(HEAD + RECORD);
+        out.writeInt(HEADER_BYTES + RECORD_BYTES);
         out.writeLong(1);
         out.writeByte(2);
-        out.writeInt(NODE);
+        out.writeInt(ENDPOINT_ID);
         out.writeInt(0x7f000001);
         out.writeShort(1);
         out.writeByte(DRAINING);
@@ -101,29 +101,29 @@
 
     /** All threads of the crew sit in writes when the drain is told. */
     @Test
-    public void aDrainIsHeardWhileAllThreadsOfTheCrewAreInWrites() throws Exception {
-        WorkerPool crew = new WorkerPool();
-        for (int i = 0; i < MOST_THREADS; i++) {
-            StuckConnection stuck = new StuckConnection();
-            stuck.start(crew);
-            stuck.write();
+    public void drainIsAppliedWhileAllWorkersAreBlockedInWrites() throws Exception {
+        WorkerPool workers = new WorkerPool();
+        for (int i = 0; i < MAX_WORKER_THREADS; i++) {
+            BlockedConnection blocked = new BlockedConnection();
+            blocked.start(workers);
+            blocked.write();
         }
         Engine engine = engine();
         engine.start();
-        try (ServerSocket board = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            DiscoveryClient reads = new DiscoveryClient(
-                    (InetSocketAddress) board.getLocalSocketAddress(), 0, engine, () -> {}, counters);
-            reads.start(crew);
-            try (Socket connection = board.accept()) {
-                tellOfADrain(connection);
-                EndpointInfo told = members.poll(WAIT_S, TimeUnit.SECONDS);
-                assertNotNull(told, "the drain waits for a thread");
-                assertEquals(told.id() + " " + told.state(), NODE + " " + EndpointState.DRAINING);
+        try (ServerSocket discoveryServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            DiscoveryClient client = new DiscoveryClient(
+                    (InetSocketAddress) discoveryServer.getLocalSocketAddress(), 0, engine, () -> {}, counters);
+            client.start(workers);
+            try (Socket connection = discoveryServer.accept()) {
+                sendDrainEvent(connection);
+                EndpointInfo update = endpointUpdates.poll(TIMEOUT_S, TimeUnit.SECONDS);
+                assertNotNull(update, "the drain waits for a thread");
+                assertEquals(update.id() + " " + update.state(), ENDPOINT_ID + " " + EndpointState.DRAINING);
             } finally {
-                reads.close();
+                client.close();
             }
         } finally {
-            clientsRead.countDown();
+            writesMayFinish.countDown();
             engine.shutDown(List.of());
         }
     }
--- a/src/test/java/magpiewheel/upstream/BeginDeadlineTest.java
+++ b/src/test/java/magpiewheel/upstream/BeginDeadlineTest.java
@@ -22,72 +22,72 @@
 public class BeginDeadlineTest {
     private static final long BEGIN_WITHIN_US = TimeUnit.MILLISECONDS.toMicros(200);
 
-    private StandInNode node;
-    private NodeRig rig;
+    private StandInNode endpoint;
+    private UpstreamHarness harness;
 
     /** A node that answers at once, connections that come up when a test lets them, and a clock that stands. */
     @BeforeMethod
     public void start() throws IOException {
-        node = new StandInNode((line, body) -> StandInNode.done(line, "tell=hit,tag=aa,minted=1", new byte[10]));
-        rig = new NodeRig(node.address(), InstantSource.fixed(Instant.now()));
-        rig.holdsDials = true;
-        rig.beginWithinUs = BEGIN_WITHIN_US;
+        endpoint = new StandInNode((line, body) -> StandInNode.done(line, "tell=hit,tag=aa,minted=1", new byte[10]));
+        harness = new UpstreamHarness(endpoint.address(), InstantSource.fixed(Instant.now()));
+        harness.holdsConnects = true;
+        harness.startWithinUs = BEGIN_WITHIN_US;
     }
 
     /** Ends what the test has started. */
     @AfterMethod(alwaysRun = true)
     public void stop() throws IOException {
-        rig.close();
-        node.close();
+        harness.close();
+        endpoint.close();
     }
 
-    private void isUnreached() {
-        AttemptOutcome outcome = NodeRig.next(rig.told);
+    private void assertUnreachable() {
+        AttemptOutcome outcome = UpstreamHarness.take(harness.outcomes);
         assertEquals(outcome.result(), AttemptResult.UNREACHABLE);
         assertTrue(outcome.result().neverRan && !outcome.requestCompleted(), "it may go elsewhere");
     }
 
-    private void isServed(String trace) {
-        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK);
-        assertTrue(NodeRig.next(node.lines).startsWith("serve " + trace + " "));
+    private void assertServed(String trace) {
+        assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.OK);
+        assertTrue(UpstreamHarness.take(endpoint.lines).startsWith("serve " + trace + " "));
     }
 
     /** The connection comes up when the decision no longer holds: nothing is written there, and the next may use it. */
     @Test
-    public void whatHasNotBegunByItsTimeNeverDoes() {
-        rig.ask("late", NodeRig.UNSAFE, null);
-        HeldSocket slow = NodeRig.next(rig.dials);
-        rig.pass(BEGIN_WITHIN_US);
-        isUnreached();
-        slow.comeUp();
-        NodeRig.until("the connection is up", slow::isConnected);
-        rig.ask("next", NodeRig.PURE, null);
-        isServed("next");
-        assertEquals(rig.count(Counter.WRITTEN), 1);
+    public void nothingIsWrittenAfterTheStartDeadline() {
+        harness.sendRequest("late", UpstreamHarness.UNSAFE, null);
+        ControlledSocket slow = UpstreamHarness.take(harness.sockets);
+        harness.advanceClock(BEGIN_WITHIN_US);
+        assertUnreachable();
+        slow.allowConnect();
+        UpstreamHarness.awaitCondition("the connection is up", slow::isConnected);
+        harness.sendRequest("next", UpstreamHarness.PURE, null);
+        assertServed("next");
+        assertEquals(harness.counter(Counter.WRITTEN), 1);
     }
 
     /** The connection never comes up: the attempt ends in time for the request to go elsewhere. */
     @Test
-    public void anAttemptEndsWhenItsConnectionNeverComesUp() {
-        rig.ask("never", NodeRig.PURE, null);
-        NodeRig.next(rig.dials);
-        rig.pass(BEGIN_WITHIN_US);
-        isUnreached();
-        assertEquals(rig.count(Counter.WRITTEN), 0);
+    public void attemptEndsAtStartDeadlineIfConnectionNeverOpens() {
+        harness.sendRequest("never", UpstreamHarness.PURE, null);
+        UpstreamHarness.take(harness.sockets);
+        harness.advanceClock(BEGIN_WITHIN_US);
+        assertUnreachable();
+        assertEquals(harness.counter(Counter.WRITTEN), 0);
     }
 
     /** At half of the time a second connection is begun, which carries the attempt; the first serves the next one. */
     @Test
-    public void aSecondConnectionIsBegunForWhatWaits() {
-        rig.ask("first", NodeRig.PURE, null);
-        HeldSocket slow = NodeRig.next(rig.dials);
-        rig.holdsDials = false;
-        rig.pass(BEGIN_WITHIN_US / 2);
-        NodeRig.next(rig.dials);
-        isServed("first");
-        slow.comeUp();
-        rig.ask("second", NodeRig.PURE, null);
-        isServed("second");
-        assertEquals(rig.count(Counter.DIALS), 2);
+    public void secondConnectionOpensAtHalfOfTheStartDeadline() {
+        harness.sendRequest("first", UpstreamHarness.PURE, null);
+        ControlledSocket slow = UpstreamHarness.take(harness.sockets);
+        harness.holdsConnects = false;
+        harness.advanceClock(BEGIN_WITHIN_US / 2);
+        UpstreamHarness.take(harness.sockets);
+        assertServed("first");
+        slow.allowConnect();
+        harness.sendRequest("second", UpstreamHarness.PURE, null);
+        assertServed("second");
+        assertEquals(harness.counter(Counter.DIALS), 2);
     }
 }
--- a/src/test/java/magpiewheel/upstream/HeldSocket.java
+++ b/src/test/java/magpiewheel/upstream/ControlledSocket.java
@@ -9,18 +9,18 @@
 import java.util.concurrent.CountDownLatch;
 
 /** A real connection to a node that comes up, and is read from, only when its test lets it. */
-final class HeldSocket extends Socket {
-    private final CountDownLatch connects = new CountDownLatch(1);
-    private final CountDownLatch reads = new CountDownLatch(1);
-    private final CountDownLatch returned = new CountDownLatch(1);
-    private final CountDownLatch looked = new CountDownLatch(1);
-    private final CountDownLatch looks = new CountDownLatch(1);
+final class ControlledSocket extends Socket {
+    private final CountDownLatch connectAllowed = new CountDownLatch(1);
+    private final CountDownLatch readsAllowed = new CountDownLatch(1);
+    private final CountDownLatch readReturned = new CountDownLatch(1);
+    private final CountDownLatch availableCalled = new CountDownLatch(1);
+    private final CountDownLatch availableAllowed = new CountDownLatch(1);
     private volatile boolean holdsReads;
-    private volatile boolean holdsLooks;
+    private volatile boolean holdsAvailable;
 
-    HeldSocket(boolean holdsDial) {
-        if (!holdsDial) {
-            connects.countDown();
+    ControlledSocket(boolean holdsConnect) {
+        if (!holdsConnect) {
+            connectAllowed.countDown();
         }
     }
 
@@ -31,37 +31,37 @@
 
     /** Waits until a read has returned something, or failed, that its reader does not know of yet. */
     void awaitRead() throws InterruptedException {
-        returned.await();
+        readReturned.await();
     }
 
     /** From now on its reader learns of nothing that waits behind what it has read, until it is let. */
-    void holdLooks() {
-        holdsLooks = true;
+    void holdAvailable() {
+        holdsAvailable = true;
     }
 
     /** Waits until its reader looks for what waits. */
-    void awaitLook() throws InterruptedException {
-        looked.await();
+    void awaitAvailable() throws InterruptedException {
+        availableCalled.await();
     }
 
     /** Lets its reader know what waits. */
-    void lookOn() {
-        looks.countDown();
+    void resumeAvailable() {
+        availableAllowed.countDown();
     }
 
     /** Lets the connection come up. */
-    void comeUp() {
-        connects.countDown();
+    void allowConnect() {
+        connectAllowed.countDown();
     }
 
     /** Lets its reader read. */
-    void readOn() {
-        reads.countDown();
+    void resumeReads() {
+        readsAllowed.countDown();
     }
 
     @Override
     public void connect(SocketAddress address, int timeout) throws IOException {
-        await(connects);
+        await(connectAllowed);
         super.connect(address, timeout);
     }
 
@@ -74,17 +74,17 @@
                     return super.read(into, from, length);
                 } finally {
                     if (holdsReads) {
-                        returned.countDown();
-                        await(reads);
+                        readReturned.countDown();
+                        await(readsAllowed);
                     }
                 }
             }
 
             @Override
             public int available() throws IOException {
-                if (holdsLooks) {
-                    looked.countDown();
-                    await(looks);
+                if (holdsAvailable) {
+                    availableCalled.countDown();
+                    await(availableAllowed);
                 }
                 return super.available();
             }
@@ -94,7 +94,7 @@
     @Override
     public void close() throws IOException {
         super.close();
-        connects.countDown();
+        connectAllowed.countDown();
     }
 
     private static void await(CountDownLatch latch) throws SocketException {
--- a/src/test/java/magpiewheel/upstream/PooledConnectionTest.java
+++ b/src/test/java/magpiewheel/upstream/PooledConnectionTest.java
@@ -11,81 +11,81 @@
 import magpiewheel.engine.Counter;
 import magpiewheel.engine.PendingRequest;
 import magpiewheel.routing.AttemptResult;
-import magpiewheel.upstream.ScriptedNode.Line;
+import magpiewheel.upstream.ScriptedEndpoint.Connection;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** Connections that end, or bring what nobody asked for, in the moment in which the next request goes to them. */
-public class PooledConnectionTest extends ScriptedNodeRig {
+public class PooledConnectionTest extends ScriptedEndpointFixture {
     /** A connection that has served one request and is unused. */
-    private Line unused() throws IOException {
-        rig.ask("first", NodeRig.PURE, null);
-        Line line = node.accept();
-        assertTrue(line.next().startsWith("serve first "));
-        line.done("first", "t1");
-        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK);
-        NodeRig.next(rig.answers).body().release();
-        return line;
+    private Connection idleConnection() throws IOException {
+        harness.sendRequest("first", UpstreamHarness.PURE, null);
+        Connection connection = endpoint.accept();
+        assertTrue(connection.next().startsWith("serve first "));
+        connection.done("first", "t1");
+        assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.OK);
+        UpstreamHarness.take(harness.answers).body().release();
+        return connection;
     }
 
-    private void servedAnew() throws IOException {
-        try (Line anew = node.accept()) {
-            assertTrue(anew.next().startsWith("serve second "));
-            anew.done("second", "t2");
-            assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK, "the first word of it");
-            assertEquals(NodeRig.next(rig.answers).tag(), "t2");
+    private void servedOnNewConnection() throws IOException {
+        try (Connection newConnection = endpoint.accept()) {
+            assertTrue(newConnection.next().startsWith("serve second "));
+            newConnection.done("second", "t2");
+            assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.OK, "the first word of it");
+            assertEquals(UpstreamHarness.take(harness.answers).tag(), "t2");
         }
     }
 
     /** The node reset it, and its reader has yet to say so: a write takes nothing, so the request goes elsewhere. */
     @Test
-    public void aResetUnusedConnectionTakesNothingAndCostsNoAttempt() throws Exception {
-        Line line = unused();
-        HeldSocket socket = NodeRig.next(rig.dials);
+    public void resetIdleConnectionAcceptsNothingAndCostsNoAttempt() throws Exception {
+        Connection connection = idleConnection();
+        ControlledSocket socket = UpstreamHarness.take(harness.sockets);
         socket.holdReads();
-        line.reset();
+        connection.reset();
         socket.awaitRead();
-        rig.ask("second", NodeRig.UNSAFE, null);
-        servedAnew();
-        assertEquals(rig.count(Counter.NODE_BROKEN), 0);
-        socket.readOn();
+        harness.sendRequest("second", UpstreamHarness.UNSAFE, null);
+        servedOnNewConnection();
+        assertEquals(harness.counter(Counter.NODE_BROKEN), 0);
+        socket.resumeReads();
     }
 
     /** Its reader has closed it, and the node's actor has yet to hear so. */
     @Test
-    public void aClosedUnusedConnectionIsNotChosen() throws Exception {
-        Line line = unused();
-        HeldSocket socket = NodeRig.next(rig.dials);
+    public void closedIdleConnectionIsNotSelected() throws Exception {
+        Connection connection = idleConnection();
+        ControlledSocket socket = UpstreamHarness.take(harness.sockets);
         socket.holdReads();
         socket.close();
-        rig.ask("second", NodeRig.UNSAFE, null);
-        servedAnew();
-        assertEquals(rig.count(Counter.NODE_BROKEN), 0);
-        socket.readOn();
-        line.close();
+        harness.sendRequest("second", UpstreamHarness.UNSAFE, null);
+        servedOnNewConnection();
+        assertEquals(harness.counter(Counter.NODE_BROKEN), 0);
+        socket.resumeReads();
+        connection.close();
     }
 
     /**
      * The node ended its side only, and its reader has yet to say so: the machine took the request, so it may have run.
      */
     @Test
-    public void aRequestTakenByAConnectionWhoseEndCameBeforeMayHaveRun() throws Exception {
-        Line line = unused();
-        HeldSocket socket = NodeRig.next(rig.dials);
+    public void requestWrittenToHalfClosedConnectionMayHaveRun() throws Exception {
+        Connection connection = idleConnection();
+        ControlledSocket socket = UpstreamHarness.take(harness.sockets);
         socket.holdReads();
-        line.close();
+        connection.close();
         socket.awaitRead();
-        rig.ask("second", NodeRig.UNSAFE, null);
-        NodeRig.until("it is written", () -> rig.count(Counter.WRITTEN) == 2);
-        socket.readOn();
-        AttemptResult result = NodeRig.next(rig.told).result();
+        harness.sendRequest("second", UpstreamHarness.UNSAFE, null);
+        UpstreamHarness.awaitCondition("it is written", () -> harness.counter(Counter.WRITTEN) == 2);
+        socket.resumeReads();
+        AttemptResult result = UpstreamHarness.take(harness.outcomes).result();
         assertEquals(result, AttemptResult.CONNECTION_LOST);
         assertFalse(result.neverRan);
     }
 
     /** What a node says before it ends the connection under a request; none of it proves that nothing ran. */
     @DataProvider
-    Object[][] lastWords() {
+    Object[][] partialResponses() {
         return new Object[][] {
             {""},
             {"second LA"},
@@ -98,37 +98,38 @@
     }
 
     /** Half an answer proves nothing about the effect of its request. */
-    @Test(dataProvider = "lastWords")
-    public void anAnswerThatBreaksOffMayHaveRun(String words) throws Exception {
-        Line line = unused();
-        rig.ask("second", NodeRig.UNSAFE, null);
-        assertTrue(line.next().startsWith("serve second "));
-        line.say(words);
-        line.close();
-        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.CONNECTION_LOST);
-        assertEquals(rig.pool.available(), NodeRig.BUFFERS, "no room is lost");
+    @Test(dataProvider = "partialResponses")
+    public void truncatedResponseMayHaveRun(String text) throws Exception {
+        Connection connection = idleConnection();
+        harness.sendRequest("second", UpstreamHarness.UNSAFE, null);
+        assertTrue(connection.next().startsWith("serve second "));
+        connection.write(text);
+        connection.close();
+        assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.CONNECTION_LOST);
+        assertEquals(harness.pool.available(), UpstreamHarness.BUFFERS, "no room is lost");
     }
 
     /** An answer that never ends is called off in the end; it may have run, and the node gets nothing more there. */
     @Test
-    public void anAnswerThatNeverEndsIsCalledOffAndItsConnectionClosed() throws Exception {
-        Line line = unused();
-        rig.onPeer = (actions, message) -> actions.cancelAttempt(2, 0);
-        rig.ask("second", NodeRig.UNSAFE, null);
-        assertTrue(line.next().startsWith("serve second "));
-        line.say("second DONE tell=hit,tag=t2,minted=1 100000\r\nabc");
-        NodeRig.until("its room is taken", () -> rig.pool.available() < NodeRig.BUFFERS);
-        rig.engine.peerMessageReceived(1, new byte[0]);
-        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.CANCELLED);
-        assertEquals(endOf(line), "cancel second");
-        NodeRig.until("its room is given back", () -> rig.pool.available() == NodeRig.BUFFERS);
+    public void unfinishedResponseIsCancelledAndItsConnectionClosed() throws Exception {
+        Connection connection = idleConnection();
+        harness.onPeerMessage = (actions, message) -> actions.cancelAttempt(2, 0);
+        harness.sendRequest("second", UpstreamHarness.UNSAFE, null);
+        assertTrue(connection.next().startsWith("serve second "));
+        connection.write("second DONE tell=hit,tag=t2,minted=1 100000\r\nabc");
+        UpstreamHarness.awaitCondition("its room is taken", () -> harness.pool.available() < UpstreamHarness.BUFFERS);
+        harness.engine.peerMessageReceived(1, new byte[0]);
+        assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.CANCELLED);
+        assertEquals(lastLineOf(connection), "cancel second");
+        UpstreamHarness.awaitCondition(
+                "its room is given back", () -> harness.pool.available() == UpstreamHarness.BUFFERS);
     }
 
     /** What comes before the end of a connection; one that is closed over unread octets may be reset. */
-    private static String endOf(Line line) throws IOException {
+    private static String lastLineOf(Connection connection) throws IOException {
         String last = null;
         try {
-            for (String next = line.next(); next != null; next = line.next()) {
+            for (String next = connection.next(); next != null; next = connection.next()) {
                 last = next;
             }
         } catch (SocketException e) {
@@ -139,16 +140,16 @@
 
     /** The second answer to a request comes while the next one is out on its connection. */
     @Test
-    public void aSecondAnswerIsNotTakenForTheNextRequests() throws Exception {
-        Line line = unused();
-        rig.ask("second", NodeRig.UNSAFE, null);
-        assertTrue(line.next().startsWith("serve second "));
-        line.done("first", "t1");
-        NodeRig.until("it was seen", () -> rig.count(Counter.NODE_STRAYS) == 1);
-        line.done("second", "t2");
-        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK);
-        assertEquals(NodeRig.next(rig.answers).tag(), "t2");
-        assertNull(line.next(), "nor is the connection used again");
+    public void duplicateResponseIsNotMatchedToTheNextRequest() throws Exception {
+        Connection connection = idleConnection();
+        harness.sendRequest("second", UpstreamHarness.UNSAFE, null);
+        assertTrue(connection.next().startsWith("serve second "));
+        connection.done("first", "t1");
+        UpstreamHarness.awaitCondition("it was seen", () -> harness.counter(Counter.NODE_STRAYS) == 1);
+        connection.done("second", "t2");
+        assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.OK);
+        assertEquals(UpstreamHarness.take(harness.answers).tag(), "t2");
+        assertNull(connection.next(), "nor is the connection used again");
     }
 
     /**
@@ -156,27 +157,27 @@
      * the reader finds behind that one must not undo it.
      */
     @Test
-    public void aSecondAnswerThatTheActorHearsOfLateCountsToo() throws Exception {
-        Line line = unused();
-        HeldSocket connection = NodeRig.next(rig.dials);
-        rig.ask("second", NodeRig.UNSAFE, null);
-        assertTrue(line.next().startsWith("serve second "));
-        CountDownLatch actorGoesOn = new CountDownLatch(1);
-        rig.holdsDials = true;
-        rig.onDial = () -> await(actorGoesOn);
-        rig.ask("third", NodeRig.PURE, null);
-        NodeRig.next(rig.dials);
-        line.done("first", "t1");
-        connection.holdLooks();
-        line.done("second", "t2");
-        connection.awaitLook();
-        actorGoesOn.countDown();
-        rig.ask("fourth", NodeRig.PURE, null);
+    public void duplicateResponseReportedLateStillRetiresTheConnection() throws Exception {
+        Connection connection = idleConnection();
+        ControlledSocket socket = UpstreamHarness.take(harness.sockets);
+        harness.sendRequest("second", UpstreamHarness.UNSAFE, null);
+        assertTrue(connection.next().startsWith("serve second "));
+        CountDownLatch actorMayContinue = new CountDownLatch(1);
+        harness.holdsConnects = true;
+        harness.onSocketCreated = () -> await(actorMayContinue);
+        harness.sendRequest("third", UpstreamHarness.PURE, null);
+        UpstreamHarness.take(harness.sockets);
+        connection.done("first", "t1");
+        socket.holdAvailable();
+        connection.done("second", "t2");
+        socket.awaitAvailable();
+        actorMayContinue.countDown();
+        harness.sendRequest("fourth", UpstreamHarness.PURE, null);
         // Its connection is begun behind the word of the second answer.
-        NodeRig.next(rig.dials);
-        connection.lookOn();
-        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK);
-        assertNull(line.next(), "the connection is used again");
+        UpstreamHarness.take(harness.sockets);
+        socket.resumeAvailable();
+        assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.OK);
+        assertNull(connection.next(), "the connection is used again");
     }
 
     private static void await(CountDownLatch latch) {
@@ -192,20 +193,21 @@
      * say of the second try that it never ran.
      */
     @Test
-    public void aFurtherTryKeepsAwayFromAllConnectionsOfEarlierOnes() throws Exception {
-        rig.onOutcome = (actions, outcome) -> {};
-        rig.onPeer = (actions, message) -> actions.startAttempt(1, NodeRig.NODE, NodeRig.plan());
-        rig.ask("second", NodeRig.UNSAFE, null);
-        Line line = node.accept();
-        assertTrue(line.next().startsWith("serve second "));
-        line.say("second WAIT - 0\r\n\r\n");
-        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.REJECTED);
-        rig.ask("between", NodeRig.PURE, null);
-        assertTrue(line.next().startsWith("serve between "));
-        line.done("between", "t1");
-        assertEquals(NodeRig.next(rig.told).result(), AttemptResult.OK);
-        assertEquals(NodeRig.next(rig.answers).outcome(), PendingRequest.Outcome.SERVED);
-        rig.engine.peerMessageReceived(1, new byte[0]);
-        servedAnew();
+    public void retryAvoidsConnectionsOfEarlierAttempts() throws Exception {
+        harness.onOutcome = (actions, outcome) -> {};
+        harness.onPeerMessage =
+                (actions, message) -> actions.startAttempt(1, UpstreamHarness.ENDPOINT_ID, UpstreamHarness.plan());
+        harness.sendRequest("second", UpstreamHarness.UNSAFE, null);
+        Connection connection = endpoint.accept();
+        assertTrue(connection.next().startsWith("serve second "));
+        connection.write("second WAIT - 0\r\n\r\n");
+        assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.REJECTED);
+        harness.sendRequest("between", UpstreamHarness.PURE, null);
+        assertTrue(connection.next().startsWith("serve between "));
+        connection.done("between", "t1");
+        assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.OK);
+        assertEquals(UpstreamHarness.take(harness.answers).outcome(), PendingRequest.Outcome.SERVED);
+        harness.engine.peerMessageReceived(1, new byte[0]);
+        servedOnNewConnection();
     }
 }
--- a/src/test/java/magpiewheel/upstream/ResponseLineTest.java
+++ b/src/test/java/magpiewheel/upstream/ResponseLineTest.java
@@ -13,7 +13,7 @@
 
 class ResponseLineTest {
     @Test
-    void aGoodLineIsReadWhole() throws Exception {
+    void validLinesAreParsed() throws Exception {
         assertEquals(
                 new ResponseLine(
                         "0a",
@@ -56,7 +56,7 @@
                 "0a KEEP tag=5d,minted=1 3",
                 "0a LACK - 7"
             })
-    void whatIsNotWhollyInOrderIsNoAnswer(String line) {
+    void malformedLinesAreRejected(String line) {
         assertThrows(ResponseLine.MalformedResponseException.class, () -> ResponseLine.parse(line));
     }
 }
--- a/src/test/java/magpiewheel/upstream/ScriptedNode.java
+++ b/src/test/java/magpiewheel/upstream/ScriptedEndpoint.java
@@ -10,20 +10,20 @@
 import java.nio.charset.StandardCharsets;
 
 /** A node whose every step its test takes, connection by connection. */
-final class ScriptedNode implements AutoCloseable {
+final class ScriptedEndpoint implements AutoCloseable {
     private static final int WAIT_MS = 20_000;
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-    ScriptedNode() throws IOException {
+    ScriptedEndpoint() throws IOException {
         listener.setSoTimeout(WAIT_MS);
     }
 
     /** One accepted connection. */
-    static final class Line implements AutoCloseable {
+    static final class Connection implements AutoCloseable {
         private final Socket socket;
         private final BufferedReader in;
 
-        private Line(Socket socket) throws IOException {
+        private Connection(Socket socket) throws IOException {
             this.socket = socket;
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(WAIT_MS);
@@ -39,12 +39,12 @@
             return line;
         }
 
-        void say(String text) throws IOException {
+        void write(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
         void done(String id, String tag) throws IOException {
-            say(id + " DONE tell=hit,tag=" + tag + ",minted=1 3\r\nabc\r\n");
+            write(id + " DONE tell=hit,tag=" + tag + ",minted=1 3\r\nabc\r\n");
         }
 
         void reset() throws IOException {
@@ -62,8 +62,8 @@
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    Line accept() throws IOException {
-        return new Line(listener.accept());
+    Connection accept() throws IOException {
+        return new Connection(listener.accept());
     }
 
     @Override
--- a/src/test/java/magpiewheel/upstream/NodeRig.java
+++ b/src/test/java/magpiewheel/upstream/UpstreamHarness.java
@@ -41,13 +41,13 @@
  * The engine and its connections to one node, over real sockets, with a scripted module: each request goes to the node
  * once, and what follows is the test's to say. Classes 0, 1 and 2 are pure, keyed and unsafe.
  */
-final class NodeRig implements AutoCloseable {
-    static final long NODE = 1;
+final class UpstreamHarness implements AutoCloseable {
+    static final long ENDPOINT_ID = 1;
     static final int PURE = 0;
     static final int KEYED = 1;
     static final int UNSAFE = 2;
     static final long WINDOW_US = 600_000_000;
-    private static final long WAIT_S = 20;
+    private static final long TIMEOUT_S = 20;
     static final int BUFFERS = 256;
     private static final int DIAL_TIMEOUT_US = 20_000_000;
     private static final int CONNECTIONS = 16;
@@ -55,36 +55,36 @@
     final Counters counters = new Counters();
     final BufferPool pool = new BufferPool(BUFFERS, counters);
     /** The connections, in the order in which they were begun. */
-    final BlockingQueue<HeldSocket> dials = new LinkedBlockingQueue<>();
+    final BlockingQueue<ControlledSocket> sockets = new LinkedBlockingQueue<>();
 
-    final BlockingQueue<AttemptOutcome> told = new LinkedBlockingQueue<>();
+    final BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
     final BlockingQueue<PendingRequest.Response> answers = new LinkedBlockingQueue<>();
-    final BlockingQueue<EndpointInfo> members = new LinkedBlockingQueue<>();
-    final BlockingQueue<Long> gone = new LinkedBlockingQueue<>();
-    volatile boolean holdsDials;
+    final BlockingQueue<EndpointInfo> endpointUpdates = new LinkedBlockingQueue<>();
+    final BlockingQueue<Long> disconnects = new LinkedBlockingQueue<>();
+    volatile boolean holdsConnects;
     /** What else is done where a connection is begun, on the node's actor. */
-    volatile Runnable onDial = () -> {};
+    volatile Runnable onSocketCreated = () -> {};
     /** How long after its decision the module lets an attempt begin; 0: as long as the request has time. */
-    volatile long beginWithinUs;
+    volatile long startWithinUs;
     /** What the module does with an outcome of a request that is not over; first of all, on the module's actor. */
     volatile BiConsumer<RoutingActions, AttemptOutcome> onOutcome =
             (actions, outcome) -> actions.reject(outcome.requestId(), 0);
     /** What it does with a message from another front. */
-    volatile BiConsumer<RoutingActions, byte[]> onPeer = (actions, message) -> {};
+    volatile BiConsumer<RoutingActions, byte[]> onPeerMessage = (actions, message) -> {};
 
     final Engine engine;
-    private final AtomicLong aheadUs = new AtomicLong();
-    private final InetSocketAddress at;
+    private final AtomicLong clockOffsetUs = new AtomicLong();
+    private final InetSocketAddress address;
     private RoutingActions actions;
 
-    NodeRig(InetSocketAddress node) {
-        this(node, InstantSource.system());
+    UpstreamHarness(InetSocketAddress endpoint) {
+        this(endpoint, InstantSource.system());
     }
 
     /** Goes by a clock of the test's own; how long actors sleep is real time all the same. */
-    NodeRig(InetSocketAddress node, InstantSource time) {
-        at = node;
-        UnixClock clock = new UnixClock(() -> time.instant().plusNanos(aheadUs.get() * 1_000));
+    UpstreamHarness(InetSocketAddress endpoint, InstantSource time) {
+        address = endpoint;
+        UnixClock clock = new UnixClock(() -> time.instant().plusNanos(clockOffsetUs.get() * 1_000));
         RoutingSettings settings = settings();
         UpstreamPool nodes = new UpstreamPool(
                 pool,
@@ -97,42 +97,42 @@
                 clock,
                 this::socket);
         engine = new Engine(
-                settings, this::module, clock, counters, nodes, (to, message) -> {}, ResponseCache.disabled());
+                settings, this::policy, clock, counters, nodes, (to, message) -> {}, ResponseCache.disabled());
         nodes.setEngine(engine);
         engine.start();
-        list(EndpointState.READY);
+        updateEndpoint(EndpointState.READY);
     }
 
     private Socket socket() {
-        HeldSocket socket = new HeldSocket(holdsDials);
-        dials.add(socket);
-        onDial.run();
+        ControlledSocket socket = new ControlledSocket(holdsConnects);
+        sockets.add(socket);
+        onSocketCreated.run();
         return socket;
     }
 
     /** Tells of the node's state, and waits until the module has heard of it. */
-    void list(EndpointState state) {
-        list(state, 0);
+    void updateEndpoint(EndpointState state) {
+        updateEndpoint(state, 0);
     }
 
     /** Likewise, of a process that was started at a time. */
-    void list(EndpointState state, long startedUs) {
-        EndpointInfo member = EndpointInfo.builder(NODE, 0, 0)
+    void updateEndpoint(EndpointState state, long startedUs) {
+        EndpointInfo member = EndpointInfo.builder(ENDPOINT_ID, 0, 0)
                 .startedUs(startedUs)
                 .state(state)
                 .build();
         engine.endpointsChanged(
-                EndpointListMode.DELTA, List.of(new ListedEndpoint(member, Ipv4.toInt(at), at.getPort())));
-        next(members);
+                EndpointListMode.DELTA, List.of(new ListedEndpoint(member, Ipv4.toInt(address), address.getPort())));
+        take(endpointUpdates);
     }
 
     /** The clock by which all goes is so much further on. */
-    void pass(long us) {
-        aheadUs.addAndGet(us);
+    void advanceClock(long us) {
+        clockOffsetUs.addAndGet(us);
     }
 
     /** A request that has an hour. */
-    PendingRequest ask(String trace, int profile, Body body) {
+    PendingRequest sendRequest(String trace, int profile, Body body) {
         long now = engine.now();
         long later = now + TimeUnit.HOURS.toMicros(1);
         PendingRequest call = new PendingRequest(
@@ -160,7 +160,7 @@
     }
 
     private static AttemptPlan plan(long beginBy) {
-        return AttemptPlan.builder(NODE).startByUs(beginBy).build();
+        return AttemptPlan.builder(ENDPOINT_ID).startByUs(beginBy).build();
     }
 
     /** A plan that may begin within so many us from now; 0: as long as the request has time. */
@@ -175,16 +175,16 @@
                 EngineStubs.requestClass(Idempotency.NOT_IDEMPOTENT, false, WINDOW_US));
     }
 
-    private RoutingPolicy module(RoutingActions given) {
+    private RoutingPolicy policy(RoutingActions given) {
         actions = given;
         return EngineStubs.routingPolicy((method, arguments) -> {
             switch (method) {
                 case "requestArrived" ->
-                    actions.startAttempt(((RoutingRequest) arguments[1]).id(), NODE, planWithin(beginWithinUs));
-                case "attemptEnded" -> ended((AttemptOutcome) arguments[1]);
-                case "clientDisconnected" -> gone.add((Long) arguments[1]);
-                case "endpointsChanged" -> members.addAll(castMembers(arguments[2]));
-                case "peerMessageReceived" -> onPeer.accept(actions, (byte[]) arguments[2]);
+                    actions.startAttempt(((RoutingRequest) arguments[1]).id(), ENDPOINT_ID, planWithin(startWithinUs));
+                case "attemptEnded" -> attemptEnded((AttemptOutcome) arguments[1]);
+                case "clientDisconnected" -> disconnects.add((Long) arguments[1]);
+                case "endpointsChanged" -> endpointUpdates.addAll(castEndpoints(arguments[2]));
+                case "peerMessageReceived" -> onPeerMessage.accept(actions, (byte[]) arguments[2]);
                 default -> {}
             }
             return null;
@@ -192,24 +192,24 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static List<EndpointInfo> castMembers(Object members) {
-        return (List<EndpointInfo>) members;
+    private static List<EndpointInfo> castEndpoints(Object endpointUpdates) {
+        return (List<EndpointInfo>) endpointUpdates;
     }
 
-    private void ended(AttemptOutcome outcome) {
-        told.add(outcome);
+    private void attemptEnded(AttemptOutcome outcome) {
+        outcomes.add(outcome);
         if (!outcome.requestCompleted()) {
             onOutcome.accept(actions, outcome);
         }
     }
 
-    long count(Counter counter) {
+    long counter(Counter counter) {
         return counters.get(counter);
     }
 
-    static <T> T next(BlockingQueue<T> of) {
+    static <T> T take(BlockingQueue<T> of) {
         try {
-            T next = of.poll(WAIT_S, TimeUnit.SECONDS);
+            T next = of.poll(TIMEOUT_S, TimeUnit.SECONDS);
             assertNotNull(next, "nothing came");
             return next;
         } catch (InterruptedException e) {
@@ -217,8 +217,8 @@
         }
     }
 
-    static void until(String what, BooleanSupplier holds) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S);
+    static void awaitCondition(String what, BooleanSupplier holds) {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!holds.getAsBoolean()) {
             assertTrue(System.nanoTime() - end < 0, "never happened: " + what);
             Thread.onSpinWait();
@@ -228,9 +228,9 @@
     @Override
     public void close() throws IOException {
         engine.shutDown(List.of());
-        for (HeldSocket each : dials) {
-            each.readOn();
-            each.lookOn();
+        for (ControlledSocket each : sockets) {
+            each.resumeReads();
+            each.resumeAvailable();
             each.close();
         }
     }
