--- a/src/test/java/magpiewheel/discovery/DiscoveryClientTurnTest.java
+++ b/src/test/java/magpiewheel/discovery/DiscoveryClientTurnTest.java
@@ -27,9 +27,9 @@
 import magpiewheel.routing.RoutingPolicy;
 import org.testng.annotations.Test;
 
-/** A change of the list reaches the module however long clients keep the crew's threads in their writes. */
+/** A change of the endpoint list reaches the policy even while all worker threads are blocked in writes to clients. */
 public class DiscoveryClientTurnTest {
-    /** As many threads as a crew may have. */
+    /** The largest number of threads of a worker pool. */
     private static final int MAX_WORKER_THREADS = 64;
 
     private static final int ENDPOINT_ID = 7;
@@ -42,7 +42,7 @@
     private final CountDownLatch writesMayFinish = new CountDownLatch(1);
     private final BlockingQueue<EndpointInfo> endpointUpdates = new LinkedBlockingQueue<>();
 
-    /** A connection whose client does not read what is written to it. */
+    /** A connection whose client does not read, so that writes to it block. */
     private final class BlockedConnection extends Actor {
         BlockedConnection() {
             super("stuck", 1, counters);
@@ -99,7 +99,7 @@
         out.flush();
     }
 
-    /** All threads of the crew sit in writes when the drain is told. */
+    /** All worker threads are blocked in writes when the drain event arrives. */
     @Test
     public void drainIsAppliedWhileAllWorkersAreBlockedInWrites() throws Exception {
         WorkerPool workers = new WorkerPool();
@@ -117,7 +117,7 @@
             try (Socket connection = discoveryServer.accept()) {
                 sendDrainEvent(connection);
                 EndpointInfo update = endpointUpdates.poll(TIMEOUT_S, TimeUnit.SECONDS);
-                assertNotNull(update, "the drain waits for a thread");
+                assertNotNull(update, "the drain event was not applied while all workers were blocked");
                 assertEquals(update.id() + " " + update.state(), ENDPOINT_ID + " " + EndpointState.DRAINING);
             } finally {
                 client.close();
--- a/src/test/java/magpiewheel/peers/PeerTransportTest.java
+++ b/src/test/java/magpiewheel/peers/PeerTransportTest.java
@@ -17,16 +17,16 @@
 import magpiewheel.engine.WorkerPool;
 import org.junit.jupiter.api.Test;
 
-/** Knocks at real sockets: what a machine says of a port, and what comes to the knocking socket by the way. */
+/** Probes over real sockets: reports of unreachable ports, and messages that arrive at the probing socket. */
 class PeerTransportTest {
     private static final long TIMEOUT_S = 20;
-    /** Less than what 60 machines that say nothing take one after the other. */
+    /** Less than the 2.4 s that sequential probes of 60 silent peers take. */
     private static final long SEQUENTIAL_PROBES_NS = TimeUnit.SECONDS.toNanos(2);
 
     private final BlockingQueue<Long> unreachableReports = new LinkedBlockingQueue<>();
     private final BlockingQueue<byte[]> messages = new LinkedBlockingQueue<>();
 
-    /** Two addresses that nobody has, and that differ. */
+    /** Returns two different addresses that are not in use. */
     private static List<InetSocketAddress> unusedAddresses(InetAddress host) throws Exception {
         try (DatagramSocket one = new DatagramSocket(new InetSocketAddress(host, 0));
                 DatagramSocket other = new DatagramSocket(new InetSocketAddress(host, 0))) {
@@ -53,18 +53,18 @@
             DatagramPacket probe = new DatagramPacket(new byte[300], 300);
             listener.receive(probe);
             assertEquals(1, probe.getLength());
-            assertEquals(ownAddress, probe.getSocketAddress(), "it comes from the address that the front is known by");
-            // What the front sends just then is not lost, whichever socket of the two it comes to.
+            assertEquals(ownAddress, probe.getSocketAddress(), "the probe comes from the router's own peer address");
+            // A message that the peer sends now is not lost, whichever of the two sockets receives it.
             byte[] reply = {3, 1, 4};
             listener.send(new DatagramPacket(reply, reply.length, ownAddress));
             assertArrayEquals(reply, messages.poll(TIMEOUT_S, TimeUnit.SECONDS));
             transport.probe(2, 9);
-            assertEquals(2_009L, unreachableReports.poll(TIMEOUT_S, TimeUnit.SECONDS), "with the time of the question");
-            assertEquals(0, unreachableReports.size(), "the one that listens was not refused");
+            assertEquals(2_009L, unreachableReports.poll(TIMEOUT_S, TimeUnit.SECONDS), "with the time of the probe");
+            assertEquals(0, unreachableReports.size(), "the listening peer is not reported");
         }
     }
 
-    /** One after the other they would take 2.4 s: 60 machines that say nothing, 40 ms each. */
+    /** Sequential probes of 60 silent peers would take 2.4 s, 40 ms each. */
     @Test
     void silentPeersDoNotDelayOtherProbes() throws Exception {
         InetAddress host = InetAddress.getByName("127.0.0.1");
@@ -83,7 +83,7 @@
                     (peer, at) -> unreachableReports.add(peer * 1_000L + at),
                     new WorkerPool());
             long shortestNs = Long.MAX_VALUE;
-            // A machine that is busy for 2 s in one try is not in each of five.
+            // A test machine may be busy for 2 s in one attempt, but hardly in all five.
             for (int attempts = 0; attempts < 5 && shortestNs >= SEQUENTIAL_PROBES_NS; attempts++) {
                 long from = System.nanoTime();
                 for (int peer = 1; peer < addresses.size(); peer++) {
@@ -92,7 +92,7 @@
                 assertEquals(61_005L, unreachableReports.poll(TIMEOUT_S, TimeUnit.SECONDS));
                 shortestNs = System.nanoTime() - from;
             }
-            assertTrue(shortestNs < SEQUENTIAL_PROBES_NS, "put side by side, not within " + shortestNs + " ns");
+            assertTrue(shortestNs < SEQUENTIAL_PROBES_NS, "probes were sequential: " + shortestNs + " ns");
         } finally {
             silentPeers.forEach(DatagramSocket::close);
         }
--- a/src/test/java/magpiewheel/upstream/AbandonedRequestTest.java
+++ b/src/test/java/magpiewheel/upstream/AbandonedRequestTest.java
@@ -11,7 +11,7 @@
 import magpiewheel.wire.StandInNode;
 import org.testng.annotations.Test;
 
-/** Requests that are given up before their node has seen a byte of them: none of it is written then. */
+/** Requests that are abandoned before a byte of them was written: nothing may be written afterwards. */
 public class AbandonedRequestTest extends RespondingEndpointFixture {
     private static void await(CountDownLatch latch) {
         try {
@@ -21,7 +21,7 @@
         }
     }
 
-    /** The next request is served, and it is the first that the node sees. */
+    /** The next request is served, and it is the first that the endpoint receives. */
     private void assertOnlyNextRequestIsWritten() {
         harness.sendRequest("next", UpstreamHarness.PURE, null);
         assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.OK);
@@ -29,8 +29,8 @@
     }
 
     /**
-     * The module is busy and its mailbox full, so that it hears of nothing, and calls nothing off; the client leaves;
-     * then the connection comes up.
+     * The policy is busy and the engine's mailbox full, so that the disconnect is not processed and nothing is
+     * cancelled; the client disconnects; then the connection opens.
      */
     @Test
     public void disconnectWithFullMailboxStopsRequestWaitingForConnection() throws Exception {
@@ -50,14 +50,14 @@
         policyMayContinue.countDown();
         leaves.join();
         AttemptOutcome outcome = UpstreamHarness.take(harness.outcomes);
-        assertEquals(outcome.result(), AttemptResult.CANCELLED, "nothing is held against the node");
+        assertEquals(outcome.result(), AttemptResult.CANCELLED, "the endpoint is not at fault");
         assertTrue(outcome.requestCompleted());
         assertEquals(harness.disconnects.size(), 1);
         assertOnlyNextRequestIsWritten();
-        assertEquals(harness.counter(Counter.DIALS), 1, "the connection that came up late carries it");
+        assertEquals(harness.counter(Counter.DIALS), 1, "the connection that opened late carries it");
     }
 
-    /** The client leaves in the moment in which the module decides on a further attempt. */
+    /** The client disconnects while the policy decides on a further attempt. */
     @Test
     public void noRetryIsWrittenAfterClientDisconnects() {
         endpoint.script((line, body) -> StandInNode.word(line, "WAIT"));
@@ -78,10 +78,10 @@
         assertTrue(UpstreamHarness.take(endpoint.lines).startsWith("serve left "));
         assertEquals(harness.counter(Counter.WRITTEN), 1);
         harness.engine.clientDisconnected(call);
-        assertEquals(harness.disconnects.size(), 1, "the module hears of it once");
+        assertEquals(harness.disconnects.size(), 1, "the policy is notified once");
     }
 
-    /** A request that waited for the module's turn when its client left: the module never hears of it. */
+    /** The client disconnects while its request is queued for the policy: the policy never receives the request. */
     @Test
     public void policyNeverSeesRequestAbandonedWhileQueued() {
         CountDownLatch busy = new CountDownLatch(1);
@@ -103,8 +103,8 @@
     }
 
     /**
-     * What was called off while its connection came up has proven that it never ran: told as one that may have run, an
-     * unsafe request could be neither tried again nor refused.
+     * An attempt cancelled while its connection opens never ran. If it were reported as one that may have run, an
+     * unsafe request could be neither retried nor rejected.
      */
     @Test
     public void attemptCancelledDuringConnectIsReportedAsNeverRun() {
--- a/src/test/java/magpiewheel/upstream/BeginDeadlineTest.java
+++ b/src/test/java/magpiewheel/upstream/BeginDeadlineTest.java
@@ -16,8 +16,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Connections that come up late or never: no attempt waits for one longer than its module's decision holds. The clock
- * stands still but for what a test lets pass, so that a slow machine changes no verdict.
+ * Connections that open late or never: no attempt waits for one beyond the time in which its plan lets it begin. Only
+ * the test advances the clock, so that a slow machine changes no result.
  */
 public class BeginDeadlineTest {
     private static final long BEGIN_WITHIN_US = TimeUnit.MILLISECONDS.toMicros(200);
@@ -25,7 +25,7 @@
     private StandInNode endpoint;
     private UpstreamHarness harness;
 
-    /** A node that answers at once, connections that come up when a test lets them, and a clock that stands. */
+    /** Starts an endpoint that answers at once; connections open when the test allows it, and the clock is fixed. */
     @BeforeMethod
     public void start() throws IOException {
         endpoint = new StandInNode((line, body) -> StandInNode.done(line, "tell=hit,tag=aa,minted=1", new byte[10]));
@@ -34,7 +34,7 @@
         harness.startWithinUs = BEGIN_WITHIN_US;
     }
 
-    /** Ends what the test has started. */
+    /** Stops the engine and the endpoint. */
     @AfterMethod(alwaysRun = true)
     public void stop() throws IOException {
         harness.close();
@@ -44,7 +44,7 @@
     private void assertUnreachable() {
         AttemptOutcome outcome = UpstreamHarness.take(harness.outcomes);
         assertEquals(outcome.result(), AttemptResult.UNREACHABLE);
-        assertTrue(outcome.result().neverRan && !outcome.requestCompleted(), "it may go elsewhere");
+        assertTrue(outcome.result().neverRan && !outcome.requestCompleted(), "the request may be sent elsewhere");
     }
 
     private void assertServed(String trace) {
@@ -52,7 +52,7 @@
         assertTrue(UpstreamHarness.take(endpoint.lines).startsWith("serve " + trace + " "));
     }
 
-    /** The connection comes up when the decision no longer holds: nothing is written there, and the next may use it. */
+    /** The connection opens after the start deadline: the attempt is not written, the next request may use it. */
     @Test
     public void nothingIsWrittenAfterTheStartDeadline() {
         harness.sendRequest("late", UpstreamHarness.UNSAFE, null);
@@ -66,7 +66,7 @@
         assertEquals(harness.counter(Counter.WRITTEN), 1);
     }
 
-    /** The connection never comes up: the attempt ends in time for the request to go elsewhere. */
+    /** The connection never opens: the attempt ends in time for the request to be sent elsewhere. */
     @Test
     public void attemptEndsAtStartDeadlineIfConnectionNeverOpens() {
         harness.sendRequest("never", UpstreamHarness.PURE, null);
@@ -76,7 +76,7 @@
         assertEquals(harness.counter(Counter.WRITTEN), 0);
     }
 
-    /** At half of the time a second connection is begun, which carries the attempt; the first serves the next one. */
+    /** At half of the time a second connection is opened and carries the attempt; the first serves the next request. */
     @Test
     public void secondConnectionOpensAtHalfOfTheStartDeadline() {
         harness.sendRequest("first", UpstreamHarness.PURE, null);
--- a/src/test/java/magpiewheel/upstream/ControlledSocket.java
+++ b/src/test/java/magpiewheel/upstream/ControlledSocket.java
@@ -8,7 +8,7 @@
 import java.net.SocketException;
 import java.util.concurrent.CountDownLatch;
 
-/** A real connection to a node that comes up, and is read from, only when its test lets it. */
+/** A real socket that connects, and returns from reads, only when the test allows it. */
 final class ControlledSocket extends Socket {
     private final CountDownLatch connectAllowed = new CountDownLatch(1);
     private final CountDownLatch readsAllowed = new CountDownLatch(1);
@@ -24,37 +24,37 @@
         }
     }
 
-    /** From now on its reader learns of nothing that its reads return, until it is let. */
+    /** From now on reads do not return to the reader until {@link #resumeReads}. */
     void holdReads() {
         holdsReads = true;
     }
 
-    /** Waits until a read has returned something, or failed, that its reader does not know of yet. */
+    /** Waits until a held read has received data or failed. */
     void awaitRead() throws InterruptedException {
         readReturned.await();
     }
 
-    /** From now on its reader learns of nothing that waits behind what it has read, until it is let. */
+    /** From now on calls of {@code available} block until {@link #resumeAvailable}. */
     void holdAvailable() {
         holdsAvailable = true;
     }
 
-    /** Waits until its reader looks for what waits. */
+    /** Waits until the reader calls {@code available}. */
     void awaitAvailable() throws InterruptedException {
         availableCalled.await();
     }
 
-    /** Lets its reader know what waits. */
+    /** Lets held calls of {@code available} return. */
     void resumeAvailable() {
         availableAllowed.countDown();
     }
 
-    /** Lets the connection come up. */
+    /** Lets the socket connect. */
     void allowConnect() {
         connectAllowed.countDown();
     }
 
-    /** Lets its reader read. */
+    /** Lets held reads return. */
     void resumeReads() {
         readsAllowed.countDown();
     }
--- a/src/test/java/magpiewheel/upstream/KeepAlivePolicyTest.java
+++ b/src/test/java/magpiewheel/upstream/KeepAlivePolicyTest.java
@@ -7,25 +7,25 @@
 class KeepAlivePolicyTest {
     private static final long SECOND = 1_000_000_000L;
 
-    /** join+vast 913: 14 fronts paid 1,107 handshakes in 20 s, most for connections that each had closed unused. */
+    /** In case join+vast 913, 14 routers made 1,107 handshakes in 20 s, mostly for connections they had closed idle. */
     @Test
     void idleConnectionIsKeptForHalfOfTheEndpointTimeout() {
         assertEquals(15 * SECOND, new KeepAlivePolicy(30_000_000, 200).idleTimeoutNs(200));
         assertEquals(15 * SECOND, new KeepAlivePolicy(30_000_000, 200).idleTimeoutNs(100));
     }
 
-    /** Those kept for one node must not stand in the way of a connection to another. */
+    /** Idle connections to one endpoint must not prevent a connection to another. */
     @Test
     void idleTimeoutIsShortWhenFewConnectionsAreFree() {
         assertEquals(1_500_000_000L, new KeepAlivePolicy(30_000_000, 200).idleTimeoutNs(99));
         assertEquals(1_500_000_000L, new KeepAlivePolicy(30_000_000, 200).idleTimeoutNs(-1));
     }
 
-    /** Nodes that close early must not do so under a request. */
+    /** An endpoint that closes idle connections early must not close one that carries a request. */
     @Test
     void idleTimeoutNeverExceedsHalfOfTheEndpointTimeout() {
         assertEquals(SECOND, new KeepAlivePolicy(2_000_000, 200).idleTimeoutNs(200));
         assertEquals(SECOND, new KeepAlivePolicy(2_000_000, 200).idleTimeoutNs(0));
-        assertEquals(1_500_000_000L, new KeepAlivePolicy(0, 200).idleTimeoutNs(200), "a time that is not told");
+        assertEquals(1_500_000_000L, new KeepAlivePolicy(0, 200).idleTimeoutNs(200), "the endpoint timeout is unknown");
     }
 }
--- a/src/test/java/magpiewheel/upstream/LateConnectionTest.java
+++ b/src/test/java/magpiewheel/upstream/LateConnectionTest.java
@@ -9,7 +9,7 @@
 import magpiewheel.upstream.ScriptedEndpoint.Connection;
 import org.testng.annotations.Test;
 
-/** Connections that come up late: what waits for one goes over whichever connection can be used first. */
+/** Connections that open late: a waiting attempt is sent over whichever connection is usable first. */
 public class LateConnectionTest extends ScriptedEndpointFixture {
     private void served(Connection connection, String trace) throws IOException {
         assertTrue(connection.next().startsWith("serve " + trace + " "));
@@ -18,7 +18,9 @@
         assertEquals(UpstreamHarness.take(harness.answers).tag(), trace);
     }
 
-    /** Two wait for connections that never come up; the one in use becomes free, and carries both, the older first. */
+    /**
+     * Two attempts wait for connections that never open; the one in use becomes free and serves both, the older first.
+     */
     @Test
     public void freedConnectionServesAttemptsWaitingForOthers() throws Exception {
         harness.sendRequest("one", UpstreamHarness.PURE, null);
@@ -36,7 +38,7 @@
         later.close();
     }
 
-    /** The later of two connections comes up first; behind its own request it carries the one that still waits. */
+    /** The later of two connections opens first; after its own request it serves the one that still waits. */
     @Test
     public void openedConnectionServesAttemptWaitingForAnother() throws Exception {
         harness.holdsConnects = true;
@@ -48,7 +50,7 @@
         Connection connection = endpoint.accept();
         served(connection, "two");
         served(connection, "one");
-        // The one that nobody waits for any more comes up, and is there for the next two.
+        // The connection without a waiting attempt opens, and both serve the next two requests.
         late.allowConnect();
         try (Connection second = endpoint.accept()) {
             harness.sendRequest("three", UpstreamHarness.PURE, null);
@@ -58,7 +60,7 @@
         }
     }
 
-    /** A connection that is refused ends only an attempt that still waits for it. */
+    /** A connection that fails ends only an attempt that still waits for it. */
     @Test
     public void failedConnectionDoesNotAffectReassignedAttempt() throws Exception {
         harness.sendRequest("one", UpstreamHarness.PURE, null);
--- a/src/test/java/magpiewheel/upstream/LateWriteTest.java
+++ b/src/test/java/magpiewheel/upstream/LateWriteTest.java
@@ -11,14 +11,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What was decided in time, and whose connection comes up when it may no longer be sent. */
+/** Attempts that were started in time, but whose connection opens when they may no longer be written. */
 public class LateWriteTest extends RespondingEndpointFixture {
     @DataProvider
     Object[][] notReady() {
         return new Object[][] {{EndpointState.DRAINING}, {EndpointState.REMOVED}};
     }
 
-    /** The node was told to drain, or to have left, while the connection came up. */
+    /** The endpoint was listed as draining or removed while the connection opened. */
     @Test(dataProvider = "notReady")
     public void nothingIsWrittenToAnEndpointThatIsNoLongerReady(EndpointState state) {
         harness.holdsConnects = true;
@@ -31,22 +31,22 @@
         assertTrue(endpoint.lines.isEmpty());
     }
 
-    /** Another process has come under the node's id while the connection to the one before came up. */
+    /** A new process was listed under the endpoint's id while the connection to the previous one opened. */
     @Test
     public void nothingIsWrittenToAReplacedProcess() {
         harness.holdsConnects = true;
         harness.sendRequest("one", UpstreamHarness.UNSAFE, null);
         ControlledSocket socket = UpstreamHarness.take(harness.sockets);
         harness.updateEndpoint(EndpointState.READY, 1);
-        // Its message to the node's actor is before that of the connection.
+        // The list change reaches the endpoint's actor before the connection does.
         socket.allowConnect();
         assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.UNREACHABLE);
         assertEquals(harness.counter(Counter.WRITTEN), 0);
     }
 
     /**
-     * The first attempt may have run; the further one, which the module lets begin within the window, gets its
-     * connection so long after it was sent.
+     * Returns the outcome of a second attempt after one that may have run. The second may begin within
+     * {@code beginWithinUs} and its connection opens {@code afterUs} after it was sent.
      */
     private AttemptOutcome secondAttempt(long beginWithinUs, long afterUs) {
         endpoint.script((line, body) -> StandInNode.word(line, "BROKE"));
@@ -66,7 +66,7 @@
         return UpstreamHarness.take(harness.outcomes);
     }
 
-    /** A repeat whose connection comes up behind the window never runs. */
+    /** A retry whose connection opens after the window never runs. */
     @Test
     public void noRetryStartsAfterTheDeadlineOfItsPlan() {
         assertEquals(
@@ -76,7 +76,7 @@
         assertEquals(harness.counter(Counter.WRITTEN), 1);
     }
 
-    /** A repeat whose connection comes up within the window is written. */
+    /** A retry whose connection opens within the window is written. */
     @Test
     public void retryStartsBeforeTheDeadlineOfItsPlan() {
         assertEquals(
@@ -86,7 +86,7 @@
         assertEquals(harness.counter(Counter.WRITTEN), 2);
     }
 
-    /** What may be repeated freely is written however late its connection comes up. */
+    /** A retry without a start deadline is written however late its connection opens. */
     @Test
     public void planWithoutDeadlineStartsAtAnyTime() {
         assertEquals(secondAttempt(0, UpstreamHarness.WINDOW_US).result(), AttemptResult.ERROR);
--- a/src/test/java/magpiewheel/upstream/PooledConnectionTest.java
+++ b/src/test/java/magpiewheel/upstream/PooledConnectionTest.java
@@ -15,9 +15,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Connections that end, or bring what nobody asked for, in the moment in which the next request goes to them. */
+/** Pooled connections that end, or deliver unexpected data, just as the next request is sent on them. */
 public class PooledConnectionTest extends ScriptedEndpointFixture {
-    /** A connection that has served one request and is unused. */
+    /** Returns an idle connection that has served one request. */
     private Connection idleConnection() throws IOException {
         harness.sendRequest("first", UpstreamHarness.PURE, null);
         Connection connection = endpoint.accept();
@@ -32,12 +32,17 @@
         try (Connection newConnection = endpoint.accept()) {
             assertTrue(newConnection.next().startsWith("serve second "));
             newConnection.done("second", "t2");
-            assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.OK, "the first word of it");
+            assertEquals(
+                    UpstreamHarness.take(harness.outcomes).result(),
+                    AttemptResult.OK,
+                    "the first outcome of the second request");
             assertEquals(UpstreamHarness.take(harness.answers).tag(), "t2");
         }
     }
 
-    /** The node reset it, and its reader has yet to say so: a write takes nothing, so the request goes elsewhere. */
+    /**
+     * The endpoint reset it, and its reader has not reported that yet: no byte is accepted, another connection is used.
+     */
     @Test
     public void resetIdleConnectionAcceptsNothingAndCostsNoAttempt() throws Exception {
         Connection connection = idleConnection();
@@ -51,7 +56,7 @@
         socket.resumeReads();
     }
 
-    /** Its reader has closed it, and the node's actor has yet to hear so. */
+    /** The socket is closed, and the endpoint's actor has not been notified yet. */
     @Test
     public void closedIdleConnectionIsNotSelected() throws Exception {
         Connection connection = idleConnection();
@@ -66,7 +71,8 @@
     }
 
     /**
-     * The node ended its side only, and its reader has yet to say so: the machine took the request, so it may have run.
+     * The endpoint closed its side, and the reader has not reported that yet: the operating system accepted the
+     * request, so it may have run.
      */
     @Test
     public void requestWrittenToHalfClosedConnectionMayHaveRun() throws Exception {
@@ -83,7 +89,7 @@
         assertFalse(result.neverRan);
     }
 
-    /** What a node says before it ends the connection under a request; none of it proves that nothing ran. */
+    /** What an endpoint sends before it closes the connection during a request; none of it proves that nothing ran. */
     @DataProvider
     Object[][] partialResponses() {
         return new Object[][] {
@@ -97,7 +103,7 @@
         };
     }
 
-    /** Half an answer proves nothing about the effect of its request. */
+    /** A truncated response proves nothing about the effect of its request. */
     @Test(dataProvider = "partialResponses")
     public void truncatedResponseMayHaveRun(String text) throws Exception {
         Connection connection = idleConnection();
@@ -106,10 +112,10 @@
         connection.write(text);
         connection.close();
         assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.CONNECTION_LOST);
-        assertEquals(harness.pool.available(), UpstreamHarness.BUFFERS, "no room is lost");
+        assertEquals(harness.pool.available(), UpstreamHarness.BUFFERS, "no buffer is lost");
     }
 
-    /** An answer that never ends is called off in the end; it may have run, and the node gets nothing more there. */
+    /** An unfinished response is cancelled; the request may have run, and the connection is not used again. */
     @Test
     public void unfinishedResponseIsCancelledAndItsConnectionClosed() throws Exception {
         Connection connection = idleConnection();
@@ -117,15 +123,16 @@
         harness.sendRequest("second", UpstreamHarness.UNSAFE, null);
         assertTrue(connection.next().startsWith("serve second "));
         connection.write("second DONE tell=hit,tag=t2,minted=1 100000\r\nabc");
-        UpstreamHarness.awaitCondition("its room is taken", () -> harness.pool.available() < UpstreamHarness.BUFFERS);
+        UpstreamHarness.awaitCondition(
+                "its buffers are taken", () -> harness.pool.available() < UpstreamHarness.BUFFERS);
         harness.engine.peerMessageReceived(1, new byte[0]);
         assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.CANCELLED);
         assertEquals(lastLineOf(connection), "cancel second");
         UpstreamHarness.awaitCondition(
-                "its room is given back", () -> harness.pool.available() == UpstreamHarness.BUFFERS);
+                "its buffers are released", () -> harness.pool.available() == UpstreamHarness.BUFFERS);
     }
 
-    /** What comes before the end of a connection; one that is closed over unread octets may be reset. */
+    /** Returns the last line before the connection ends; one that is closed with unread data may be reset. */
     private static String lastLineOf(Connection connection) throws IOException {
         String last = null;
         try {
@@ -138,23 +145,23 @@
         return last;
     }
 
-    /** The second answer to a request comes while the next one is out on its connection. */
+    /** A duplicate response arrives while the next request is in flight on the connection. */
     @Test
     public void duplicateResponseIsNotMatchedToTheNextRequest() throws Exception {
         Connection connection = idleConnection();
         harness.sendRequest("second", UpstreamHarness.UNSAFE, null);
         assertTrue(connection.next().startsWith("serve second "));
         connection.done("first", "t1");
-        UpstreamHarness.awaitCondition("it was seen", () -> harness.counter(Counter.NODE_STRAYS) == 1);
+        UpstreamHarness.awaitCondition("the duplicate is counted", () -> harness.counter(Counter.NODE_STRAYS) == 1);
         connection.done("second", "t2");
         assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.OK);
         assertEquals(UpstreamHarness.take(harness.answers).tag(), "t2");
-        assertNull(connection.next(), "nor is the connection used again");
+        assertNull(connection.next(), "the connection must not be used again");
     }
 
     /**
-     * The node's actor hears of the second answer while the connection's reader is in the middle of the next one: what
-     * the reader finds behind that one must not undo it.
+     * The endpoint's actor is notified of the duplicate response while the connection's reader is still reading the
+     * next response: the reader's check for data after that one must not reset the flag.
      */
     @Test
     public void duplicateResponseReportedLateStillRetiresTheConnection() throws Exception {
@@ -173,11 +180,11 @@
         socket.awaitAvailable();
         actorMayContinue.countDown();
         harness.sendRequest("fourth", UpstreamHarness.PURE, null);
-        // Its connection is begun behind the word of the second answer.
+        // Its connection is opened after the actor was notified of the duplicate response.
         UpstreamHarness.take(harness.sockets);
         socket.resumeAvailable();
         assertEquals(UpstreamHarness.take(harness.outcomes).result(), AttemptResult.OK);
-        assertNull(connection.next(), "the connection is used again");
+        assertNull(connection.next(), "the connection must not be used again");
     }
 
     private static void await(CountDownLatch latch) {
@@ -189,8 +196,8 @@
     }
 
     /**
-     * The first try was turned away; another request went over its connection since. A second copy of that answer would
-     * say of the second try that it never ran.
+     * The first attempt was rejected; another request has used its connection since. On that connection, a duplicate of
+     * the rejection would wrongly report that the second attempt never ran.
      */
     @Test
     public void retryAvoidsConnectionsOfEarlierAttempts() throws Exception {
--- a/src/test/java/magpiewheel/upstream/ResponseLineTest.java
+++ b/src/test/java/magpiewheel/upstream/ResponseLineTest.java
@@ -27,10 +27,13 @@
                 ResponseLine.parse("0a DONE tag=5d,minted=1796137953049,tell=via_origin,lag=39.3 240000"));
         assertTrue(ResponseLine.parse("0a KEEP tag=5d,minted=17,tell=hit 0").unchanged());
         assertEquals(AttemptResult.REJECTED, ResponseLine.parse("0a WAIT - 0").result());
-        assertFalse(ResponseLine.parse("0a DONE tell=hit 52").identifiesCopy(), "a copy without its tag");
+        assertFalse(ResponseLine.parse("0a DONE tell=hit 52").identifiesCopy(), "no tag and no origin time");
     }
 
-    /** Seen on the sockets: an empty length was taken for 0, and the client told 'served' with no bytes at all. */
+    /**
+     * Observed on real connections: an empty length was parsed as 0, and the client got a successful response without
+     * bytes.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/src/test/java/magpiewheel/upstream/ScriptedEndpoint.java
+++ b/src/test/java/magpiewheel/upstream/ScriptedEndpoint.java
@@ -9,7 +9,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A node whose every step its test takes, connection by connection. */
+/** An endpoint whose connections the test accepts, reads and writes itself. */
 final class ScriptedEndpoint implements AutoCloseable {
     private static final int WAIT_MS = 20_000;
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
--- a/src/test/java/magpiewheel/upstream/ScriptedEndpointFixture.java
+++ b/src/test/java/magpiewheel/upstream/ScriptedEndpointFixture.java
@@ -4,19 +4,19 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** A rig whose node a test scripts line by line. */
+/** Connects the engine to an endpoint that the test scripts line by line. */
 abstract class ScriptedEndpointFixture {
     ScriptedEndpoint endpoint;
     UpstreamHarness harness;
 
-    /** Starts the node, and the engine that is connected to it. */
+    /** Starts the endpoint, and the engine that is connected to it. */
     @BeforeMethod
     public void start() throws IOException {
         endpoint = new ScriptedEndpoint();
         harness = new UpstreamHarness(endpoint.address());
     }
 
-    /** Ends both. */
+    /** Stops both. */
     @AfterMethod(alwaysRun = true)
     public void stop() throws IOException {
         harness.close();
--- a/src/test/java/magpiewheel/upstream/UpstreamHarness.java
+++ b/src/test/java/magpiewheel/upstream/UpstreamHarness.java
@@ -38,8 +38,8 @@
 import magpiewheel.routing.RoutingSettings;
 
 /**
- * The engine and its connections to one node, over real sockets, with a scripted module: each request goes to the node
- * once, and what follows is the test's to say. Classes 0, 1 and 2 are pure, keyed and unsafe.
+ * The engine and its connections to one endpoint, over real sockets, with a scripted routing policy: each request is
+ * sent to the endpoint once, and the test decides what follows. Request classes 0, 1 and 2 are pure, keyed and unsafe.
  */
 final class UpstreamHarness implements AutoCloseable {
     static final long ENDPOINT_ID = 1;
@@ -54,7 +54,7 @@
 
     final Counters counters = new Counters();
     final BufferPool pool = new BufferPool(BUFFERS, counters);
-    /** The connections, in the order in which they were begun. */
+    /** The sockets, in the order in which connecting began. */
     final BlockingQueue<ControlledSocket> sockets = new LinkedBlockingQueue<>();
 
     final BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
@@ -62,14 +62,14 @@
     final BlockingQueue<EndpointInfo> endpointUpdates = new LinkedBlockingQueue<>();
     final BlockingQueue<Long> disconnects = new LinkedBlockingQueue<>();
     volatile boolean holdsConnects;
-    /** What else is done where a connection is begun, on the node's actor. */
+    /** Called when a socket is created, on the endpoint's actor. */
     volatile Runnable onSocketCreated = () -> {};
-    /** How long after its decision the module lets an attempt begin; 0: as long as the request has time. */
+    /** How long after the policy's decision an attempt may begin; 0: without a limit of its own. */
     volatile long startWithinUs;
-    /** What the module does with an outcome of a request that is not over; first of all, on the module's actor. */
+    /** What the policy does with an outcome that does not complete its request; called on the engine's actor. */
     volatile BiConsumer<RoutingActions, AttemptOutcome> onOutcome =
             (actions, outcome) -> actions.reject(outcome.requestId(), 0);
-    /** What it does with a message from another front. */
+    /** What the policy does with a message from a peer. */
     volatile BiConsumer<RoutingActions, byte[]> onPeerMessage = (actions, message) -> {};
 
     final Engine engine;
@@ -81,7 +81,7 @@
         this(endpoint, InstantSource.system());
     }
 
-    /** Goes by a clock of the test's own; how long actors sleep is real time all the same. */
+    /** Uses the given clock; actors still sleep in real time. */
     UpstreamHarness(InetSocketAddress endpoint, InstantSource time) {
         address = endpoint;
         UnixClock clock = new UnixClock(() -> time.instant().plusNanos(clockOffsetUs.get() * 1_000));
@@ -110,12 +110,12 @@
         return socket;
     }
 
-    /** Tells of the node's state, and waits until the module has heard of it. */
+    /** Reports the endpoint's state, and waits until the policy has received it. */
     void updateEndpoint(EndpointState state) {
         updateEndpoint(state, 0);
     }
 
-    /** Likewise, of a process that was started at a time. */
+    /** Reports the endpoint's state and start time, and waits until the policy has received them. */
     void updateEndpoint(EndpointState state, long startedUs) {
         EndpointInfo member = EndpointInfo.builder(ENDPOINT_ID, 0, 0)
                 .startedUs(startedUs)
@@ -126,12 +126,12 @@
         take(endpointUpdates);
     }
 
-    /** The clock by which all goes is so much further on. */
+    /** Advances the clock by the given time. */
     void advanceClock(long us) {
         clockOffsetUs.addAndGet(us);
     }
 
-    /** A request that has an hour. */
+    /** Sends a request with a deadline in an hour. */
     PendingRequest sendRequest(String trace, int profile, Body body) {
         long now = engine.now();
         long later = now + TimeUnit.HOURS.toMicros(1);
@@ -163,7 +163,7 @@
         return AttemptPlan.builder(ENDPOINT_ID).startByUs(beginBy).build();
     }
 
-    /** A plan that may begin within so many us from now; 0: as long as the request has time. */
+    /** A plan that may begin within the given time from now; 0: without a limit of its own. */
     AttemptPlan planWithin(long us) {
         return plan(us == 0 ? Long.MAX_VALUE : engine.now() + us);
     }
@@ -210,7 +210,7 @@
     static <T> T take(BlockingQueue<T> of) {
         try {
             T next = of.poll(TIMEOUT_S, TimeUnit.SECONDS);
-            assertNotNull(next, "nothing came");
+            assertNotNull(next, "nothing arrived within " + TIMEOUT_S + " s");
             return next;
         } catch (InterruptedException e) {
             throw new AssertionError(e);
@@ -220,7 +220,7 @@
     static void awaitCondition(String what, BooleanSupplier holds) {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!holds.getAsBoolean()) {
-            assertTrue(System.nanoTime() - end < 0, "never happened: " + what);
+            assertTrue(System.nanoTime() - end < 0, "timed out waiting for: " + what);
             Thread.onSpinWait();
         }
     }
