--- a/src/main/java/magpiewheel/resp/Cancellations.java
+++ b/src/main/java/magpiewheel/resp/Cancellations.java
@@ -7,15 +7,15 @@
 import magpiewheel.engine.PendingRequest;
 
 /**
- * Requests that a client no longer waits for. The connection's reader tells the engine itself, since the connection's
- * actor may be held up by a client that is slow to read; the engine hears of each request at most once that it was
- * given up, and never before it took it.
+ * Tracks requests that the client cancelled. The connection's reader thread notifies the engine itself, because the
+ * connection's actor may be blocked on a client that reads slowly. The engine is told of each cancelled request at most
+ * once, and never before it was given the request.
  */
 final class Cancellations {
     private final Engine engine;
-    /** Given up by the client, and the actor has not worked that off yet. */
+    /** Tags cancelled by the client whose cancellation the actor has not processed yet. */
     private final Set<Long> cancelled = ConcurrentHashMap.newKeySet();
-    /** With the engine, and neither answered nor given up: who removes one from here tells the engine. */
+    /** Requests in the engine that are neither answered nor cancelled. Whoever removes an entry notifies the engine. */
     private final Map<Long, PendingRequest> inEngine = new ConcurrentHashMap<>();
 
     private volatile boolean allCancelled;
@@ -24,7 +24,7 @@
         this.engine = engine;
     }
 
-    /** On the reader: the client gives the request up. */
+    /** Cancels a request; called on the reader thread. */
     void cancel(long tag) {
         cancelled.add(tag);
         PendingRequest request = inEngine.remove(tag);
@@ -33,23 +33,26 @@
         }
     }
 
-    /** On the reader: the client has left. The mark counts at once; the actor tells the engine when it has its turn. */
+    /**
+     * Called on the reader thread when the client has disconnected. Marks every request as abandoned at once; the actor
+     * notifies the engine later, on its own turn.
+     */
     void cancelAll() {
         allCancelled = true;
         inEngine.values().forEach(PendingRequest::abandon);
     }
 
-    /** Whether the client gave the request up, and the actor has yet to hear of it. */
+    /** Whether the client cancelled the request and the actor has not processed the cancellation yet. */
     boolean contains(long tag) {
         return cancelled.contains(tag);
     }
 
-    /** On the actor: gives a request to the engine. */
+    /** Passes a request to the engine; called on the actor. */
     void submit(long tag, PendingRequest request) {
         abandonIfCancelled(tag, request);
         engine.submit(request);
         inEngine.put(tag, request);
-        // The reader may have looked for it before it was there.
+        // The reader may have cancelled the request before it was in the map.
         abandonIfCancelled(tag, request);
         if (cancelled.contains(tag)) {
             cancelInEngine(tag, request);
@@ -62,19 +65,19 @@
         }
     }
 
-    /** On the actor: the request is given up, unless the reader has told the engine so. */
+    /** Cancels the request in the engine unless the reader has done so already; called on the actor. */
     void cancelInEngine(long tag, PendingRequest request) {
         if (inEngine.remove(tag, request)) {
             engine.clientDisconnected(request);
         }
     }
 
-    /** On the actor: the request has its answer. */
+    /** Forgets an answered request; called on the actor. */
     void answered(long tag) {
         inEngine.remove(tag);
     }
 
-    /** On the actor: it has heard that the client gave the request up. */
+    /** Forgets a cancellation that the actor has processed; called on the actor. */
     void processed(long tag) {
         cancelled.remove(tag);
     }
--- a/src/main/java/magpiewheel/resp/ClientConnection.java
+++ b/src/main/java/magpiewheel/resp/ClientConnection.java
@@ -14,20 +14,20 @@
 import magpiewheel.staleness.InvalidHintException;
 
 /**
- * The actor of one client connection: it owns what is open on it ({@link RequestWindow}) and writes the answers
- * ({@link ResponseWriter}); a reader of its own ({@link ClientReader}) takes the frames in. With a full mailbox the
- * reader waits; answers come in the reserve, one for each request let in. A connection that says nothing costs its
- * reader's thread and no buffer.
+ * The actor of one client connection. It owns the open requests ({@link RequestWindow}) and writes the responses
+ * ({@link ResponseWriter}); a thread of its own ({@link ClientReader}) reads the frames. The reader blocks while the
+ * mailbox is full; responses use the mailbox's reserve, which has room for one for each admitted request. A connection
+ * without input costs its reader thread and no buffer.
  */
 final class ClientConnection extends Actor implements PendingRequest.Responder, ClientReader.FrameHandler {
     private static final int MAILBOX_CAPACITY = 64;
-    /** Requests that can't be used, or over the bound, that one client may send; behind them it is closed. */
+    /** Maximum number of invalid requests, or requests over a limit, from one client; then the connection is closed. */
     private static final int MAX_VIOLATIONS = 16;
-    /** us; taken off the patience for the way of the answer back. */
+    /** us; subtracted from the client's patience for the transit of the response. */
     private static final long RESPONSE_TRANSIT_US = 10_000;
     /**
-     * ns; so long a client whose connection was ended is given to close it: a request may cross the end for 50 ms, and
-     * the last silent ones are owed the whole close 3 s after they came.
+     * ns; time for a client to close its side: a request may cross the half-close for 50 ms, and clients that send no
+     * complete request must be fully closed 3 s after they connected.
      */
     private static final long HALF_CLOSE_TIMEOUT_NS = TimeUnit.MILLISECONDS.toNanos(300);
 
@@ -53,7 +53,7 @@
 
     @Override
     public PendingRequest.ConnectionAddresses addresses() {
-        return socket.ends();
+        return socket.addresses();
     }
 
     void begin() throws IOException {
@@ -63,9 +63,9 @@
         shared.workers().runReader(this::read);
     }
 
-    // ---------------------------------------------------------------- looked at by the front's thread
+    // ---------------------------------------------------------------- called by the acceptor or drain thread
 
-    /** Ends the connection of a client that takes nothing, says nothing, or never ends what it says. */
+    /** Closes the connection of a client that reads no responses, is idle or does not complete a request. */
     void sweep(long now) {
         if (writer.stuck(now)) {
             close();
@@ -88,17 +88,17 @@
         }
     }
 
-    /** Whether this side of the connection was ended. */
+    /** Whether this side of the connection has been half-closed. */
     boolean halfClosed() {
         return socket.halfClosed();
     }
 
-    /** ns; when this side of the connection was ended. */
+    /** ns; when this side of the connection was half-closed. */
     long halfClosedAt() {
         return socket.halfClosedAt();
     }
 
-    /** Ends the connection unless something is owed on it; what comes behind that is read and dropped. */
+    /** Half-closes the connection unless a response is owed; later input is discarded. */
     private boolean halfCloseIfIdle() {
         if (!admission.closeIfIdle()) {
             return false;
@@ -107,44 +107,44 @@
         return true;
     }
 
-    /** Waits no longer for the client to close. */
+    /** Stops waiting for the client to close its side. */
     void shutdownInput() {
         socket.shutdownInput();
     }
 
-    /** How gladly it is closed when the front is full; 0 where something is owed, or may be on its way. */
+    /** Returns the eviction priority; 0 if a response is owed or a request may be in transit. */
     long evictionRank(long now) {
-        // One closed while its client still reads could cut off an answer: a request that meets a close resets.
+        // Closing while the client reads could cut off a response: a request that meets a close causes a reset.
         boolean inUse = busy() || halfClosed() || writer.writing() || !allRead(now);
         return inUse ? 0 : activity.evictionRank(now);
     }
 
-    /** Whether nobody has used it for so long that, beyond some, it may go. */
+    /** Whether the connection has been unused long enough to be evicted when too many are unused. */
     boolean evictable(long now, boolean crowded) {
         return evictionRank(now) > 0 && activity.evictable(now, crowded);
     }
 
-    /** Ends it unless something came meanwhile: looked at last of all, so that no request falls in between. */
+    /** Half-closes the connection unless a request arrived meanwhile; checked last, so that none is lost in between. */
     boolean evict() {
         return evictionRank(System.nanoTime()) != 0 && !socket.hasUnread() && halfCloseIfIdle();
     }
 
-    /** Requests taken on it and not yet ended. */
+    /** Returns the number of requests accepted and not finished. */
     int openRequests() {
         return admission.openRequests();
     }
 
-    /** Whether its client has read all that was written to it, as far as one can know. */
+    /** Whether, by estimate, the client has read everything that was written to it. */
     boolean allRead(long now) {
         return writer.allRead(now);
     }
 
-    /** Looks when the process will end: what is open has to be answered before. */
+    /** Wakes the actor to recompute its timer: open requests must be answered before the process ends. */
     void wakeForShutdown() {
         offerReserved(() -> {});
     }
 
-    /** Takes leave of a client that has been silent for a moment; behind an answer it is done sooner. */
+    /** Closes the connection of a client that sent nothing lately; after a response, the actor does so sooner. */
     void drainIfUnused() {
         if (evictionRank(System.nanoTime()) > 0) {
             offer(this::halfCloseIfDrained);
@@ -152,8 +152,9 @@
     }
 
     /**
-     * On the actor, so that no request of this client is being worked on, and once the client has read everything: it
-     * would see the end only behind what it has yet to read, and write requests meanwhile that nobody answers.
+     * Half-closes the connection if the client has read all its responses; called on the actor, so that no request of
+     * this client is being processed. A client sees the end of the stream only after it has read what precedes it, and
+     * until then could send requests that would go unanswered.
      */
     private void halfCloseIfDrained() {
         if (allRead(System.nanoTime()) && !socket.hasUnread() && !reader.hasUnadmittedInput() && halfCloseIfIdle()) {
@@ -161,7 +162,7 @@
         }
     }
 
-    /** Whether an answer is owed or on its way. */
+    /** Whether a response is owed or being written. */
     boolean busy() {
         return admission.busy();
     }
@@ -170,7 +171,7 @@
         socket.close();
     }
 
-    // ---------------------------------------------------------------- the reader
+    // ---------------------------------------------------------------- reader thread
 
     private void read() {
         try {
@@ -187,7 +188,7 @@
         if (!admission.closed()) {
             shared.counters().add(Counter.CLIENT_GARBAGE);
         }
-        // Behind the frames before it, which are answered.
+        // After the frames before it, which are still answered.
         putAndRun(this::halfCloseWhenAnswered);
     }
 
@@ -196,11 +197,11 @@
         putAndRun(this::halfCloseWhenAnswered);
     }
 
-    /** Where the connection was ended first, the client sends the request again elsewhere. */
+    /** Admits the frame unless the connection has been ended; the client then sends the request again elsewhere. */
     @Override
     public boolean onFrame(RespParser.Frame frame) {
         long now = shared.clock().now();
-        // Counted before it waits for its turn: a connection closed meanwhile to make room would come again at once.
+        // Counted before it is queued: otherwise it could be evicted meanwhile, and the client would reconnect at once.
         if (!admission.admitFrame()) {
             release(frame.body());
             return false;
@@ -208,7 +209,7 @@
         activity.onFrame();
         reader.frameAdmitted();
         if (frame.verb().equals("NEVERMIND")) {
-            // Ahead of its turn: the actor may be in the middle of an answer that the client is slow to read.
+            // Ahead of the mailbox: the actor may be blocked writing a response that the client reads slowly.
             requests.cancellations().cancel(frame.tag());
         }
         if (!putAndRun(() -> {
@@ -224,11 +225,11 @@
         return true;
     }
 
-    // ---------------------------------------------------------------- the actor
+    // ---------------------------------------------------------------- actor
 
     private void handle(RespParser.Frame frame, long now) {
         if (admission.closed() && !frame.verb().equals("NEVERMIND")) {
-            // Behind what ended the connection: the client sends it again elsewhere.
+            // After the frame that ended the connection: the client sends the request again elsewhere.
             release(frame.body());
             return;
         }
@@ -252,7 +253,7 @@
 
     private void handleAsk(RespParser.Frame frame, long now) {
         if (stopped()) {
-            // It crossed the end of the connection: the client sends it again elsewhere.
+            // The request crossed the close of the connection: the client sends it again elsewhere.
             release(frame.body());
             return;
         }
@@ -263,7 +264,7 @@
         }
         int profile = shared.classes().indexOf(frame.className());
         if (requests.contains(frame.tag())) {
-            // Two answers under one number would look like one: it gets an error, and no other answer any more.
+            // Two responses with one tag would be indistinguishable: it gets an error and no further response.
             shared.counters().add(Counter.BAD_REQUESTS);
             release(frame.body());
             write(frame.tag(), "FAILED", "");
@@ -301,10 +302,7 @@
         requests.add(frame.tag(), request, now);
     }
 
-    /**
-     * What can't be used gets one answer, with what is wrong as its body where that can be said, and nothing is sent
-     * on.
-     */
+    /** Answers FAILED, with the reason as the body if one is known; the request is not passed on. */
     private void rejectInvalid(RespParser.Frame frame, int profile, long now, String fields, String reason) {
         shared.counters().add(Counter.BAD_REQUESTS);
         release(frame.body());
@@ -314,7 +312,7 @@
         countViolation();
     }
 
-    /** The same again and again, at full speed, costs others their time. */
+    /** Limits violations, since a client that repeats them at full speed takes time from the others. */
     private void countViolation() {
         violations++;
         if (violations > MAX_VIOLATIONS && requests.isEmpty()) {
@@ -323,7 +321,7 @@
         }
     }
 
-    /** Takes nothing more, and ends the connection behind the answers to what is open. */
+    /** Stops admission and half-closes the connection once all open requests are answered. */
     private void halfCloseWhenAnswered() {
         admission.close();
         halfCloseIfAnswered();
@@ -358,7 +356,7 @@
         return wait == Long.MAX_VALUE ? -1 : wait;
     }
 
-    /** Whether it is time to take leave, and nothing stands against it but what the client has yet to read. */
+    /** Whether the connection is to be drained and only unread responses can still prevent it. */
     private boolean canDrainNow() {
         return activity.hasReceivedFrame()
                 && !busy()
@@ -377,7 +375,7 @@
             failOpenRequests();
         }
         for (RequestWindow.Tagged late : requests.overdue(now)) {
-            // Decided early: nothing was sent for it, and the client may still go elsewhere.
+            // Rejected early: nothing was sent for it, and the client can still go elsewhere.
             PendingRequest request = late.request();
             shared.counters().add(Counter.CLIENT_BOUND);
             release(request.clientRequest().body());
@@ -387,7 +385,7 @@
         halfCloseIfAnswered();
     }
 
-    /** The process ends: what was taken before it was told so, and has more time than it, is failed while it can be. */
+    /** Fails requests accepted before the shutdown notice that are open when the process has no time left for them. */
     private void failOpenRequests() {
         releaseQueued();
         for (RequestWindow.Tagged each : requests.dropAll()) {
@@ -407,57 +405,57 @@
     }
 
     @Override
-    public void respond(PendingRequest request, Response answer) {
-        if (!offerReserved(() -> deliver(request, answer))) {
-            release(answer.body());
+    public void respond(PendingRequest request, Response response) {
+        if (!offerReserved(() -> deliver(request, response))) {
+            release(response.body());
             if (!stopped()) {
-                // Never seen: requests taken back at the very moment of their answer would have to fill the reserve.
+                // Never observed: requests cancelled just as they are answered would have to fill the reserve.
                 shared.counters().add(Counter.MAILBOX_FULL);
                 close();
             }
         }
     }
 
-    private void deliver(PendingRequest request, Response answer) {
+    private void deliver(PendingRequest request, Response response) {
         Long tag = requests.answered(request);
         if (tag != null) {
-            writeAnswer(tag, request, answer);
+            writeAnswer(tag, request, response);
             requests.updateOpenCount();
-            if (answer.outcome() == PendingRequest.Outcome.SERVED) {
+            if (response.outcome() == PendingRequest.Outcome.SERVED) {
                 requests.grow();
             }
             requests.admit();
             halfCloseIfAnswered();
         }
-        release(answer.body());
+        release(response.body());
     }
 
-    private void writeAnswer(long tag, PendingRequest request, Response answer) {
+    private void writeAnswer(long tag, PendingRequest request, Response response) {
         int profile = request.clientRequest().classIndex();
-        recordOutcome(profile, answer.outcome());
-        boolean complete = tryWrite(() -> writer.write(tag, answer));
-        notifyListener(request.clientRequest(), profile, answer, request.receivedAtUs(), complete);
+        recordOutcome(profile, response.outcome());
+        boolean complete = tryWrite(() -> writer.write(tag, response));
+        notifyListener(request.clientRequest(), profile, response, request.receivedAtUs(), complete);
     }
 
-    /** Turned away here, before the module has heard of it; {@code ask} is null where its fields were not read. */
+    /** Rejects a request that has not been passed to the engine; {@code ask} is null if its fields were not parsed. */
     private void reject(long tag, int profile, PendingRequest.ClientRequest ask) {
         recordOutcome(profile, PendingRequest.Outcome.REJECTED);
-        Response answer = Response.rejected(shared.engine().retryAfterUs());
-        boolean complete = tryWrite(() -> writer.write(tag, answer));
-        notifyListener(ask, profile, answer, shared.clock().now(), complete);
+        Response response = Response.rejected(shared.engine().retryAfterUs());
+        boolean complete = tryWrite(() -> writer.write(tag, response));
+        notifyListener(ask, profile, response, shared.clock().now(), complete);
     }
 
     private void notifyListener(
-            PendingRequest.ClientRequest ask, int profile, Response answer, long takenAt, boolean complete) {
+            PendingRequest.ClientRequest ask, int profile, Response response, long receivedAtUs, boolean complete) {
         if (shared.responseListener() != ResponseListener.NONE) {
             shared.responseListener()
-                    .responseSent(addresses(), ask, profile, answer, takenAt, writer.bytesWritten(), complete);
+                    .responseSent(addresses(), ask, profile, response, receivedAtUs, writer.bytesWritten(), complete);
         }
     }
 
-    private void recordOutcome(int profile, PendingRequest.Outcome end) {
+    private void recordOutcome(int profile, PendingRequest.Outcome outcome) {
         if (profile >= 0) {
-            shared.stats().requestEnded(profile, end);
+            shared.stats().requestEnded(profile, outcome);
         }
     }
 
@@ -469,14 +467,14 @@
         tryWrite(() -> writer.write(tag, word, fields, ""));
     }
 
-    /** False where an answer could not be written whole. */
+    /** Returns false if the response could not be written completely. */
     private boolean tryWrite(WriteOperation operation) {
         try {
             operation.run();
             return true;
         } catch (IOException e) {
             close();
-            // At once: the reader may wait for room here, and what it has read would still be sent on.
+            // Stopped at once: else frames that the reader holds for the mailbox would still be passed on.
             stop();
             return false;
         } finally {
@@ -487,7 +485,7 @@
     @Override
     protected void onTerminated() {
         close();
-        // The client is gone, and with it whoever waited for these.
+        // The client has disconnected: no one waits for these requests any more.
         releaseQueued();
         requests.dropAll();
         requests.updateOpenCount();
--- a/src/main/java/magpiewheel/resp/ClientReader.java
+++ b/src/main/java/magpiewheel/resp/ClientReader.java
@@ -10,23 +10,29 @@
 import magpiewheel.engine.LingeringClose;
 
 /**
- * The reader of one connection, on a thread of its own: it hands frames on until the client ends the connection, or
- * this side does, and then reads and drops what still comes. It holds no buffer before the first byte.
+ * Reads one connection on its own thread. Delivers frames until the client or this side ends the connection, then reads
+ * and discards the remaining input. Holds no buffer before the first byte arrives.
  */
 final class ClientReader {
-    /** Where the frames go. */
+    /** Receives the frames that were read. */
     interface FrameHandler {
-        /** A frame; false where the connection was ended first, and nothing is taken any more. */
+        /**
+         * Handles a frame. Returns false if the connection has already been ended, in which case no more frames are
+         * accepted.
+         */
         boolean onFrame(RespParser.Frame frame);
 
-        /** What came is no frame. */
+        /** Handles input that is not a valid frame. */
         void onMalformed();
 
-        /** There is no room to read in. */
+        /** Handles the lack of a free read buffer. */
         void onNoBuffer();
     }
 
-    /** ns; half a request that grew so lately is work: written in pieces, it is served in the end. */
+    /**
+     * ns; a partial request that received bytes within this time counts as work: a client that writes in small pieces
+     * is still served.
+     */
     private static final long RECENT_INPUT_NS = TimeUnit.MILLISECONDS.toNanos(300);
 
     private final ClientSocket socket;
@@ -40,7 +46,7 @@
         this.counters = counters;
     }
 
-    /** Reads until the connection is over; the caller closes it then. */
+    /** Reads until the connection is closed; the caller then closes the socket. */
     void run(FrameHandler handler) {
         Body buffer = null;
         try {
@@ -58,7 +64,7 @@
             }
             LingeringClose.drain(in);
         } catch (IOException e) {
-            // Reset or closed.
+            // The connection was reset or closed.
         } catch (RuntimeException e) {
             counters.add(Counter.FAULTS);
             System.err.println("client-reader: " + e + " at " + e.getStackTrace()[0]);
@@ -80,38 +86,41 @@
         }
     }
 
-    /** On the reader: others know of the frame that came last. */
+    /** Called on the reader thread once the last frame has been counted by admission control. */
     void frameAdmitted() {
         parser.frameAdmitted();
     }
 
-    // ---------------------------------------------------------------- for other threads to look at
+    // ---------------------------------------------------------------- called by other threads
 
-    /** Whether bytes came after a time. */
+    /** Whether bytes were received after the given time (ns). */
     boolean receivedSince(long since) {
         RespParser current = parser;
         return current != null && current.lastReadAt() - since > 0;
     }
 
-    /** ns; when the first byte of the frame came that is being read; 0 between frames. */
+    /** ns; when the first byte of the frame being read arrived; 0 between frames. */
     long frameStartedAt() {
         RespParser current = parser;
         return current == null ? 0 : current.frameStartedAt();
     }
 
-    /** Whether a body is being read. */
+    /** Whether a request body is being read. */
     boolean inBody() {
         RespParser current = parser;
         return current != null && current.inBody();
     }
 
-    /** Whether a frame is being read, and grew lately. */
+    /** Whether a frame is being read and received bytes recently. */
     boolean frameGrowing(long now) {
         RespParser current = parser;
         return current != null && current.frameStartedAt() != 0 && now - current.lastReadAt() < RECENT_INPUT_NS;
     }
 
-    /** Whether it holds part of a request, or one behind those that were handed on, and that grew lately. */
+    /**
+     * Whether it has recently read bytes of a request that admission control does not count yet: a partial request or
+     * one behind the last frame delivered.
+     */
     boolean hasUnadmittedInput() {
         RespParser current = parser;
         return current != null
--- a/src/main/java/magpiewheel/resp/ClientSocket.java
+++ b/src/main/java/magpiewheel/resp/ClientSocket.java
@@ -10,9 +10,9 @@
 import magpiewheel.engine.PendingRequest;
 
 /**
- * The socket of one client, and how it ends: first this side alone (the half-close), then, once the client has closed
- * or has had its time, all of it. A close over unread bytes would reset the connection, and answers that are on their
- * way would go with it.
+ * The socket of one client and its two-step close: first a half-close of this side, then a full close once the client
+ * has closed or its time has run out. Closing a socket with unread bytes would reset the connection and lose the
+ * responses in transit.
  */
 final class ClientSocket {
     private final Socket socket;
@@ -22,7 +22,7 @@
         this.socket = socket;
     }
 
-    /** Sends small writes at once: those that the system held back would be lost with a reset. */
+    /** Disables Nagle's algorithm: small writes that the system delays would be lost on a reset. */
     void disableSendDelay() throws IOException {
         socket.setTcpNoDelay(true);
     }
@@ -35,8 +35,8 @@
         return socket.getOutputStream();
     }
 
-    /** The addresses at both ends; null where they are not known any more. */
-    PendingRequest.ConnectionAddresses ends() {
+    /** Returns the addresses of both ends, or null if they are no longer known. */
+    PendingRequest.ConnectionAddresses addresses() {
         InetSocketAddress local = (InetSocketAddress) socket.getLocalSocketAddress();
         InetSocketAddress remote = (InetSocketAddress) socket.getRemoteSocketAddress();
         return local == null || remote == null
@@ -45,7 +45,7 @@
                         Ipv4.toInt(local), local.getPort(), Ipv4.toInt(remote), remote.getPort());
     }
 
-    /** Whether bytes have come that nobody has read: on a busy machine a reader may be late for its turn. */
+    /** Whether received bytes are still unread: on a busy machine the reader thread may be scheduled late. */
     boolean hasUnread() {
         try {
             return socket.getInputStream().available() > 0;
@@ -54,17 +54,20 @@
         }
     }
 
-    /** Whether this side was ended. */
+    /** Whether this side has been half-closed. */
     boolean halfClosed() {
         return halfClosedAt.get() != 0;
     }
 
-    /** ns; when this side was ended; 0 while the client is served. */
+    /** ns; when this side was half-closed; 0 while the client is served. */
     long halfClosedAt() {
         return halfClosedAt.get();
     }
 
-    /** Ends this side, for good and once. The client reads all that was written to it and then the end. */
+    /**
+     * Half-closes the connection; later calls have no effect. The client reads everything that was written to it and
+     * then the end of the stream.
+     */
     void halfClose() {
         if (!halfClosedAt.compareAndSet(0, System.nanoTime() | 1)) {
             return;
@@ -76,7 +79,10 @@
         }
     }
 
-    /** The reader sees the end and closes: that costs much less than a close under a thread that reads. */
+    /**
+     * Makes the reader thread see the end of the stream and close the socket: much cheaper than closing it while a
+     * thread is blocked in a read.
+     */
     void shutdownInput() {
         try {
             socket.shutdownInput();
@@ -89,7 +95,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // It is closed all the same.
+            // Nothing more can be done: the socket is closed.
         }
     }
 }
--- a/src/main/java/magpiewheel/resp/ConnectionActivity.java
+++ b/src/main/java/magpiewheel/resp/ConnectionActivity.java
@@ -2,27 +2,31 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** When and for what a connection was used last: how long it may stay, and how gladly it makes room for others. */
+/**
+ * Tracks when and for what a connection was last used, which decides how long it may stay open and how early it is
+ * evicted in favour of new clients.
+ */
 final class ConnectionActivity {
-    /** ns; the longest that a connection may be idle. */
+    /** ns; maximum idle time of a connection. */
     private static final long IDLE_TIMEOUT_NS = TimeUnit.SECONDS.toNanos(10);
     /**
-     * ns; the longest to the first request, and from a request's first byte to its last (clients far off take 2 s to
-     * write one, bad ones are owed an end within 3 s); with a body, longer.
+     * ns; maximum time to the first request, and from the first to the last byte of a request without a body (distant
+     * clients take 2 s to write one; invalid ones must be closed within 3 s).
      */
     private static final long REQUEST_TIMEOUT_NS = TimeUnit.MILLISECONDS.toNanos(2_400);
 
     private static final long BODY_TIMEOUT_NS = TimeUnit.MILLISECONDS.toNanos(4_500);
     /**
-     * ns; younger connections are never closed to make room: their request may be on its way. Measured on full fronts,
-     * 999 in 1,000 come sooner; each newcomer of a crowd keeps its place for so long from those who ask.
+     * ns; a connection used more recently than this is never evicted, since its request may be in transit: on full
+     * servers, 999 of 1,000 requests arrive sooner. New connections in a burst hold their place for this time against
+     * active clients.
      */
     private static final long EVICTION_GRACE_NS = TimeUnit.MILLISECONDS.toNanos(20);
 
     private static final long UNUSED_AFTER_REQUEST_NS = TimeUnit.MILLISECONDS.toNanos(150);
     private static final long UNUSED_AFTER_STATUS_NS = TimeUnit.MILLISECONDS.toNanos(60);
     private static final long UNUSED_INCOMPLETE_NS = TimeUnit.MILLISECONDS.toNanos(500);
-    /** ns; above any time unused: what divides the ranks of {@link #evictionRank}. */
+    /** ns; step between the classes of {@link #evictionRank}, above any possible unused time. */
     private static final long RANK_STEP = Long.MAX_VALUE / 4;
 
     private final ClientReader reader;
@@ -35,48 +39,49 @@
         this.reader = reader;
     }
 
-    /** A frame was read. */
+    /** Records that a frame was read. */
     void onFrame() {
         frameReceived = true;
         touch();
     }
 
-    /** A frame was worked off, or an answer written. */
+    /** Records that a frame was processed or a response written. */
     void touch() {
         lastUsedAt = System.nanoTime();
     }
 
-    /** It carried a request, and not only questions how the front is. */
+    /** Records that the connection carried a request, and not only status queries. */
     void onRequest() {
         requestReceived = true;
     }
 
-    /** Whether a frame was ever read. */
+    /** Whether any frame has been read. */
     boolean hasReceivedFrame() {
         return frameReceived;
     }
 
-    /** Whether it was not used for so long that it is ended. */
+    /** Whether the idle time-out has expired. */
     boolean idle(long now) {
         return now - lastUsedAt > IDLE_TIMEOUT_NS;
     }
 
-    /** Whether the client owes a request, or the rest of one, for so long that it is ended. */
+    /** Whether the client has taken too long to send its first request or to complete a partial one. */
     boolean requestOverdue(long now) {
         long incomplete = incompleteSince();
         return incomplete != 0 && now - incomplete > (reader.inBody() ? BODY_TIMEOUT_NS : REQUEST_TIMEOUT_NS);
     }
 
-    /** ns; when what it owes to say began: its first request, or the one it is in the middle of. 0: it owes nothing. */
+    /** ns; start of the wait for the first request or of the partial frame; 0 if neither is outstanding. */
     private long incompleteSince() {
         long frame = reader.frameStartedAt();
         return frame != 0 ? frame : frameReceived ? 0 : createdAt;
     }
 
     /**
-     * How gladly it is closed when the front is full: the silent first, then those that only asked how the front is,
-     * then the longest unused; 0 for one so young that a request may be on its way. A frame that is just being read is
-     * work; one that has been for a while is half a request.
+     * Returns the eviction priority when the server is full, highest first: connections without a complete request,
+     * then those that only sent status queries, then those unused for longest. 0 protects a recently used connection,
+     * whose next request may be in transit. A frame that has received bytes recently counts as work; one that has
+     * stalled counts as a partial request.
      */
     long evictionRank(long now) {
         long unused = now - lastUsedAt;
@@ -86,7 +91,10 @@
         return incompleteSince() != 0 ? 2 * RANK_STEP + unused : requestReceived ? unused : RANK_STEP + unused;
     }
 
-    /** Whether nobody has used it for so long that, beyond some, it may go: one that was silent, a bit later. */
+    /**
+     * Whether the connection has been unused long enough to be evicted when too many are unused; the limit is longer
+     * for connections without a complete request.
+     */
     boolean evictable(long now, boolean crowded) {
         long limit = incompleteSince() != 0
                 ? UNUSED_INCOMPLETE_NS
--- a/src/main/java/magpiewheel/resp/ListeningSocket.java
+++ b/src/main/java/magpiewheel/resp/ListeningSocket.java
@@ -11,25 +11,28 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 
-/** Where clients come in: a listener of the front's own, or one that the platform holds and hands on. */
+/** The socket on which clients are accepted: one that this process opened, or one inherited from the parent process. */
 public abstract class ListeningSocket {
     private static final int BACKLOG = 512;
 
     ListeningSocket() {}
 
-    /** Where it is. */
+    /** Returns the local address. */
     public abstract InetSocketAddress address();
 
-    /** The next client; with none for so long, {@link SocketTimeoutException}. */
+    /** Accepts the next client; throws {@link SocketTimeoutException} if none connects within the time given (ms). */
     abstract Socket accept(int waitMs) throws IOException;
 
-    /** No more clients come in. */
+    /** Stops accepting clients. */
     abstract void close() throws IOException;
 
-    /** Whether clients go on coming in elsewhere when this front stops: then it need not wait for them. */
+    /**
+     * Whether other processes accept clients on the same socket when this one stops; then the drain need not wait for
+     * late clients.
+     */
     public abstract boolean isShared();
 
-    /** Listens on the address. */
+    /** Opens a listening socket on the address. */
     public static ListeningSocket bind(InetSocketAddress listen) throws IOException {
         ServerSocket listener = new ServerSocket();
         listener.setReuseAddress(true);
@@ -58,15 +61,15 @@
         };
     }
 
-    /** The listener that this process inherited as descriptor 0; null where that is none. */
+    /** Returns the listening socket inherited as descriptor 0, or null if descriptor 0 is not one. */
     public static ListeningSocket inherited() throws IOException {
         Channel channel = System.inheritedChannel();
         if (!(channel instanceof ServerSocketChannel listener)) {
             return null;
         }
-        // Whether it blocks is shared with every process that holds it. One that relied on blocking, or on a look
-        // before,
-        // could hang in an accept that another was faster in: so it never blocks, and is waited for beside.
+        // The blocking mode is shared with every process that holds the socket. A process that relied on blocking mode,
+        // or on an earlier readiness check, could hang in accept when another process took the connection first. So the
+        // socket is always non-blocking, and a selector waits for connections.
         listener.configureBlocking(false);
         Selector selector = Selector.open();
         listener.register(selector, SelectionKey.OP_ACCEPT);
@@ -89,7 +92,7 @@
 
             @Override
             void close() {
-                // Never closed: others use it, and with it the virtual machine would close the log.
+                // Left open: other processes use it, and closing it would make the virtual machine close the log.
             }
 
             @Override
--- a/src/main/java/magpiewheel/resp/RequestAdmission.java
+++ b/src/main/java/magpiewheel/resp/RequestAdmission.java
@@ -1,15 +1,15 @@
 package magpiewheel.resp;
 
 /**
- * What a connection has let in and not ended: frames that wait for their turn, and requests that are open. Ending the
- * connection and letting a frame in exclude each other, so a request that is read behind the end is never sent on.
+ * Counts what a connection has admitted and not finished: frames waiting for the actor and open requests. Closing and
+ * admitting exclude each other, so a request read after the close is never passed on.
  */
 final class RequestAdmission {
     private int pendingFrames;
     private int openRequests;
     private boolean closed;
 
-    /** Lets a frame in; false where the connection has been ended. */
+    /** Admits a frame; returns false if admission is closed. */
     synchronized boolean admitFrame() {
         if (closed) {
             return false;
@@ -18,32 +18,32 @@
         return true;
     }
 
-    /** A frame that was let in has been worked off. */
+    /** Records that an admitted frame has been processed. */
     synchronized void frameDone() {
         pendingFrames--;
     }
 
-    /** How many requests are open now. */
+    /** Sets the number of open requests. */
     synchronized void setOpenRequests(int count) {
         openRequests = count;
     }
 
-    /** Requests that were taken and not ended. */
+    /** Returns the number of requests admitted and not finished. */
     synchronized int openRequests() {
         return openRequests;
     }
 
-    /** Whether an answer is owed or on its way. */
+    /** Whether a response is owed or being written. */
     synchronized boolean busy() {
         return pendingFrames > 0 || openRequests > 0;
     }
 
-    /** Lets nothing in any more; what is open is still answered. */
+    /** Closes admission; open requests are still answered. */
     synchronized void close() {
         closed = true;
     }
 
-    /** Likewise, but only where nothing is owed; false where something is, or it was ended before. */
+    /** Closes admission if no response is owed. Returns false if one is, or if admission was already closed. */
     synchronized boolean closeIfIdle() {
         if (closed || pendingFrames > 0 || openRequests > 0) {
             return false;
@@ -52,7 +52,7 @@
         return true;
     }
 
-    /** Whether it lets nothing in any more. */
+    /** Whether admission is closed. */
     synchronized boolean closed() {
         return closed;
     }
--- a/src/main/java/magpiewheel/resp/RequestFields.java
+++ b/src/main/java/magpiewheel/resp/RequestFields.java
@@ -8,8 +8,8 @@
 import magpiewheel.staleness.ReadHint;
 
 /**
- * The fields of a request, checked. Whatever passes here is written to a node, and a node closes on what it can't read,
- * with all that is open on that connection.
+ * Parses and validates the fields of a request. Values accepted here are written to an endpoint, and an endpoint closes
+ * its connection, with every request open on it, on a value that it cannot parse.
  */
 final class RequestFields {
     private static final int ID_DIGITS = 16;
@@ -32,8 +32,8 @@
     private RequestFields() {}
 
     /**
-     * The request, or null where a field that is needed is missing or any can't be used; a hint, where they are heeded,
-     * says by itself what is wrong with it.
+     * Returns the request, or null if a required field is missing or any field is invalid. An invalid hint, if hints
+     * are enabled, is reported by the exception.
      */
     static PendingRequest.ClientRequest read(
             RespParser.Frame frame, List<String> classes, List<Long> deadlinesUs, boolean hintsEnabled)
@@ -43,7 +43,7 @@
         if (profile < 0 || !fields.parse(frame.fields()) || fields.trace == null || !fields.objectGiven) {
             return null;
         }
-        // No client waits longer than its class's deadline, and what it asks for is remembered until its time is up.
+        // A request may wait no longer than the deadline of its class, because its state is kept until its time is up.
         long deadlineUs = deadlinesUs.get(profile);
         long patienceUs = fields.patienceMs < 0 ? deadlineUs : Math.min(deadlineUs, (long) (fields.patienceMs * 1000));
         return new PendingRequest.ClientRequest(
@@ -66,7 +66,7 @@
         try {
             for (String field : text.split(",", -1)) {
                 int equals = field.indexOf('=');
-                // A name that comes twice may mean one thing here and another at the node.
+                // A repeated name could be read differently here and at the endpoint.
                 if (equals <= 0 || !names.add(field.substring(0, equals))) {
                     return false;
                 }
@@ -96,7 +96,7 @@
         }
     }
 
-    /** NaN is within nothing. */
+    /** Throws {@link NumberFormatException} unless the value is in the range; NaN is in no range. */
     private static double requireRange(double value, double min, double max) {
         if (!(value >= min && value <= max)) {
             throw new NumberFormatException("out of range");
@@ -104,7 +104,10 @@
         return value;
     }
 
-    /** The library's parsers take signs, hexadecimal figures, blanks and words such as Infinity, too. */
+    /**
+     * Restricts a number to digits and the decimal point: the library's parsers also accept signs, hexadecimal digits,
+     * blanks and words such as Infinity.
+     */
     private static String requireDecimal(String value) {
         return require(
                 value, value.length() <= MAX_DIGITS && value.chars().allMatch(c -> c >= '0' && c <= '9' || c == '.'));
--- a/src/main/java/magpiewheel/resp/RequestWindow.java
+++ b/src/main/java/magpiewheel/resp/RequestWindow.java
@@ -9,23 +9,23 @@
 import magpiewheel.engine.PendingRequest;
 
 /**
- * The requests open on one connection, for its actor. Only so many are with the engine at once: a burst, or hundreds of
- * requests taken back at once, must not reach the nodes in place of others' requests. The window grows with each
- * request served; the others wait for it.
+ * The requests open on one connection; used by its actor. The number of requests in the engine at a time is limited, so
+ * that a burst, or hundreds of cancelled requests, cannot displace other clients' requests at the endpoints. The window
+ * grows with each request served; further requests are queued here.
  */
 final class RequestWindow {
-    /** As many as the protocol lets be open on a connection. */
+    /** Maximum number of open requests on a connection, set by the protocol. */
     static final int MAX_OPEN = 32;
 
     private static final int INITIAL_WINDOW = 8;
-    /** us; so long a request taken back still counts in the window, which outlasts a burst read in one go. */
+    /** us; how long a cancelled request still counts in the window; longer than a burst read at once takes. */
     private static final long CANCELLED_HOLD_US = 50_000;
-    /** us; the longest that a request waits here for the window: short against every class's aim. */
+    /** us; maximum time in the queue; short against the latency objective of every class. */
     private static final long MAX_QUEUE_US = 150_000;
 
     private record Queued(long tag, PendingRequest request, long expiresAt) {}
 
-    /** A request by its number on the connection. */
+    /** A request with its tag on the connection. */
     record Tagged(long tag, PendingRequest request) {}
 
     private final Cancellations cancellations;
@@ -42,7 +42,7 @@
         this.admission = admission;
     }
 
-    /** What the client gave up, for the connection's reader too. */
+    /** Returns the client's cancellations; also used by the connection's reader thread. */
     Cancellations cancellations() {
         return cancellations;
     }
@@ -59,7 +59,7 @@
         return open.containsKey(tag);
     }
 
-    /** Takes a request, which the engine gets once the window has room. */
+    /** Queues a request, which is passed to the engine once the window has room. */
     void add(long tag, PendingRequest request, long now) {
         open.put(tag, request);
         tags.put(request, tag);
@@ -71,7 +71,7 @@
         admit();
     }
 
-    /** Gives the engine what the window has room for. */
+    /** Passes queued requests to the engine while the window has room. */
     void admit() {
         while (!queue.isEmpty() && inEngine + cancelledHolds.size() < window) {
             inEngine++;
@@ -80,7 +80,7 @@
         }
     }
 
-    /** The client gave a request up; the request, where it never came to the engine, and else null. */
+    /** Cancels a request. Returns it if it never reached the engine, else null. */
     PendingRequest cancel(long tag, long now) {
         cancellations.processed(tag);
         PendingRequest request = open.remove(tag);
@@ -98,7 +98,10 @@
         return null;
     }
 
-    /** The number of a request that the engine has answered; null where nobody waits for it any more. */
+    /**
+     * Removes a request that the engine has answered and returns its tag; returns null if the client no longer waits
+     * for it.
+     */
     Long answered(PendingRequest request) {
         Long tag = tags.get(request);
         if (tag == null || cancellations.contains(tag)) {
@@ -111,24 +114,30 @@
         return tag;
     }
 
-    /** A request was served, and its answer written: one more may be with the engine. */
+    /** Widens the window by one after a request was served and its response written. */
     void grow() {
         window = Math.min(MAX_OPEN, window + 1);
     }
 
-    /** What has ended is owed no more: only behind its answer, as a front that ends waits for what is being written. */
+    /**
+     * Updates the number of open requests in admission control. Called only after the response is written, as a
+     * terminating server waits for responses being written.
+     */
     void updateOpenCount() {
         admission.setOpenRequests(open.size());
     }
 
-    /** Us; when there is something to look at; {@link Long#MAX_VALUE} for never. */
+    /** Unix us; when the next timer expires; {@link Long#MAX_VALUE} if none is pending. */
     long nextAt() {
         return Math.min(
                 cancelledHolds.isEmpty() ? Long.MAX_VALUE : cancelledHolds.peekFirst(),
                 queue.isEmpty() ? Long.MAX_VALUE : queue.peekFirst().expiresAt());
     }
 
-    /** Lets those in that have room now, and takes those out that have waited too long for it. */
+    /**
+     * Passes on the requests that the window has room for; removes and returns those whose time in the queue has
+     * expired.
+     */
     List<Tagged> overdue(long now) {
         while (!cancelledHolds.isEmpty() && cancelledHolds.peekFirst() <= now) {
             cancelledHolds.pollFirst();
@@ -144,7 +153,7 @@
         return overdue;
     }
 
-    /** Takes all out that the engine never got: their bodies are still the connection's. */
+    /** Empties the queue and returns the requests that never reached the engine; the caller still owns their bodies. */
     List<PendingRequest> dropQueued() {
         List<PendingRequest> dropped = new ArrayList<>();
         for (Queued each : queue) {
@@ -154,7 +163,7 @@
         return dropped;
     }
 
-    /** Takes all out, and tells the engine of those that it has; those are returned for which the client waits. */
+    /** Removes all requests and cancels those in the engine. Returns the requests that the client still waits for. */
     List<Tagged> dropAll() {
         List<Tagged> dropped = new ArrayList<>();
         open.forEach((tag, request) -> {
--- a/src/main/java/magpiewheel/resp/RespParser.java
+++ b/src/main/java/magpiewheel/resp/RespParser.java
@@ -7,7 +7,7 @@
 import magpiewheel.engine.Body;
 import magpiewheel.engine.BufferPool;
 
-/** Reads RESP arrays of bulk strings from a client; every length is checked before room is taken for it. */
+/** Reads RESP arrays of bulk strings from a client; checks every length before allocating memory for it. */
 final class RespParser {
     private static final int MAX_ARRAY_LENGTH = 5;
     private static final int MAX_STRING_BYTES = 2_048;
@@ -16,10 +16,13 @@
     private static final long BUFFER_WAIT_MS = 50;
     private static final int BODY_INDEX = 4;
 
-    /** A frame: verb, tag, and what stands behind them; {@code bodyRefused} where there was no room for it. */
+    /**
+     * A frame; {@code className} is the third element, and {@code bodyRefused} is true if no buffers were free for the
+     * body.
+     */
     record Frame(String verb, long tag, String className, String fields, Body body, boolean bodyRefused) {}
 
-    /** The client does not keep to the form. */
+    /** The input violates the protocol. */
     static final class MalformedFrameException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -38,7 +41,7 @@
     private volatile boolean inBody;
     private volatile boolean hasUnadmittedInput = true;
 
-    /** Reads on behind a first byte that was read already. */
+    /** Continues after a first byte that has already been read. */
     RespParser(InputStream in, byte[] buffer, int first, BufferPool pool) {
         this.in = in;
         this.buffer = buffer;
@@ -47,32 +50,32 @@
         end = 1;
     }
 
-    /** ns; when the first byte of the frame came that is being read; 0 between frames. For other threads to look at. */
+    /** ns; when the first byte of the frame being read arrived; 0 between frames. Thread-safe. */
     long frameStartedAt() {
         return frameStartedAt;
     }
 
-    /** ns; when bytes came last: some clients write a request in many pieces. For other threads to look at. */
+    /** ns; when bytes were last read: some clients write a request in many pieces. Thread-safe. */
     long lastReadAt() {
         return lastReadAt;
     }
 
-    /** Whether bytes were read whose request nobody knows of yet. For other threads to look at. */
+    /** Whether bytes were read of a request that admission control does not count yet. Thread-safe. */
     boolean hasUnadmittedInput() {
         return hasUnadmittedInput;
     }
 
-    /** Others know of the frame that came last. */
+    /** Records that admission control counts the last frame. */
     void frameAdmitted() {
         hasUnadmittedInput = position != end;
     }
 
-    /** Whether a body is being read. */
+    /** Whether a request body is being read. Thread-safe. */
     boolean inBody() {
         return inBody;
     }
 
-    /** The next frame; null at a clean end. */
+    /** Returns the next frame, or null at a clean end of the stream. */
     Frame next() throws IOException {
         frameStartedAt = 0;
         inBody = false;
@@ -108,12 +111,12 @@
     private static long parseTag(String text, Body body) throws MalformedFrameException {
         try {
             long tag = Long.parseLong(text);
-            // The answer repeats it, so only the form that comes out again will do.
+            // The response repeats the tag, so only its canonical decimal form is accepted.
             if (tag >= 1 && text.equals(Long.toString(tag))) {
                 return tag;
             }
         } catch (NumberFormatException e) {
-            // Said below.
+            // Reported below.
         }
         if (body != null) {
             body.release();
--- a/src/main/java/magpiewheel/resp/RespServer.java
+++ b/src/main/java/magpiewheel/resp/RespServer.java
@@ -20,9 +20,9 @@
 import magpiewheel.engine.UnixClock;
 import magpiewheel.engine.WorkerPool;
 
-/** The platform's front: accepts clients, each of which gets an actor. */
+/** Accepts client connections and runs an actor for each of them. */
 public final class RespServer {
-    /** What the clients' actors share. */
+    /** What the actors of all client connections share. */
     record Shared(
             Engine engine,
             BufferPool pool,
@@ -38,15 +38,21 @@
             boolean hintsEnabled) {}
 
     private static final int SWEEP_MS = 50;
-    /** ms; how long a newcomer waits for a place before it is turned away, and between two looks. */
+    /** ms; how long a new connection waits for a free place before it is closed, and the interval of the checks. */
     private static final int MAX_ROOM_WAIT_MS = 300;
 
     private static final int POLL_MS = 5;
-    /** ms; who waits in the listener's queue is there at once, on a busy machine a moment later. */
+    /**
+     * ms; accept time-out for connections left in the listen queue: they are available at once, on a busy machine a
+     * moment later.
+     */
     private static final int QUEUED_ACCEPT_MS = 20;
-    /** A part of all places: so many connections may stay that nobody uses. */
+    /** Divides the maximum number of clients: this share of unused connections is kept open. */
     private static final int UNUSED_DIVISOR = 6;
-    /** A part of all places: so many connections more may be ended on this side and not yet closed by their clients. */
+    /**
+     * Divides the maximum number of clients: this share of further connections may be half-closed and not yet closed by
+     * their clients.
+     */
     private static final int HALF_CLOSED_DIVISOR = 16;
 
     private final Shared shared;
@@ -57,7 +63,8 @@
     private final Set<ClientConnection> clients = ConcurrentHashMap.newKeySet();
 
     /**
-     * With so many places; {@code up} says whether the front is ready for clients, {@code hints} whether it heeds them.
+     * Creates a server for at most {@code maxClients} connections; {@code ready} says whether the router is ready for
+     * clients, {@code hintsEnabled} whether read hints are evaluated.
      */
     public RespServer(
             int maxClients,
@@ -89,51 +96,54 @@
         this.maxClients = maxClients;
     }
 
-    /** The most descriptors that clients take, for so many places. */
+    /** Returns the maximum number of descriptors that clients use, for the given maximum number of clients. */
     public static int descriptors(int places) {
         return places + places / HALF_CLOSED_DIVISOR;
     }
 
-    /** Where it listens. */
+    /** Returns the address that the server listens on. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
-    /** Starts to let clients in. */
+    /** Starts accepting clients. */
     public void start(ListeningSocket socket) {
         listener = socket;
         acceptor = Actor.daemonThread("accept", this::accept);
         acceptor.start();
     }
 
-    /** Whether any client is owed an answer or is being sent one or, where others take the clients, has yet to go. */
+    /**
+     * Whether any client is owed a response, has not read all of one, or, if other processes accept clients on the same
+     * socket, is still connected.
+     */
     public boolean busy() {
         return isShared() && hasClients()
                 || clients.stream().anyMatch(client -> client.busy() || !client.allRead(System.nanoTime()));
     }
 
-    /** Whether any client has yet to go, or may still be on its way in. */
+    /** Whether any client is still connected or may still be accepted. */
     public boolean hasClients() {
-        // In this order: whom it lets in last is there to be found.
+        // The acceptor is checked first: a client that it accepts last is then found in the set.
         Thread accepts = acceptor;
         return accepts != null && accepts.isAlive() || !clients.isEmpty();
     }
 
-    /** Whether clients find another process by the same entrance. */
+    /** Whether other processes accept clients on the same socket. */
     public boolean isShared() {
         ListeningSocket socket = listener;
         return socket != null && socket.isShared();
     }
 
-    /** The process is about to end: what is taken from now on gets no more time than it has left. */
+    /** Announces the end of the process: requests accepted from now on must be answered within the given time (us). */
     public void answerWithin(long us) {
         shared.drain().answerBy(shared.clock().now() + us);
         clients.forEach(ClientConnection::wakeForShutdown);
     }
 
     /**
-     * The process ends, perhaps before it began: takes no further connections, and leave of each that is open once
-     * nothing is open on it.
+     * Stops accepting connections and closes each open one once no request is open on it. May be called before
+     * {@link #start}.
      */
     public void close() {
         boolean first = !closed;
@@ -144,22 +154,22 @@
         }
     }
 
-    /** Sends clients away: it says that it is down, and takes leave of each connection when nothing is open on it. */
+    /** Starts a drain: status queries answer DOWN, and each connection is closed once no request is open on it. */
     public void quiesce() {
         shared.drain().begin();
     }
 
-    /** Takes clients again. */
+    /** Ends a drain started by {@link #quiesce}. */
     public void resume() {
         shared.drain().end();
     }
 
-    /** Requests taken and not yet ended. */
+    /** Returns the number of requests accepted and not finished. */
     public int inFlight() {
         return clients.stream().mapToInt(ClientConnection::openRequests).sum();
     }
 
-    /** Serves a connection that was made. */
+    /** Serves an established connection. */
     public void serve(Socket socket) {
         shared.counters().add(Counter.CLIENTS);
         ClientConnection client = new ClientConnection(socket, shared, clients::remove);
@@ -167,7 +177,7 @@
         try {
             client.begin();
         } catch (IOException e) {
-            // Reset before it began: it has no reader that would give its place back.
+            // The connection was reset before it started: no reader thread will remove it from the set.
             clients.remove(client);
             client.close();
         }
@@ -179,9 +189,9 @@
             try {
                 admit(listener.accept(SWEEP_MS));
             } catch (SocketTimeoutException e) {
-                // Time to look at the others.
+                // No new connection; go on to the sweep.
             } catch (IOException e) {
-                // Without descriptors accept fails at once, again and again.
+                // If descriptors are exhausted, accept fails at once, so wait before the next attempt.
                 pause();
             }
             long now = System.nanoTime();
@@ -196,7 +206,7 @@
         try {
             listener.close();
         } catch (IOException e) {
-            // It is closed all the same.
+            // Nothing more can be done: the socket is closed.
         }
     }
 
@@ -209,18 +219,21 @@
         }
     }
 
-    /** The machine has accepted those who still wait in the listener's queue: closed with it, they would be reset. */
+    /**
+     * Accepts the connections left in the listen queue: the operating system has accepted them already, and closing the
+     * socket would reset them.
+     */
     private void acceptQueued() {
         try {
             while (true) {
                 admit(listener.accept(QUEUED_ACCEPT_MS));
             }
         } catch (IOException e) {
-            // Nobody waits any more.
+            // The listen queue is empty.
         }
     }
 
-    /** Every connection costs a thread: of those without work only so many are kept that were not used lately. */
+    /** Closes expired connections. Each connection costs a thread, so only a limited number of unused ones is kept. */
     private void sweep(long now) {
         clients.forEach(client -> client.sweep(now));
         if (shared.drain().closesIdle()) {
@@ -240,8 +253,9 @@
     }
 
     /**
-     * Whether there is a place for a newcomer. In a full front the silent clients go first, then those that have been
-     * idle for longest; never one with work open. Others that come meanwhile wait in the listener's queue.
+     * Makes room for a new connection; returns false if there is none within the time limit. When the server is full,
+     * clients without a complete request are evicted first, then those idle for longest; never one with an open
+     * request. Further connections wait in the listen queue meanwhile.
      */
     private boolean makeRoom() {
         for (int waited = 0; full(); waited += POLL_MS) {
@@ -265,7 +279,7 @@
                 && clients.stream().filter(client -> !client.halfClosed()).count() >= maxClients;
     }
 
-    /** Of those that were ended and have yet to go there are only so many: each holds a descriptor. */
+    /** Closes the connection that was half-closed first: their number is limited because each holds a descriptor. */
     private void closeLongestHalfClosed() {
         clients.stream()
                 .filter(ClientConnection::halfClosed)
--- a/src/main/java/magpiewheel/resp/ResponseWriter.java
+++ b/src/main/java/magpiewheel/resp/ResponseWriter.java
@@ -9,11 +9,11 @@
 import magpiewheel.engine.PendingRequest;
 import magpiewheel.engine.PendingRequest.Response;
 
-/** Writes the answers on one connection, for its actor; other threads look how far that has come. */
+/** Writes the responses on one connection; used by its actor. Other threads may query the progress. */
 final class ResponseWriter {
-    /** ns; the longest that one answer may take to be written. */
+    /** ns; maximum time to write one response. */
     private static final long WRITE_TIMEOUT_NS = TimeUnit.SECONDS.toNanos(10);
-    /** ns a byte; slow clients read 1 MB a second. */
+    /** ns per byte; slow clients read 1 MB/s. */
     private static final long READ_NS_PER_BYTE = 1_000;
 
     private static final byte[] LINE_END = {'\r', '\n'};
@@ -23,66 +23,66 @@
     private volatile long writingSince;
     private volatile long allReadAt = System.nanoTime();
 
-    /** Where the answers go; set before the first of them. */
+    /** Sets the output stream; must be called before the first response. */
     void setOutput(OutputStream stream) {
         out = stream;
     }
 
-    /** Whether an answer is being written. For other threads to look at. */
+    /** Whether a response is being written. Thread-safe. */
     boolean writing() {
         return writingSince != 0;
     }
 
-    /** Whether the client has not taken an answer for so long that it will not. For other threads to look at. */
+    /** Whether the client has not accepted a response within the write time-out. Thread-safe. */
     boolean stuck(long now) {
         long from = writingSince;
         return from != 0 && now - from > WRITE_TIMEOUT_NS;
     }
 
-    /** Whether the client has read all that was written to it, as far as one can know. For other threads to look at. */
+    /** Whether, by estimate, the client has read everything that was written to it. Thread-safe. */
     boolean allRead(long now) {
         return now - allReadAt >= 0;
     }
 
-    /** ns; by then a slow client, too, has read all that was written. */
+    /** ns; estimated time by which even a slow client has read everything that was written. */
     long allReadAt() {
         return allReadAt;
     }
 
-    /** Octets of the last answer that the socket took. */
+    /** Returns the number of bytes of the last response that the socket accepted. */
     long bytesWritten() {
         return bytesWritten;
     }
 
-    /** Writes an answer of the engine. */
-    void write(long tag, Response answer) throws IOException {
-        switch (answer.outcome()) {
-            case SERVED -> write(tag, "OK", fields(answer), answer.body());
-            case UNCHANGED -> write(tag, "OK", fields(answer), "");
+    /** Writes a response of the engine. */
+    void write(long tag, Response response) throws IOException {
+        switch (response.outcome()) {
+            case SERVED -> write(tag, "OK", fields(response), response.body());
+            case UNCHANGED -> write(tag, "OK", fields(response), "");
             case REJECTED ->
-                write(tag, "BUSY", answer.retryAfterUs() > 0 ? "pause=" + answer.retryAfterUs() / 1000 : "", "");
+                write(tag, "BUSY", response.retryAfterUs() > 0 ? "pause=" + response.retryAfterUs() / 1000 : "", "");
             default -> write(tag, "FAILED", "", "");
         }
     }
 
-    private static String fields(Response answer) {
+    private static String fields(Response response) {
         StringJoiner fields = new StringJoiner(",");
-        if (answer.outcome() == PendingRequest.Outcome.UNCHANGED) {
+        if (response.outcome() == PendingRequest.Outcome.UNCHANGED) {
             fields.add("unchanged=1");
         }
-        if (answer.tag() != null) {
-            fields.add("ver=" + answer.tag());
+        if (response.tag() != null) {
+            fields.add("ver=" + response.tag());
         }
-        if (answer.markMs() > 0) {
-            fields.add("mark=" + answer.markMs());
+        if (response.markMs() > 0) {
+            fields.add("mark=" + response.markMs());
         }
-        if (answer.ageMs() != 0) {
-            fields.add("aged=" + answer.ageMs());
+        if (response.ageMs() != 0) {
+            fields.add("aged=" + response.ageMs());
         }
         return fields.toString();
     }
 
-    /** Writes an answer with a body, or with none. */
+    /** Writes a response with a body, or without one if {@code body} is null. */
     void write(long tag, String word, String fields, Body body) throws IOException {
         int length = body == null ? 0 : body.length();
         begin(length);
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Likewise, with words in the place of the body. */
+    /** Writes a response with a text as its body. */
     void write(long tag, String word, String fields, String text) throws IOException {
         begin(0);
         try {
--- a/src/main/java/magpiewheel/resp/package-info.java
+++ b/src/main/java/magpiewheel/resp/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The front for clients in RESP: the listener, an actor for each connection, the checks of frames and fields, and how
- * clients are sent away before the process ends.
+ * The RESP server for clients: the listening socket, an actor for each connection, validation of frames and fields, and
+ * the connection drain before the process ends.
  */
 package magpiewheel.resp;
