--- a/src/main/java/magpiewheel/Main.java
+++ b/src/main/java/magpiewheel/Main.java
@@ -27,18 +27,18 @@
      * connections come for 0.4 s and requests on them for 0.2 s more, and an end that crosses a request costs a second
      * try. The rest is for a machine that is late.
      */
-    private static final long ACCEPT_AFTER_TERM_MS = 800;
+    private static final long ACCEPT_AFTER_SIGTERM_MS = 800;
 
     private static final long LONGEST_DEADLINE_MS = 7_000;
     /** us; a process may be killed 3.7 s after SIGTERM: what it takes after that signal is answered before. */
-    private static final long ANSWERS_AFTER_TERM_US = 3_400_000;
+    private static final long ANSWER_AFTER_SIGTERM_US = 3_400_000;
     /**
      * ms; by then all that was taken is answered: who is still in the middle of a request does not hold the process up.
      */
-    private static final long LAST_LEAVE_MS = 3_500;
+    private static final long MAX_IDLE_CLIENT_WAIT_MS = 3_500;
 
-    private static final int BAD_CALL = 2;
-    private static final long FLOWS_LAST_MS = 300;
+    private static final int EXIT_INVALID = 2;
+    private static final long FLOW_EXPORT_END_MS = 300;
     /** What the process ends with; a planned end counts as none. */
     private static volatile int exitCode;
 
@@ -46,9 +46,9 @@
 
     /** Runs what the first word names; exit code 2 at a wrong call or configuration. */
     public static void main(String[] args) {
-        String verb = args.length > 0 ? args[0] : "";
+        String command = args.length > 0 ? args[0] : "";
         try {
-            switch (verb) {
+            switch (command) {
                 case "serve" -> {
                     Startup.start(System.getenv(), Path.of(System.getenv().getOrDefault("MAGPIEWHEEL_APP", APP_FILE)));
                     Thread.currentThread().join();
@@ -70,15 +70,15 @@
 
     private static void exit(String line) {
         System.err.println(line);
-        exitCode = BAD_CALL;
+        exitCode = EXIT_INVALID;
         System.exit(exitCode);
     }
 
     /** Run by the build: loads what a front needs, so that the class archive holds it and restarts are short. */
     private static void train() throws IOException {
-        RespServer front = Startup.start(Map.of("GW_CONFIG", "deploy/train.json"), Path.of(APP_FILE));
+        RespServer server = Startup.start(Map.of("GW_CONFIG", "deploy/train.json"), Path.of(APP_FILE));
         try (Socket client =
-                new Socket(front.address().getAddress(), front.address().getPort())) {
+                new Socket(server.address().getAddress(), server.address().getPort())) {
             client.setSoTimeout((int) LONGEST_DEADLINE_MS);
             client.getOutputStream()
                     .write(("*4\r\n$3\r\nASK\r\n$1\r\n1\r\n$1\r\nv\r\n$44\r\n"
@@ -90,37 +90,40 @@
     }
 
     /** SIGTERM: clients still come for a moment, and what they asked for is finished. */
-    static void end(RespServer front, Engine engine, FlowExporter exporter, List<Runnable> sockets, Counters counters) {
+    static void shutDown(
+            RespServer server, Engine engine, FlowExporter exporter, List<Runnable> closers, Counters counters) {
         if (exitCode != 0) {
             // It never came to serve: the end must not look like a planned one.
             Runtime.getRuntime().halt(exitCode);
         }
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         engine.stopServing();
-        front.answerWithin(ANSWERS_AFTER_TERM_US);
+        server.answerWithin(ANSWER_AFTER_SIGTERM_US);
         try {
-            if (front.isShared()) {
+            if (server.isShared()) {
                 // The next process has the entrance, so clients are sent there.
-                front.close();
+                server.close();
             }
-            Thread.sleep(ACCEPT_AFTER_TERM_MS);
-            front.close();
+            Thread.sleep(ACCEPT_AFTER_SIGTERM_MS);
+            server.close();
             // A request that is read is answered, so connections end before the process does.
-            for (long ms = 0;
-                    ms < LONGEST_DEADLINE_MS
-                            && (engine.inFlight() > 0 || front.busy() || front.hasClients() && ms < LAST_LEAVE_MS);
-                    ms = (System.nanoTime() - from) / 1_000_000) {
+            for (long elapsedMs = 0;
+                    elapsedMs < LONGEST_DEADLINE_MS
+                            && (engine.inFlight() > 0
+                                    || server.busy()
+                                    || server.hasClients() && elapsedMs < MAX_IDLE_CLIENT_WAIT_MS);
+                    elapsedMs = (System.nanoTime() - startNs) / 1_000_000) {
                 Thread.sleep(10);
             }
             if (exporter != null) {
-                exporter.end(FLOWS_LAST_MS);
+                exporter.end(FLOW_EXPORT_END_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         // Halting waits 0.3 s for threads that are inside a socket.
         engine.shutDown(List.of());
-        sockets.forEach(Runnable::run);
+        closers.forEach(Runnable::run);
         System.err.println("magpiewheel: counters " + counters);
         Runtime.getRuntime().halt(0);
     }
--- a/src/main/java/magpiewheel/Startup.java
+++ b/src/main/java/magpiewheel/Startup.java
@@ -12,8 +12,8 @@
 import magpiewheel.config.AppConfig;
 import magpiewheel.config.ConfigException;
 import magpiewheel.config.DescriptorShares;
-import magpiewheel.config.FrontConfig;
 import magpiewheel.config.Reload;
+import magpiewheel.config.RouterConfig;
 import magpiewheel.discovery.DiscoveryClient;
 import magpiewheel.dns.DnsServer;
 import magpiewheel.engine.BufferPool;
@@ -46,20 +46,20 @@
  */
 final class Startup {
     /** The buffers take at most one part in so many of the heap. */
-    private static final int BUFFERS_PART = 2;
+    private static final int BUFFER_HEAP_DIVISOR = 2;
 
     /** Flows between their threads and the exporter, which looks every 50 ms: some 80,000 a second. */
-    private static final int FLOWS_ON_THE_WAY = 4_096;
+    private static final int FLOW_RING_SIZE = 4_096;
 
-    private static final double OCTETS_A_KB = 1_000;
+    private static final double BYTES_PER_KB = 1_000;
 
     private final AppConfig app;
-    private final FrontConfig config;
+    private final RouterConfig config;
     private final RoutingSettings settings;
     private final Reload reload;
     private final Counters counters;
     private final UnixClock clock;
-    private final WorkerPool crew;
+    private final WorkerPool workers;
     private final BufferPool pool;
     private final DescriptorShares descriptors;
 
@@ -68,34 +68,34 @@
     private final Metering metering;
     private final FlowExporter exporter;
     /** Whether the front has practised. */
-    private final AtomicBoolean warm = new AtomicBoolean();
+    private final AtomicBoolean warmedUp = new AtomicBoolean();
     /** What closes the sockets that are open until the process ends. */
-    private final List<Runnable> sockets = new CopyOnWriteArrayList<>();
+    private final List<Runnable> closers = new CopyOnWriteArrayList<>();
 
     private Startup(Map<String, String> env, Path appFile) throws IOException {
         counters = new Counters();
         reload = new Reload(env, counters);
         // Before any file is read: a signal that nobody has taken over ends the process.
-        reload.hearSignal();
+        reload.handleSignal();
         app = AppConfig.read(appFile);
-        config = FrontConfig.read(env);
-        settings = config.settings().module();
+        config = RouterConfig.read(env);
+        settings = config.settings().routing();
         clock = app.pins() ? UnixClock.monotonic() : new UnixClock();
-        crew = new WorkerPool();
+        workers = new WorkerPool();
         // Half of the buffers for what is under way, half for copies of the front's own; with little memory, fewer.
-        int buffers = (int)
-                Math.min(app.buffers(), Runtime.getRuntime().maxMemory() / BUFFERS_PART / BufferPool.BUFFER_BYTES);
+        int buffers = (int) Math.min(
+                app.buffers(), Runtime.getRuntime().maxMemory() / BUFFER_HEAP_DIVISOR / BufferPool.BUFFER_BYTES);
         pool = new BufferPool(buffers, counters);
-        ResponseCache copies = new ResponseCache(buffers / 2, config.flowBytesPerS(), config.linkBytesPerS());
+        ResponseCache responseCache = new ResponseCache(buffers / 2, config.flowBytesPerS(), config.linkBytesPerS());
         descriptors = DescriptorShares.of(config.sockets(), app, RespServer::descriptors);
-        UpstreamPool nodes = cacheNodes();
+        UpstreamPool upstreams = upstreamPool();
         peers = config.peerListen() == null
                 ? null
                 : new PeerTransport(
                         config.peerListen(), config.peers(), settings.topology().routerId(), counters);
-        engine = engine(nodes, copies);
-        nodes.setEngine(engine);
-        FlowRing ring = app.flows() == null ? null : new FlowRing(FLOWS_ON_THE_WAY);
+        engine = engine(upstreams, responseCache);
+        upstreams.setEngine(engine);
+        FlowRing ring = app.flows() == null ? null : new FlowRing(FLOW_RING_SIZE);
         metering = ring == null ? null : metering(ring);
         exporter = ring == null ? null : new FlowExporter(exportSettings(), ring, counters);
     }
@@ -107,76 +107,77 @@
 
     private RespServer run() throws IOException {
         startExport();
-        ServiceStats figures = startEngine();
+        ServiceStats stats = startEngine();
         applyNotices();
-        DiscoveryClient board = startBoard();
+        DiscoveryClient discovery = startDiscovery();
         if (peers != null) {
-            peers.start(engine::peerMessageReceived, engine::reachabilityRefused, crew);
+            peers.start(engine::peerMessageReceived, engine::reachabilityRefused, workers);
         }
-        RespServer front = respFront(figures);
-        sockets.add(board::close);
+        RespServer server = respServer(stats);
+        closers.add(discovery::close);
         if (peers != null) {
-            sockets.add(peers::close);
+            closers.add(peers::close);
         }
         // From the first client on: one that ends before it is warm has requests in hand, too.
-        endOnSignal(front, engine, exporter, sockets, counters);
-        ListeningSocket entrance = entrance();
-        if (!entrance.isShared()) {
-            front.start(entrance);
+        addShutdownHook(server, engine, exporter, closers, counters);
+        ListeningSocket listener = listener();
+        if (!listener.isShared()) {
+            server.start(listener);
         }
         if (config.admin() != null) {
-            startDoor(front, figures);
+            startAdminServer(server, stats);
         }
-        System.err.println("magpiewheel: " + config.name() + " listens at " + entrance.address());
+        System.err.println("magpiewheel: " + config.name() + " listens at " + listener.address());
         if (app.dns()) {
             startDns();
         }
-        WarmUp.run(config, entrance.isShared() ? null : front.address(), crew);
-        if (entrance.isShared()) {
+        WarmUp.run(config, listener.isShared() ? null : server.address(), workers);
+        if (listener.isShared()) {
             // Only now: until then the process before this one serves them better.
-            front.start(entrance);
+            server.start(listener);
         }
-        warm.set(true);
+        warmedUp.set(true);
         System.err.println("magpiewheel: " + config.name() + " has practised");
         engine.startServing();
-        return front;
+        return server;
     }
 
-    private UpstreamPool cacheNodes() {
+    private UpstreamPool upstreamPool() {
         return new UpstreamPool(
                 pool,
                 counters,
                 settings.requestClasses(),
-                config.dialTimeoutUs(),
+                config.connectTimeoutUs(),
                 config.settings().idleCloseUs(),
-                descriptors.nodeConnections(),
-                crew,
+                descriptors.endpointConnections(),
+                workers,
                 clock,
                 Socket::new);
     }
 
-    private Engine engine(UpstreamPool nodes, ResponseCache copies) {
-        MembershipConfig setup = settings.topology()
+    private Engine engine(UpstreamPool upstreams, ResponseCache responseCache) {
+        MembershipConfig membership = settings.topology()
                 .membershipConfig(
                         Ipv4.toInt(config.listen()),
-                        app.beatMs() * 1_000L,
+                        app.heartbeatMs() * 1_000L,
                         clock.now() / 1_000,
-                        app.refusals() && peers != null);
-        RegionConfig regions = regions(setup);
+                        app.reachabilityProbes() && peers != null);
+        RegionConfig regions = regions(membership);
         return new Engine(
                 settings,
-                actions -> new RequestRouter(settings, config.seed(), actions, setup, regions, app.pins()),
+                actions -> new RequestRouter(settings, config.seed(), actions, membership, regions, app.pins()),
                 clock,
                 counters,
-                nodes,
+                upstreams,
                 peers == null ? (to, message) -> {} : peers,
-                copies);
+                responseCache);
     }
 
     /** What a front is told of regions; null where they are off, or can't be on, which is said. */
-    private RegionConfig regions(MembershipConfig setup) {
-        RegionConfig regions =
-                app.regions() && peers != null ? settings.regionConfig(setup.startedMs(), app.originTransfers()) : null;
+    private RegionConfig regions(MembershipConfig membership) {
+        RegionConfig regions = app.regions() && peers != null
+                ? settings.regionConfig(membership.startedMs(), app.originTransfers())
+                : null;
         if (app.regions() && regions == null) {
             System.err.println(
                     "magpiewheel: fleet.regions needs peers, parents and branches that are attached to a hub: off");
@@ -195,9 +196,9 @@
 
     private FlowExporter.Settings exportSettings() {
         AppConfig.Flows flows = app.flows();
-        RouterTopology place = settings.topology();
-        double link = place.zone() < place.linkKbPerSByZone().length
-                ? place.linkKbPerSByZone()[place.zone()] * OCTETS_A_KB
+        RouterTopology topology = settings.topology();
+        double linkBytesPerS = topology.zone() < topology.linkKbPerSByZone().length
+                ? topology.linkKbPerSByZone()[topology.zone()] * BYTES_PER_KB
                 : 0;
         return new FlowExporter.Settings(
                 flows.collectors(),
@@ -210,8 +211,8 @@
                 flows.intervalMs(),
                 config.settings().classes(),
                 config.settings().zones(),
-                place.zone(),
-                link / place.routersIn(place.zone()),
+                topology.zone(),
+                linkBytesPerS / topology.routersIn(topology.zone()),
                 config.seed());
     }
 
@@ -223,18 +224,18 @@
     }
 
     private ServiceStats startEngine() {
-        ServiceStats figures = new ServiceStats(config.settings().classes(), counters);
-        engine.publishStats(figures);
+        ServiceStats stats = new ServiceStats(config.settings().classes(), counters);
+        engine.publishStats(stats);
         engine.start();
-        return figures;
+        return stats;
     }
 
     /** The list as the front was started with it, and purges in their place among its changes. */
     private void applyNotices() {
         boolean first = true;
-        for (FrontConfig.Notice notice : config.notices()) {
-            if (notice.nodes() != null) {
-                engine.endpointsChanged(listMode(notice, first), notice.nodes());
+        for (RouterConfig.Notice notice : config.notices()) {
+            if (notice.endpoints() != null) {
+                engine.endpointsChanged(listMode(notice, first), notice.endpoints());
                 first = false;
             } else {
                 engine.objectsPurged(notice.object(), notice.group(), notice.atMs());
@@ -242,26 +243,26 @@
         }
     }
 
-    private static EndpointListMode listMode(FrontConfig.Notice notice, boolean first) {
+    private static EndpointListMode listMode(RouterConfig.Notice notice, boolean first) {
         if (first) {
             return EndpointListMode.CACHED;
         }
-        return notice.whole() ? EndpointListMode.FULL : EndpointListMode.DELTA;
+        return notice.fullList() ? EndpointListMode.FULL : EndpointListMode.DELTA;
     }
 
     /** Follows the notice board, as soon as one is named, and from then on the configuration's word on where it is. */
-    private DiscoveryClient startBoard() {
-        DiscoveryClient board =
-                new DiscoveryClient(config.board(), config.knownRev(), engine, reload::boardLost, counters);
+    private DiscoveryClient startDiscovery() {
+        DiscoveryClient discovery = new DiscoveryClient(
+                config.discoveryServer(), config.knownRevision(), engine, reload::discoveryLost, counters);
         if (app.pins()) {
-            board.reportContact();
+            discovery.reportContact();
         }
-        board.start(crew);
-        reload.listen(crew, read -> board.setAddress(read.board()));
-        return board;
+        discovery.start(workers);
+        reload.listen(workers, read -> discovery.setAddress(read.discoveryServer()));
+        return discovery;
     }
 
-    private RespServer respFront(ServiceStats figures) {
+    private RespServer respServer(ServiceStats stats) {
         List<Long> deadlines =
                 settings.requestClasses().stream().map(RequestClass::deadlineUs).toList();
         return new RespServer(
@@ -272,38 +273,39 @@
                 clock,
                 config.settings().classes(),
                 deadlines,
-                ready(warm, engine),
-                crew,
-                figures,
+                ready(warmedUp, engine),
+                workers,
+                stats,
                 metering == null ? ResponseListener.NONE : metering,
                 app.pins());
     }
 
     // Static, so that what is kept for as long as the process runs holds neither the start nor its configuration.
 
-    private static BooleanSupplier ready(AtomicBoolean warm, Engine engine) {
-        return () -> warm.get() && engine.hasReadyEndpoint();
+    private static BooleanSupplier ready(AtomicBoolean warmedUp, Engine engine) {
+        return () -> warmedUp.get() && engine.hasReadyEndpoint();
     }
 
-    private static void endOnSignal(
-            RespServer front, Engine engine, FlowExporter exporter, List<Runnable> sockets, Counters counters) {
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> Main.end(front, engine, exporter, sockets, counters)));
+    private static void addShutdownHook(
+            RespServer server, Engine engine, FlowExporter exporter, List<Runnable> closers, Counters counters) {
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(() -> Main.shutDown(server, engine, exporter, closers, counters)));
     }
 
-    private ListeningSocket entrance() throws IOException {
-        ListeningSocket entrance =
-                config.inherits() ? ListeningSocket.inherited() : ListeningSocket.bind(config.listen());
-        if (entrance == null) {
+    private ListeningSocket listener() throws IOException {
+        ListeningSocket listener =
+                config.inheritsListener() ? ListeningSocket.inherited() : ListeningSocket.bind(config.listen());
+        if (listener == null) {
             throw new ConfigException("GW_SOCKET_FD", "a listening socket as descriptor 0");
         }
-        return entrance;
+        return listener;
     }
 
-    private void startDoor(RespServer front, ServiceStats figures) throws IOException {
+    private void startAdminServer(RespServer server, ServiceStats stats) throws IOException {
         AdminServer admin = new AdminServer(
-                config.admin(), new Operators(front, engine, figures, ready(warm, engine)), counters, crew);
+                config.admin(), new AdminService(server, engine, stats, ready(warmedUp, engine)), counters, workers);
         admin.start();
-        sockets.add(admin::close);
+        closers.add(admin::close);
         System.err.println("magpiewheel: operators at " + admin.address());
     }
 
@@ -315,7 +317,7 @@
     }
 
     /** What the admin server reaches. */
-    private record Operators(RespServer front, Engine engine, ServiceStats shown, BooleanSupplier ready)
+    private record AdminService(RespServer server, Engine engine, ServiceStats stats, BooleanSupplier ready)
             implements AdminServer.Service {
         @Override
         public boolean serving() {
@@ -324,18 +326,18 @@
 
         @Override
         public String stats() {
-            return shown.format(front.inFlight());
+            return stats.format(server.inFlight());
         }
 
         @Override
         public void quiesce() {
-            front.quiesce();
+            server.quiesce();
             engine.stopServing();
         }
 
         @Override
         public void resume() {
-            front.resume();
+            server.resume();
             engine.startServing();
         }
     }
--- a/src/main/java/magpiewheel/WarmUp.java
+++ b/src/main/java/magpiewheel/WarmUp.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
-import magpiewheel.config.FrontConfig;
+import magpiewheel.config.RouterConfig;
 import magpiewheel.engine.BufferPool;
 import magpiewheel.engine.Counters;
 import magpiewheel.engine.Engine;
@@ -38,12 +38,12 @@
  */
 final class WarmUp {
     private static final int REQUESTS = 400;
-    private static final int AT_ONCE = 6;
-    private static final int QUESTIONS = 60;
-    private static final long MOST_MS = 700;
-    private static final int BODY = 20_000;
+    private static final int MAX_CONCURRENT_REQUESTS = 6;
+    private static final int STATUS_REQUESTS = 60;
+    private static final long MAX_DURATION_MS = 700;
+    private static final int BODY_BYTES = 20_000;
     private static final int BUFFERS = 256;
-    private static final int CONNECTIONS = 32;
+    private static final int MAX_UPSTREAM_CONNECTIONS = 32;
 
     private WarmUp() {}
 
@@ -51,12 +51,12 @@
      * Practises for a moment, also at the own address where it is given; what goes wrong in it costs nothing but the
      * practice.
      */
-    static void run(FrontConfig config, InetSocketAddress own, WorkerPool crew) {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MOST_MS);
+    static void run(RouterConfig config, InetSocketAddress ownAddress, WorkerPool workers) {
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_DURATION_MS);
         try {
-            serve(config, crew, until);
-            if (own != null) {
-                ask(own, until);
+            serve(config, workers, deadlineNs);
+            if (ownAddress != null) {
+                requestStatus(ownAddress, deadlineNs);
             }
         } catch (IOException | RuntimeException e) {
             System.err.println("magpiewheel: practice ended early: " + e);
@@ -65,19 +65,19 @@
         }
     }
 
-    private static void serve(FrontConfig config, WorkerPool crew, long until) throws InterruptedException {
+    private static void serve(RouterConfig config, WorkerPool workers, long deadlineNs) throws InterruptedException {
         Counters counters = new Counters();
         UnixClock clock = new UnixClock();
         BufferPool pool = new BufferPool(BUFFERS, counters);
-        Engine engine = engine(config, crew, clock, pool, counters);
+        Engine engine = engine(config, workers, clock, pool, counters);
         engine.start();
-        engine.endpointsChanged(EndpointListMode.CACHED, listed(config));
-        RespServer front = front(config, crew, clock, pool, counters, engine);
-        try (ClientLine client = new ClientLine()) {
-            front.serve(client);
+        engine.endpointsChanged(EndpointListMode.CACHED, endpoints(config));
+        RespServer respServer = respServer(config, workers, clock, pool, counters, engine);
+        try (SimulatedClient client = new SimulatedClient()) {
+            respServer.serve(client);
             List<String> classes = config.settings().classes();
-            for (int i = 1; i <= REQUESTS && client.mayAsk(until); i++) {
-                client.ask(request(i, classes.get(i % classes.size())));
+            for (int i = 1; i <= REQUESTS && client.acquireSlot(deadlineNs); i++) {
+                client.send(request(i, classes.get(i % classes.size())));
             }
         } finally {
             engine.shutDown(List.of());
@@ -86,18 +86,18 @@
 
     /** An engine and a module of their own, with nodes that are in memory. */
     private static Engine engine(
-            FrontConfig config, WorkerPool crew, UnixClock clock, BufferPool pool, Counters counters) {
-        RoutingSettings settings = config.settings().module();
-        UpstreamPool nodes = new UpstreamPool(
+            RouterConfig config, WorkerPool workers, UnixClock clock, BufferPool pool, Counters counters) {
+        RoutingSettings settings = config.settings().routing();
+        UpstreamPool upstreams = new UpstreamPool(
                 pool,
                 counters,
                 settings.requestClasses(),
-                config.dialTimeoutUs(),
+                config.connectTimeoutUs(),
                 config.settings().idleCloseUs(),
-                CONNECTIONS,
-                crew,
+                MAX_UPSTREAM_CONNECTIONS,
+                workers,
                 clock,
-                NodeLine::new);
+                SimulatedCache::new);
         Engine engine = new Engine(
                 settings,
                 actions -> new RequestRouter(
@@ -110,23 +110,28 @@
                         false),
                 clock,
                 counters,
-                nodes,
+                upstreams,
                 (to, message) -> {},
-                new ResponseCache(BUFFERS / 2, BODY, BODY));
-        nodes.setEngine(engine);
+                new ResponseCache(BUFFERS / 2, BODY_BYTES, BODY_BYTES));
+        upstreams.setEngine(engine);
         return engine;
     }
 
-    private static List<ListedEndpoint> listed(FrontConfig config) {
+    private static List<ListedEndpoint> endpoints(RouterConfig config) {
         return config.notices().stream()
-                .filter(notice -> notice.nodes() != null)
-                .flatMap(notice -> notice.nodes().stream())
+                .filter(notice -> notice.endpoints() != null)
+                .flatMap(notice -> notice.endpoints().stream())
                 .toList();
     }
 
-    private static RespServer front(
-            FrontConfig config, WorkerPool crew, UnixClock clock, BufferPool pool, Counters counters, Engine engine) {
-        List<Long> deadlines = config.settings().module().requestClasses().stream()
+    private static RespServer respServer(
+            RouterConfig config,
+            WorkerPool workers,
+            UnixClock clock,
+            BufferPool pool,
+            Counters counters,
+            Engine engine) {
+        List<Long> deadlines = config.settings().routing().requestClasses().stream()
                 .map(RequestClass::deadlineUs)
                 .toList();
         return new RespServer(
@@ -138,7 +143,7 @@
                 config.settings().classes(),
                 deadlines,
                 () -> true,
-                crew,
+                workers,
                 new ServiceStats(config.settings().classes(), counters),
                 ResponseListener.NONE,
                 false);
@@ -155,10 +160,10 @@
     }
 
     /** The front's own listener and the machine's sockets: how the front is, which is not up yet. */
-    private static void ask(InetSocketAddress own, long until) throws IOException {
-        for (int i = 0; i < QUESTIONS && System.nanoTime() < until; i++) {
-            try (Socket socket = new Socket(own.getAddress(), own.getPort())) {
-                socket.setSoTimeout((int) MOST_MS);
+    private static void requestStatus(InetSocketAddress ownAddress, long deadlineNs) throws IOException {
+        for (int i = 0; i < STATUS_REQUESTS && System.nanoTime() < deadlineNs; i++) {
+            try (Socket socket = new Socket(ownAddress.getAddress(), ownAddress.getPort())) {
+                socket.setSoTimeout((int) MAX_DURATION_MS);
                 socket.getOutputStream()
                         .write("*2\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n".getBytes(StandardCharsets.ISO_8859_1));
                 socket.getInputStream().read(new byte[64]);
@@ -167,38 +172,38 @@
     }
 
     /**
-     * A connection without a network: what is given to it can be read, what is written to it goes to {@link #written}.
+     * A connection without a network: what is given to it can be read, what is written to it goes to {@link #onWrite}.
      */
-    private abstract static class Line extends Socket {
-        private final ArrayDeque<byte[]> coming = new ArrayDeque<>();
-        private boolean ended;
-        private int at;
+    private abstract static class InMemorySocket extends Socket {
+        private final ArrayDeque<byte[]> readQueue = new ArrayDeque<>();
+        private boolean closed;
+        private int offset;
 
-        abstract void written(String text);
+        abstract void onWrite(String text);
 
-        final synchronized void give(byte[] bytes) {
-            coming.addLast(bytes);
+        final synchronized void enqueue(byte[] bytes) {
+            readQueue.addLast(bytes);
             notifyAll();
         }
 
         private synchronized int read(byte[] to, int from, int count) throws IOException {
             try {
-                while (coming.isEmpty() && !ended) {
+                while (readQueue.isEmpty() && !closed) {
                     wait();
                 }
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
-            if (ended) {
+            if (closed) {
                 return -1;
             }
-            byte[] first = coming.peekFirst();
-            int part = Math.min(count, first.length - at);
-            System.arraycopy(first, at, to, from, part);
-            at += part;
-            if (at == first.length) {
-                coming.pollFirst();
-                at = 0;
+            byte[] first = readQueue.peekFirst();
+            int part = Math.min(count, first.length - offset);
+            System.arraycopy(first, offset, to, from, part);
+            offset += part;
+            if (offset == first.length) {
+                readQueue.pollFirst();
+                offset = 0;
             }
             return part;
         }
@@ -214,7 +219,7 @@
 
                 @Override
                 public int read(byte[] to, int from, int count) throws IOException {
-                    return Line.this.read(to, from, count);
+                    return InMemorySocket.this.read(to, from, count);
                 }
             };
         }
@@ -228,7 +233,7 @@
                 @Override
                 public void write(byte[] bytes, int from, int count) {
                     // Heads are what begins an answer or a request, and short.
-                    written(new String(bytes, from, Math.min(count, 64), StandardCharsets.ISO_8859_1));
+                    onWrite(new String(bytes, from, Math.min(count, 64), StandardCharsets.ISO_8859_1));
                 }
             };
         }
@@ -254,49 +259,49 @@
 
         @Override
         public synchronized boolean isClosed() {
-            return ended;
+            return closed;
         }
 
         @Override
         public synchronized void close() {
-            ended = true;
+            closed = true;
             notifyAll();
         }
     }
 
     /** A client: it counts the answers. */
-    private static final class ClientLine extends Line {
-        private final Semaphore room = new Semaphore(AT_ONCE);
+    private static final class SimulatedClient extends InMemorySocket {
+        private final Semaphore freeSlots = new Semaphore(MAX_CONCURRENT_REQUESTS);
 
-        boolean mayAsk(long until) throws InterruptedException {
-            return room.tryAcquire(Math.max(0, until - System.nanoTime()), TimeUnit.NANOSECONDS);
+        boolean acquireSlot(long deadlineNs) throws InterruptedException {
+            return freeSlots.tryAcquire(Math.max(0, deadlineNs - System.nanoTime()), TimeUnit.NANOSECONDS);
         }
 
-        void ask(String frame) {
-            give(frame.getBytes(StandardCharsets.ISO_8859_1));
+        void send(String frame) {
+            enqueue(frame.getBytes(StandardCharsets.ISO_8859_1));
         }
 
         @Override
-        void written(String text) {
+        void onWrite(String text) {
             if (text.startsWith("*4")) {
-                room.release();
+                freeSlots.release();
             }
         }
     }
 
     /** A node that holds everything. */
-    private static final class NodeLine extends Line {
+    private static final class SimulatedCache extends InMemorySocket {
         @Override
-        void written(String text) {
+        void onWrite(String text) {
             if (text.startsWith("serve ")) {
-                byte[] head = (text.split(" ")[1] + " DONE tag=00000000000000aa,minted=1,tell=hit,lag=0.1 " + BODY
+                byte[] head = (text.split(" ")[1] + " DONE tag=00000000000000aa,minted=1,tell=hit,lag=0.1 " + BODY_BYTES
                                 + "\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1);
-                byte[] all = new byte[head.length + BODY + 2];
+                byte[] all = new byte[head.length + BODY_BYTES + 2];
                 System.arraycopy(head, 0, all, 0, head.length);
                 all[all.length - 2] = '\r';
                 all[all.length - 1] = '\n';
-                give(all);
+                enqueue(all);
             }
         }
     }
--- a/src/main/java/magpiewheel/adapter/Adapter.java
+++ b/src/main/java/magpiewheel/adapter/Adapter.java
@@ -88,7 +88,7 @@
 
     private static RoutingSettings parseSettings(byte[] json) throws IOException {
         try {
-            return Settings.parse(new String(json, StandardCharsets.UTF_8)).module();
+            return Settings.parse(new String(json, StandardCharsets.UTF_8)).routing();
         } catch (ConfigException e) {
             throw new FrameReader.MalformedInput("invalid settings: " + e.getMessage());
         }
--- a/src/main/java/magpiewheel/config/AppConfig.java
+++ b/src/main/java/magpiewheel/config/AppConfig.java
@@ -20,10 +20,10 @@
  */
 public record AppConfig(
         int clients,
-        int nodeConnections,
+        int endpointConnections,
         int buffers,
-        int beatMs,
-        boolean refusals,
+        int heartbeatMs,
+        boolean reachabilityProbes,
         boolean regions,
         int originTransfers,
         boolean pins,
@@ -43,23 +43,24 @@
             int intervalMs) {}
 
     /** What a value must be. */
-    private interface Reading {
-        void check(Json at, String key) throws ConfigException;
+    private interface ValueCheck {
+        void check(Json json, String key) throws ConfigException;
     }
 
-    private record Key(String section, String name, Object preset, Reading reading) {}
+    private record Key(String section, String name, Object defaultValue, ValueCheck valueCheck) {}
 
-    private static final Reading FLAG = (at, key) -> at.flag(key, false);
-    private static final Reading ADDRESS = (at, key) -> FrontConfig.address(at.name(key), at.text(key, null));
-    private static final Reading ZONE = (at, key) -> {
-        if (!at.text(key, "")
+    private static final ValueCheck FLAG = (json, key) -> json.bool(key, false);
+    private static final ValueCheck ADDRESS =
+            (json, key) -> RouterConfig.address(json.fullName(key), json.string(key, null));
+    private static final ValueCheck ZONE = (json, key) -> {
+        if (!json.string(key, "")
                 .matches("(?i)[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?(\\.[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?){0,8}")) {
-            throw at.wrong(key, "a domain name without the last dot");
+            throw json.invalid(key, "a domain name without the last dot");
         }
     };
-    private static final Reading COLLECTORS = (at, key) -> collectors(at, key, null);
-    private static final int MOST_COLLECTORS = 4;
-    private static final int LEAST_BEAT_MS = 10;
+    private static final ValueCheck COLLECTORS = (json, key) -> collectors(json, key, null);
+    private static final int MAX_COLLECTORS = 4;
+    private static final int MIN_HEARTBEAT_MS = 10;
     private static final String APPLICATION = "application";
     private static final List<Key> KEYS = List.of(
             new Key("front", "clients", 349, range(1, 4_096)),
@@ -83,81 +84,82 @@
             new Key("flows", "drain_per_s", 2_000, range(1, 1_000_000)),
             new Key("flows", "interval_ms", 5_000, range(100, 600_000)));
 
-    private static Reading range(int least, int most) {
-        return (at, key) -> at.whole(key, least, least, most);
+    private static ValueCheck range(int min, int max) {
+        return (json, key) -> json.integer(key, min, min, max);
     }
 
     /** Reads a file; the first wrong key is named. */
     public static AppConfig read(Path file) throws ConfigException {
         Json root = root(file);
-        List<String> wrong = wrong(root);
-        if (!wrong.isEmpty()) {
-            throw new ConfigException(wrong.get(0));
+        List<String> errors = errors(root);
+        if (!errors.isEmpty()) {
+            throw new ConfigException(errors.get(0));
         }
-        Json front = root.group("front");
-        Json fleet = root.group("fleet");
-        Json dns = root.group("dns");
-        Json flows = root.group("flows");
+        Json front = root.object("front");
+        Json fleet = root.object("fleet");
+        Json dns = root.object("dns");
+        Json flows = root.object("flows");
         return new AppConfig(
-                whole(front, "front", "clients"),
-                whole(front, "front", "node_connections"),
-                whole(front, "front", "buffers"),
-                beatMs(whole(fleet, "fleet", "beat_ms"), dns.flag("enabled", false)),
-                fleet.flag("refusals", false),
-                fleet.flag("regions", false),
-                whole(fleet, "fleet", "origin_transfers"),
-                root.group("pins").flag("enabled", false),
-                dns.flag("enabled", false),
-                FrontConfig.address("dns.listen", dns.text("listen", (String) preset("dns", "listen"))),
-                dns.text("zone", (String) preset("dns", "zone")),
-                flows.flag("enabled", false) ? flows(flows) : null);
+                integer(front, "front", "clients"),
+                integer(front, "front", "node_connections"),
+                integer(front, "front", "buffers"),
+                heartbeatMs(integer(fleet, "fleet", "beat_ms"), dns.bool("enabled", false)),
+                fleet.bool("refusals", false),
+                fleet.bool("regions", false),
+                integer(fleet, "fleet", "origin_transfers"),
+                root.object("pins").bool("enabled", false),
+                dns.bool("enabled", false),
+                RouterConfig.address("dns.listen", dns.string("listen", (String) defaultValue("dns", "listen"))),
+                dns.string("zone", (String) defaultValue("dns", "zone")),
+                flows.bool("enabled", false) ? flows(flows) : null);
     }
 
     /** ms; 0 stands for quick beats where lookups name live fronts, and for few where only the module hears of them. */
-    private static int beatMs(int given, boolean dns) {
-        return given > 0
-                ? Math.max(LEAST_BEAT_MS, given)
+    private static int heartbeatMs(int configuredMs, boolean dns) {
+        return configuredMs > 0
+                ? Math.max(MIN_HEARTBEAT_MS, configuredMs)
                 : (int) ((dns ? MembershipConfig.FAST_HEARTBEAT_US : MembershipConfig.SLOW_HEARTBEAT_US) / 1_000);
     }
 
-    private static Flows flows(Json at) throws ConfigException {
+    private static Flows flows(Json json) throws ConfigException {
         return new Flows(
-                collectors(at, "collector", (String) preset("flows", "collector")),
-                whole(at, "flows", "domain"),
-                whole(at, "flows", "template_ms"),
-                whole(at, "flows", "enterprise"),
-                whole(at, "flows", "mtu"),
-                whole(at, "flows", "store"),
-                whole(at, "flows", "drain_per_s"),
-                whole(at, "flows", "interval_ms"));
+                collectors(json, "collector", (String) defaultValue("flows", "collector")),
+                integer(json, "flows", "domain"),
+                integer(json, "flows", "template_ms"),
+                integer(json, "flows", "enterprise"),
+                integer(json, "flows", "mtu"),
+                integer(json, "flows", "store"),
+                integer(json, "flows", "drain_per_s"),
+                integer(json, "flows", "interval_ms"));
     }
 
     /**
      * One collector or several, divided by commas: an address and a port, with {@code udp:} or {@code tcp:} before it.
      */
-    private static List<FlowExporter.Target> collectors(Json at, String key, String preset) throws ConfigException {
-        List<FlowExporter.Target> all = new ArrayList<>();
-        for (String one : at.text(key, preset).split(",", -1)) {
-            boolean tcp = one.startsWith("tcp:");
-            String address = tcp || one.startsWith("udp:") ? one.substring(4) : one;
-            all.add(new FlowExporter.Target(tcp, FrontConfig.address(at.name(key), address)));
+    private static List<FlowExporter.Target> collectors(Json json, String key, String defaultValue)
+            throws ConfigException {
+        List<FlowExporter.Target> targets = new ArrayList<>();
+        for (String collector : json.string(key, defaultValue).split(",", -1)) {
+            boolean tcp = collector.startsWith("tcp:");
+            String address = tcp || collector.startsWith("udp:") ? collector.substring(4) : collector;
+            targets.add(new FlowExporter.Target(tcp, RouterConfig.address(json.fullName(key), address)));
         }
-        if (all.size() > MOST_COLLECTORS) {
-            throw at.wrong(key, MOST_COLLECTORS + " collectors at most");
+        if (targets.size() > MAX_COLLECTORS) {
+            throw json.invalid(key, MAX_COLLECTORS + " collectors at most");
         }
-        return List.copyOf(all);
+        return List.copyOf(targets);
     }
 
-    private static Object preset(String section, String name) {
+    private static Object defaultValue(String section, String name) {
         return KEYS.stream()
                 .filter(key -> key.section().equals(section) && key.name().equals(name))
                 .findFirst()
                 .orElseThrow()
-                .preset();
+                .defaultValue();
     }
 
-    private static int whole(Json at, String section, String name) throws ConfigException {
-        return at.whole(name, (Integer) preset(section, name));
+    private static int integer(Json json, String section, String name) throws ConfigException {
+        return json.integer(name, (Integer) defaultValue(section, name));
     }
 
     private static Json root(Path file) throws ConfigException {
@@ -173,54 +175,54 @@
     /** A line for every wrong or unknown key of a file. */
     public static List<String> check(Path file) {
         try {
-            return wrong(root(file));
+            return errors(root(file));
         } catch (ConfigException e) {
             return List.of(e.getMessage());
         }
     }
 
-    private static List<String> wrong(Json root) {
-        List<String> lines = new ArrayList<>();
+    private static List<String> errors(Json root) {
+        List<String> errors = new ArrayList<>();
         Set<String> sections = new TreeSet<>(Set.of(APPLICATION));
         KEYS.forEach(key -> sections.add(key.section()));
-        unknown(root, sections, lines);
-        tried(lines, () -> root.text(APPLICATION, ""));
+        addUnknownKeys(root, sections, errors);
+        collectError(errors, () -> root.string(APPLICATION, ""));
         for (String section : sections) {
             if (section.equals(APPLICATION)) {
                 continue;
             }
-            tried(lines, () -> {
-                Json at = root.group(section);
+            collectError(errors, () -> {
+                Json json = root.object(section);
                 List<Key> keys = KEYS.stream()
                         .filter(key -> key.section().equals(section))
                         .toList();
-                unknown(at, new TreeSet<>(keys.stream().map(Key::name).toList()), lines);
+                addUnknownKeys(json, new TreeSet<>(keys.stream().map(Key::name).toList()), errors);
                 for (Key key : keys) {
-                    if (at.has(key.name())) {
-                        tried(lines, () -> key.reading().check(at, key.name()));
+                    if (json.has(key.name())) {
+                        collectError(errors, () -> key.valueCheck().check(json, key.name()));
                     }
                 }
             });
         }
-        return lines;
+        return errors;
     }
 
-    private interface Step {
+    private interface Check {
         void run() throws ConfigException;
     }
 
-    private static void tried(List<String> lines, Step step) {
+    private static void collectError(List<String> errors, Check check) {
         try {
-            step.run();
+            check.run();
         } catch (ConfigException e) {
-            lines.add(e.getMessage());
+            errors.add(e.getMessage());
         }
     }
 
-    private static void unknown(Json at, Set<String> known, List<String> lines) {
-        for (String key : at.keys()) {
+    private static void addUnknownKeys(Json json, Set<String> known, List<String> errors) {
+        for (String key : json.keys()) {
             if (!known.contains(key)) {
-                lines.add(at.wrong(key, "no such key; known are " + String.join(", ", known))
+                errors.add(json.invalid(key, "no such key; known are " + String.join(", ", known))
                         .getMessage());
             }
         }
@@ -238,12 +240,12 @@
                 root.add(key.section(), new JsonObject());
             }
             JsonObject section = root.getAsJsonObject(key.section());
-            if (key.preset() instanceof Boolean flag) {
+            if (key.defaultValue() instanceof Boolean flag) {
                 section.addProperty(key.name(), flag);
-            } else if (key.preset() instanceof Number number) {
+            } else if (key.defaultValue() instanceof Number number) {
                 section.addProperty(key.name(), number);
             } else {
-                section.addProperty(key.name(), key.preset().toString());
+                section.addProperty(key.name(), key.defaultValue().toString());
             }
         }
         Path file = folder.resolve(application + ".json");
--- a/src/main/java/magpiewheel/config/ConfigException.java
+++ b/src/main/java/magpiewheel/config/ConfigException.java
@@ -9,16 +9,16 @@
     private final boolean transientFault;
 
     /** The key and what was expected there. */
-    public ConfigException(String key, String wanted) {
-        this(key + ": expected " + wanted, false);
+    public ConfigException(String key, String expected) {
+        this(key + ": expected " + expected, false);
     }
 
-    ConfigException(String line) {
-        this(line, false);
+    ConfigException(String message) {
+        this(message, false);
     }
 
-    private ConfigException(String line, boolean transientFault) {
-        super(line);
+    private ConfigException(String message, boolean transientFault) {
+        super(message);
         this.transientFault = transientFault;
     }
 
--- a/src/main/java/magpiewheel/config/ConfigTool.java
+++ b/src/main/java/magpiewheel/config/ConfigTool.java
@@ -6,32 +6,32 @@
 
 /** The commands {@code config write APP} and {@code config check FILE}. */
 public final class ConfigTool {
-    private static final int WRONG = 2;
+    private static final int EXIT_INVALID = 2;
 
     private ConfigTool() {}
 
     /** Runs one of them; the exit code is 0, or 2 where something is wrong. */
     public static int run(String[] args) {
-        String verb = args.length == 3 ? args[1] : "";
+        String command = args.length == 3 ? args[1] : "";
         try {
-            switch (verb) {
+            switch (command) {
                 case "write" -> System.out.println("wrote " + AppConfig.write(args[2], Path.of("")));
                 case "check" -> {
-                    List<String> wrong = AppConfig.check(Path.of(args[2]));
-                    wrong.forEach(System.err::println);
-                    if (!wrong.isEmpty()) {
-                        return WRONG;
+                    List<String> errors = AppConfig.check(Path.of(args[2]));
+                    errors.forEach(System.err::println);
+                    if (!errors.isEmpty()) {
+                        return EXIT_INVALID;
                     }
                     System.out.println(args[2] + " is in order");
                 }
                 default -> {
                     System.err.println("usage: magpiewheel.jar config write APP | config check FILE");
-                    return WRONG;
+                    return EXIT_INVALID;
                 }
             }
         } catch (IOException | RuntimeException e) {
             System.err.println("magpiewheel: " + e.getMessage());
-            return WRONG;
+            return EXIT_INVALID;
         }
         return 0;
     }
--- a/src/main/java/magpiewheel/config/Json.java
+++ b/src/main/java/magpiewheel/config/Json.java
@@ -16,7 +16,7 @@
     private static final Gson GSON =
             new GsonBuilder().setStrictness(Strictness.STRICT).create();
     /** us; far beyond any time, and still without an overflow when some are added up. */
-    private static final long MOST_US = Long.MAX_VALUE / 4;
+    private static final long MAX_US = Long.MAX_VALUE / 4;
 
     private final JsonObject object;
     private final String path;
@@ -26,26 +26,26 @@
         this.path = path;
     }
 
-    static Json parse(String text, String what) throws ConfigException {
+    static Json parse(String text, String source) throws ConfigException {
         try {
             TypeAdapter<JsonElement> adapter = GSON.getAdapter(JsonElement.class);
             JsonElement root = adapter.fromJson(text);
             if (root == null || !root.isJsonObject()) {
-                throw new ConfigException(what, "a JSON object");
+                throw new ConfigException(source, "a JSON object");
             }
             return new Json(root.getAsJsonObject(), "");
         } catch (IOException | JsonParseException e) {
-            throw new ConfigException(what, "JSON: " + e.getMessage());
+            throw new ConfigException(source, "JSON: " + e.getMessage());
         }
     }
 
-    Json group(String key) throws ConfigException {
+    Json object(String key) throws ConfigException {
         JsonElement value = get(key);
         if (value == null) {
             return new Json(new JsonObject(), path + key + ".");
         }
         if (!value.isJsonObject()) {
-            throw wrong(key, "an object");
+            throw invalid(key, "an object");
         }
         return new Json(value.getAsJsonObject(), path + key + ".");
     }
@@ -56,7 +56,7 @@
             return new JsonArray();
         }
         if (!value.isJsonArray()) {
-            throw wrong(key, "a list");
+            throw invalid(key, "a list");
         }
         return value.getAsJsonArray();
     }
@@ -64,7 +64,7 @@
     Json item(String key, int i) throws ConfigException {
         JsonElement value = array(key).get(i);
         if (!value.isJsonObject()) {
-            throw wrong(key + "[" + i + "]", "an object");
+            throw invalid(key + "[" + i + "]", "an object");
         }
         return new Json(value.getAsJsonObject(), path + key + "[" + i + "].");
     }
@@ -82,92 +82,92 @@
         return object.keySet();
     }
 
-    double number(String key, double absent) throws ConfigException {
+    double number(String key, double defaultValue) throws ConfigException {
         JsonPrimitive value = primitive(key, "a number");
         if (value != null && !value.isNumber()) {
-            throw wrong(key, "a number");
+            throw invalid(key, "a number");
         }
-        return value == null ? absent : value.getAsDouble();
+        return value == null ? defaultValue : value.getAsDouble();
     }
 
     /** A whole number of any size that 64 bits hold; a double would round what lies past 2^53. */
-    long whole(String key, long absent, long least, long most) throws ConfigException {
-        double value = number(key, absent);
-        if (!(value >= least && value <= most)) {
-            throw wrong(key, "a number from " + least + " to " + most);
+    long integer(String key, long defaultValue, long min, long max) throws ConfigException {
+        double value = number(key, defaultValue);
+        if (!(value >= min && value <= max)) {
+            throw invalid(key, "a number from " + min + " to " + max);
         }
         try {
-            return get(key) == null ? absent : get(key).getAsBigDecimal().longValue();
+            return get(key) == null ? defaultValue : get(key).getAsBigDecimal().longValue();
         } catch (NumberFormatException e) {
-            throw wrong(key, "a number");
+            throw invalid(key, "a number");
         }
     }
 
-    int whole(String key, int absent) throws ConfigException {
-        return (int) whole(key, absent, -1, Integer.MAX_VALUE);
+    int integer(String key, int defaultValue) throws ConfigException {
+        return (int) integer(key, defaultValue, -1, Integer.MAX_VALUE);
     }
 
     /** A time in us; 0 where it is not told. */
     long micros(String key) throws ConfigException {
-        return whole(key, 0, 0, MOST_US);
+        return integer(key, 0, 0, MAX_US);
     }
 
     /** A time in us that has to be told, and is longer than none. */
-    long span(String key) throws ConfigException {
-        return whole(key, 0, 1, MOST_US);
+    long positiveMicros(String key) throws ConfigException {
+        return integer(key, 0, 1, MAX_US);
     }
 
-    boolean flag(String key, boolean absent) throws ConfigException {
+    boolean bool(String key, boolean defaultValue) throws ConfigException {
         JsonPrimitive value = primitive(key, "true or false");
         if (value != null && !value.isBoolean()) {
-            throw wrong(key, "true or false");
+            throw invalid(key, "true or false");
         }
-        return value == null ? absent : value.getAsBoolean();
+        return value == null ? defaultValue : value.getAsBoolean();
     }
 
-    String text(String key, String absent) throws ConfigException {
+    String string(String key, String defaultValue) throws ConfigException {
         JsonPrimitive value = primitive(key, "text");
         if (value != null && !value.isString()) {
-            throw wrong(key, "text");
+            throw invalid(key, "text");
         }
-        return value == null ? absent : value.getAsString();
+        return value == null ? defaultValue : value.getAsString();
     }
 
-    private JsonPrimitive primitive(String key, String wanted) throws ConfigException {
+    private JsonPrimitive primitive(String key, String expected) throws ConfigException {
         JsonElement value = get(key);
         if (value != null && !value.isJsonPrimitive()) {
-            throw wrong(key, wanted);
+            throw invalid(key, expected);
         }
         return value == null ? null : value.getAsJsonPrimitive();
     }
 
     /** Numbers by place; what is not listed is 0. */
-    double[] numbers(String key, int least) throws ConfigException {
+    double[] numbers(String key, int minLength) throws ConfigException {
         JsonArray from = array(key);
-        double[] all = new double[Math.max(least, from.size())];
+        double[] all = new double[Math.max(minLength, from.size())];
         for (int i = 0; i < from.size(); i++) {
             if (!from.get(i).isJsonPrimitive()
                     || !from.get(i).getAsJsonPrimitive().isNumber()) {
-                throw wrong(key + "[" + i + "]", "a number");
+                throw invalid(key + "[" + i + "]", "a number");
             }
             all[i] = from.get(i).getAsDouble();
         }
         return all;
     }
 
-    boolean flagAt(String key, int place) throws ConfigException {
+    boolean boolAt(String key, int index) throws ConfigException {
         JsonArray from = array(key);
-        return place < from.size()
-                && from.get(place).isJsonPrimitive()
-                && from.get(place).getAsBoolean();
+        return index < from.size()
+                && from.get(index).isJsonPrimitive()
+                && from.get(index).getAsBoolean();
     }
 
     /** The key with the path to it. */
-    String name(String key) {
+    String fullName(String key) {
         return path + key;
     }
 
-    ConfigException wrong(String key, String wanted) {
-        return new ConfigException(path + key, wanted);
+    ConfigException invalid(String key, String expected) {
+        return new ConfigException(path + key, expected);
     }
 }
--- a/src/main/java/magpiewheel/config/Reload.java
+++ b/src/main/java/magpiewheel/config/Reload.java
@@ -26,43 +26,43 @@
 
     private final Map<String, String> env;
     private final Counters counters;
-    private Consumer<FrontConfig> taken;
+    private Consumer<RouterConfig> listener;
     /** Tells one text of the file from the next; what stands there before the first reading is none to read again. */
-    private String stamp;
+    private String fileStamp;
     /** ns; when a file that could not be read is tried again; the actor's alone. */
-    private long retryAt;
+    private long retryAtNs;
 
-    private boolean retries;
+    private boolean retryPending;
 
     /** To be made before the configuration is read for the first time. */
     public Reload(Map<String, String> env, Counters counters) {
         super("reload", MAILBOX, counters);
         this.env = env;
         this.counters = counters;
-        stamp = stamp();
+        fileStamp = fileStamp();
     }
 
     /** From now on what is read is handed to {@code to}, also for a signal that came before. */
-    public void listen(WorkerPool crew, Consumer<FrontConfig> to) {
-        taken = to;
-        start(crew);
+    public void listen(WorkerPool workers, Consumer<RouterConfig> to) {
+        listener = to;
+        start(workers);
     }
 
     /**
      * From now on SIGHUP is heard; the reading waits for {@link #listen}. To be called before anything else: until then
      * the virtual machine ends on that signal.
      */
-    public void hearSignal() {
+    public void handleSignal() {
         try {
             // By name: the compiler rejects the class as internal, though every Java 17 has it.
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object asked = Proxy.newProxyInstance(
+            Object hangupHandler = Proxy.newProxyInstance(
                     Reload.class.getClassLoader(),
                     new Class<?>[] {handler},
-                    (proxy, method, args) -> called(proxy, method.getName(), args));
+                    (proxy, method, args) -> invoked(proxy, method.getName(), args));
             Object before = signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), asked);
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), hangupHandler);
             if (handler.getField("SIG_IGN").get(null).equals(before)) {
                 System.err.println("magpiewheel: SIGHUP is ignored here by what started the program (nohup?): "
                         + "the configuration is read again only when the board is lost");
@@ -73,15 +73,15 @@
     }
 
     /** The board can't be reached, or is silent: it may have moved without a word. */
-    public void boardLost() {
+    public void discoveryLost() {
         offer(() -> {
-            if (!stamp().equals(stamp)) {
+            if (!fileStamp().equals(fileStamp)) {
                 read();
             }
         });
     }
 
-    private String stamp() {
+    private String fileStamp() {
         try {
             BasicFileAttributes file = Files.readAttributes(Path.of(env.get("GW_CONFIG")), BasicFileAttributes.class);
             return file.lastModifiedTime() + " " + file.size() + " " + file.fileKey();
@@ -91,7 +91,7 @@
         }
     }
 
-    private Object called(Object proxy, String method, Object[] args) {
+    private Object invoked(Object proxy, String method, Object[] args) {
         if (method.equals("handle")) {
             // With a full mailbox a signal is dropped: those before it have still to read the file.
             offer(this::read);
@@ -104,30 +104,30 @@
 
     @Override
     protected long untilDueWorkUs() {
-        return retries ? Math.max(0, (retryAt - System.nanoTime()) / 1_000) : -1;
+        return retryPending ? Math.max(0, (retryAtNs - System.nanoTime()) / 1_000) : -1;
     }
 
     @Override
     protected void runDueWork() {
-        if (retries && System.nanoTime() - retryAt >= 0) {
+        if (retryPending && System.nanoTime() - retryAtNs >= 0) {
             read();
         }
     }
 
     private void read() {
-        stamp = stamp();
-        boolean retried = retries;
-        retries = false;
+        fileStamp = fileStamp();
+        boolean wasRetry = retryPending;
+        retryPending = false;
         try {
-            FrontConfig config = FrontConfig.read(env);
-            taken.accept(config);
+            RouterConfig config = RouterConfig.read(env);
+            listener.accept(config);
             counters.add(Counter.RELOADS);
-            System.err.println("magpiewheel: configuration read again, board " + config.board());
+            System.err.println("magpiewheel: configuration read again, board " + config.discoveryServer());
         } catch (ConfigException e) {
             // Being replaced just now, or no descriptor was free: no further signal comes for the same file.
-            retries = e.isTransient();
-            retryAt = System.nanoTime() + RETRY_US * 1_000;
-            if (!(retried && retries)) {
+            retryPending = e.isTransient();
+            retryAtNs = System.nanoTime() + RETRY_US * 1_000;
+            if (!(wasRetry && retryPending)) {
                 counters.add(Counter.RELOADS_FAILED);
                 System.err.println("magpiewheel: configuration kept as it was: " + e.getMessage());
             }
--- a/src/main/java/magpiewheel/config/RequiredSettings.java
+++ b/src/main/java/magpiewheel/config/RequiredSettings.java
@@ -10,17 +10,17 @@
 
     /** Names the first key that is missing, or whose value leaves nothing to serve with. */
     static void check(Json settings, List<RequestClass> classes) throws ConfigException {
-        settings.group("limits").whole("max_attempts", 0, 1, Integer.MAX_VALUE);
-        Json rules = settings.group("rules");
+        settings.object("limits").integer("max_attempts", 0, 1, Integer.MAX_VALUE);
+        Json rules = settings.object("rules");
         if (!rules.has("drain_grace_us")) {
-            throw rules.wrong("drain_grace_us", "a time, 0 for at once");
+            throw rules.invalid("drain_grace_us", "a time, 0 for at once");
         }
         for (int i = 0; i < classes.size(); i++) {
             Json profile = settings.item("profiles", i);
-            profile.span("goal_time_us");
-            profile.span("deadline_us");
+            profile.positiveMicros("goal_time_us");
+            profile.positiveMicros("deadline_us");
             if (classes.get(i).idempotency() == Idempotency.KEYED) {
-                profile.span("repeat_window_us");
+                profile.positiveMicros("repeat_window_us");
             }
         }
     }
--- a/src/main/java/magpiewheel/config/FrontConfig.java
+++ b/src/main/java/magpiewheel/config/RouterConfig.java
@@ -16,7 +16,7 @@
 import magpiewheel.routing.EndpointState;
 
 /** What a front is told at its start: the environment, and the JSON file that it names. */
-public record FrontConfig(
+public record RouterConfig(
         String name,
         InetSocketAddress listen,
         long seed,
@@ -24,22 +24,22 @@
         InetSocketAddress peerListen,
         List<InetSocketAddress> peers,
         InetSocketAddress peersAll,
-        InetSocketAddress board,
+        InetSocketAddress discoveryServer,
         InetSocketAddress admin,
-        boolean inherits,
-        long knownRev,
+        boolean inheritsListener,
+        long knownRevision,
         List<Notice> notices,
-        long dialTimeoutUs,
+        long connectTimeoutUs,
         double flowBytesPerS,
         double linkBytesPerS,
         Settings settings) {
-    private static final int SOCKETS = 1_024;
+    private static final int DEFAULT_SOCKETS = 1_024;
 
     /** One event of the board: a list (with {@code nodes}) or a purge of an object or, with null, a group. */
-    public record Notice(boolean whole, List<ListedEndpoint> nodes, Long object, int group, long atMs) {}
+    public record Notice(boolean fullList, List<ListedEndpoint> endpoints, Long object, int group, long atMs) {}
 
     /** Reads both; what can't be used is named in one line. */
-    public static FrontConfig read(Map<String, String> env) throws ConfigException {
+    public static RouterConfig read(Map<String, String> env) throws ConfigException {
         String file = env.get("GW_CONFIG");
         if (file == null) {
             throw new ConfigException("GW_CONFIG", "the name of a file");
@@ -51,40 +51,40 @@
             throw ConfigException.unreadable("GW_CONFIG", file);
         }
         Json root = Json.parse(text, "GW_CONFIG");
-        Settings settings = Settings.of(root.group("settings"));
-        RequiredSettings.check(root.group("settings"), settings.module().requestClasses());
+        Settings settings = Settings.of(root.object("settings"));
+        RequiredSettings.check(root.object("settings"), settings.routing().requestClasses());
         List<InetSocketAddress> peers = new ArrayList<>();
         for (JsonElement peer : root.array("peers")) {
             peers.add(address("peers", peer.isJsonPrimitive() ? peer.getAsString() : ""));
         }
-        Json known = root.group("known");
+        Json known = root.object("known");
         List<Notice> notices = new ArrayList<>();
         for (int i = 0; i < known.array("notices").size(); i++) {
             notices.add(notice(known.item("notices", i), settings));
         }
-        String admin = env.getOrDefault("GW_MGMT", root.text("mgmt", null));
-        String listen = env.getOrDefault("GW_LISTEN", root.text("listen", null));
-        return new FrontConfig(
-                env.getOrDefault("GW_NAME", root.text("name", "front")),
+        String admin = env.getOrDefault("GW_MGMT", root.string("mgmt", null));
+        String listen = env.getOrDefault("GW_LISTEN", root.string("listen", null));
+        return new RouterConfig(
+                env.getOrDefault("GW_NAME", root.string("name", "front")),
                 address("listen", listen),
                 seed(root),
-                (int) root.group("limits").whole("sockets", SOCKETS, 64, 1 << 20),
+                (int) root.object("limits").integer("sockets", DEFAULT_SOCKETS, 64, 1 << 20),
                 optional(root, "peer_listen"),
                 List.copyOf(peers),
                 optional(root, "peers_all"),
                 optional(root, "board"),
                 admin == null ? null : address(env.containsKey("GW_MGMT") ? "GW_MGMT" : "mgmt", admin),
-                inherits(env),
-                known.whole("rev", 0, 0, Long.MAX_VALUE),
+                inheritsListener(env),
+                known.integer("rev", 0, 0, Long.MAX_VALUE),
                 List.copyOf(notices),
-                settings.module().limits().connectTimeoutUs(),
+                settings.routing().limits().connectTimeoutUs(),
                 root.number("flow_bytes_per_s", 0),
                 root.number("link_bytes_per_s", 0),
                 settings);
     }
 
     /** Whether clients come in by a listener that the platform holds; it can hand on descriptor 0 only. */
-    private static boolean inherits(Map<String, String> env) throws ConfigException {
+    private static boolean inheritsListener(Map<String, String> env) throws ConfigException {
         String descriptor = env.getOrDefault("GW_SOCKET_FD", "");
         if (!descriptor.isEmpty() && !descriptor.equals("0")) {
             throw new ConfigException("GW_SOCKET_FD", "0, got " + descriptor);
@@ -93,7 +93,7 @@
     }
 
     private static long seed(Json root) throws ConfigException {
-        return hex("seed", root.text("seed", "0"));
+        return hex("seed", root.string("seed", "0"));
     }
 
     /** 64 bits in up to 16 hex digits. */
@@ -109,7 +109,7 @@
     }
 
     private static InetSocketAddress optional(Json root, String key) throws ConfigException {
-        return root.has(key) ? address(key, root.text(key, null)) : null;
+        return root.has(key) ? address(key, root.string(key, null)) : null;
     }
 
     /** An IPv4 address and a port. No name is looked up. */
@@ -127,39 +127,39 @@
         throw new ConfigException(key, "an IPv4 address and a port, got " + text);
     }
 
-    private static Notice notice(Json at, Settings settings) throws ConfigException {
-        if (at.has("pool")) {
-            Json pool = at.group("pool");
-            List<ListedEndpoint> nodes = new ArrayList<>();
+    private static Notice notice(Json json, Settings settings) throws ConfigException {
+        if (json.has("pool")) {
+            Json pool = json.object("pool");
+            List<ListedEndpoint> endpoints = new ArrayList<>();
             for (int i = 0; i < pool.array("instances").size(); i++) {
-                nodes.add(node(pool.item("instances", i), settings));
+                endpoints.add(endpoint(pool.item("instances", i), settings));
             }
-            return new Notice(pool.flag("reset", false), nodes, null, 0, 0);
+            return new Notice(pool.bool("reset", false), endpoints, null, 0, 0);
         }
-        Json flush = at.group("flush");
-        Long object = flush.has("asset") ? hex("known.flush.asset", flush.text("asset", "")) : null;
+        Json flush = json.object("flush");
+        Long object = flush.has("asset") ? hex("known.flush.asset", flush.string("asset", "")) : null;
         return new Notice(
-                false, null, object, flush.whole("collection", 0), flush.whole("ms", 0, 0, Long.MAX_VALUE / 4_000));
+                false, null, object, flush.integer("collection", 0), flush.integer("ms", 0, 0, Long.MAX_VALUE / 4_000));
     }
 
-    private static ListedEndpoint node(Json at, Settings settings) throws ConfigException {
-        String id = at.text("instanceId", "");
-        InetSocketAddress address = address("instances.hostPort", at.text("hostPort", null));
-        EndpointState state = switch (at.text("lifecycle", "")) {
+    private static ListedEndpoint endpoint(Json json, Settings settings) throws ConfigException {
+        String id = json.string("instanceId", "");
+        InetSocketAddress address = address("instances.hostPort", json.string("hostPort", null));
+        EndpointState state = switch (json.string("lifecycle", "")) {
             case "active" -> EndpointState.READY;
             case "leaving" -> EndpointState.DRAINING;
             case "left" -> EndpointState.REMOVED;
-            default -> throw at.wrong("lifecycle", "active, leaving or left");
+            default -> throw json.invalid("lifecycle", "active, leaving or left");
         };
         return new ListedEndpoint(
                 EndpointInfo.builder(
                                 hex("instances.instanceId", id.startsWith("s-") ? id.substring(2) : id),
-                                settings.kinds().indexOf(at.text("machineType", "")),
-                                settings.zones().indexOf(at.text("zone", "")))
-                        .startedUs(at.whole("startedAtMs", 0, 0, Long.MAX_VALUE / 4_000) * 1000)
-                        .weight(at.number("weight", 1))
+                                settings.machineTypes().indexOf(json.string("machineType", "")),
+                                settings.zones().indexOf(json.string("zone", "")))
+                        .startedUs(json.integer("startedAtMs", 0, 0, Long.MAX_VALUE / 4_000) * 1000)
+                        .weight(json.number("weight", 1))
                         .state(state)
-                        .cell(at.whole("cell", 0))
+                        .cell(json.integer("cell", 0))
                         .build(),
                 Ipv4.toInt(address),
                 address.getPort());
--- a/src/test/java/magpiewheel/config/DescriptorSharesTest.java
+++ b/src/test/java/magpiewheel/config/DescriptorSharesTest.java
@@ -53,10 +53,10 @@
     @Test(dataProvider = "configurations")
     public void noLimitIsSharedOutTwice(String text) throws Exception {
         AppConfig app = app(text);
-        int own = DescriptorShares.OWN + (app.dns() ? DescriptorShares.DNS : 0);
+        int own = DescriptorShares.RESERVED + (app.dns() ? DescriptorShares.DNS_RESERVED : 0);
         for (int sockets = 64; sockets <= 1_024; sockets++) {
             DescriptorShares shares = DescriptorShares.of(sockets, app, RespServer::descriptors);
-            int shared = RespServer.descriptors(shares.clients()) + shares.nodeConnections() + shares.resolvers();
+            int shared = RespServer.descriptors(shares.clients()) + shares.endpointConnections() + shares.resolvers();
             assertTrue(shares.clients() >= Math.min(app.clients(), sockets / 3), "clients at " + sockets);
             assertTrue(shares.resolvers() > 0 || !app.dns(), "resolvers at " + sockets);
             assertTrue(shared + own <= sockets, "more than there are at " + sockets);
--- a/src/test/java/magpiewheel/config/SettingsTest.java
+++ b/src/test/java/magpiewheel/config/SettingsTest.java
@@ -82,7 +82,7 @@
     private static Settings started(String text) throws ConfigException {
         Json root = Json.parse(text, "settings");
         Settings settings = Settings.of(root);
-        RequiredSettings.check(root, settings.module().requestClasses());
+        RequiredSettings.check(root, settings.routing().requestClasses());
         return settings;
     }
 
@@ -99,7 +99,7 @@
     /** What the build trains the class archive with: refused, the archive would lack all that serves. */
     @Test
     public void theTrainingsConfigurationIsTaken() throws Exception {
-        FrontConfig trained = FrontConfig.read(Map.of("GW_CONFIG", "deploy/train.json"));
+        RouterConfig trained = RouterConfig.read(Map.of("GW_CONFIG", "deploy/train.json"));
         assertEquals(trained.settings().classes(), List.of("v"));
     }
 
@@ -129,13 +129,13 @@
         root.getAsJsonObject("limits").addProperty("may_duplicate", flag);
         root.getAsJsonArray("profiles").get(1).getAsJsonObject().addProperty("effect", effect);
         Settings settings = started(root.toString());
-        assertEquals(settings.module().siblingFills().name().toLowerCase(Locale.ROOT), siblings);
-        assertEquals(settings.module().detailedCacheStatus(), notes.equals("all"));
-        assertEquals(settings.module().cachesJoinFills(), flag);
-        assertEquals(settings.module().mayBypassCaches(), !flag);
-        assertEquals(settings.module().limits().mayHedge(), flag);
+        assertEquals(settings.routing().siblingFills().name().toLowerCase(Locale.ROOT), siblings);
+        assertEquals(settings.routing().detailedCacheStatus(), notes.equals("all"));
+        assertEquals(settings.routing().cachesJoinFills(), flag);
+        assertEquals(settings.routing().mayBypassCaches(), !flag);
+        assertEquals(settings.routing().limits().mayHedge(), flag);
         assertEquals(
-                settings.module().requestClasses().get(1).idempotency().name(),
+                settings.routing().requestClasses().get(1).idempotency().name(),
                 effect.equals("token") ? "KEYED" : effect.equals("pure") ? "IDEMPOTENT" : "NOT_IDEMPOTENT");
     }
 }
