--- a/src/main/java/magpiewheel/Main.java
+++ b/src/main/java/magpiewheel/Main.java
@@ -16,35 +16,37 @@
 import magpiewheel.flows.FlowExporter;
 import magpiewheel.resp.RespServer;
 
-/** The program's entry: runs the command that the first word names, and ends a front on SIGTERM. */
+/** The program's entry point: runs the command that the first argument names, and shuts the router down on SIGTERM. */
 public final class Main {
     private static final String USAGE =
             "usage: magpiewheel.jar serve | adapter | config write APP | config check FILE\n"
                     + "       magpiewheel.jar flows collect ADDRESS";
     private static final String APP_FILE = "deploy/dns.json";
     /**
-     * ms; after SIGTERM clients still come for so long, and only then leave is taken of those who are there: new
-     * connections come for 0.4 s and requests on them for 0.2 s more, and an end that crosses a request costs a second
-     * try. The rest is for a machine that is late.
+     * ms; how long new connections are accepted after SIGTERM before clients are disconnected. New connections arrive
+     * for 0.4 s and requests on them for another 0.2 s, and a close that crosses a request costs the client a retry.
+     * The rest is a margin for a slow machine.
      */
     private static final long ACCEPT_AFTER_SIGTERM_MS = 800;
 
     private static final long LONGEST_DEADLINE_MS = 7_000;
-    /** us; a process may be killed 3.7 s after SIGTERM: what it takes after that signal is answered before. */
+    /**
+     * us; requests accepted after SIGTERM are answered within this time, since a process may be killed 3.7 s after it.
+     */
     private static final long ANSWER_AFTER_SIGTERM_US = 3_400_000;
     /**
-     * ms; by then all that was taken is answered: who is still in the middle of a request does not hold the process up.
+     * ms; by then every accepted request is answered: clients that are still sending a request don't delay the exit.
      */
     private static final long MAX_IDLE_CLIENT_WAIT_MS = 3_500;
 
     private static final int EXIT_INVALID = 2;
     private static final long FLOW_EXPORT_END_MS = 300;
-    /** What the process ends with; a planned end counts as none. */
+    /** Exit code of the process; 0 for a planned shutdown. */
     private static volatile int exitCode;
 
     private Main() {}
 
-    /** Runs what the first word names; exit code 2 at a wrong call or configuration. */
+    /** Runs the command that the first argument names; exit code 2 on a usage error or an invalid configuration. */
     public static void main(String[] args) {
         String command = args.length > 0 ? args[0] : "";
         try {
@@ -74,7 +76,10 @@
         System.exit(exitCode);
     }
 
-    /** Run by the build: loads what a front needs, so that the class archive holds it and restarts are short. */
+    /**
+     * Run by the build: loads the classes that a router needs, so that the class archive has them and restarts are
+     * fast.
+     */
     private static void train() throws IOException {
         RespServer server = Startup.start(Map.of("GW_CONFIG", "deploy/train.json"), Path.of(APP_FILE));
         try (Socket client =
@@ -89,11 +94,11 @@
         System.exit(0);
     }
 
-    /** SIGTERM: clients still come for a moment, and what they asked for is finished. */
+    /** Shuts down on SIGTERM: accepts clients for a short time, then finishes their requests. */
     static void shutDown(
             RespServer server, Engine engine, FlowExporter exporter, List<Runnable> closers, Counters counters) {
         if (exitCode != 0) {
-            // It never came to serve: the end must not look like a planned one.
+            // Startup failed: the exit must not look like a planned shutdown.
             Runtime.getRuntime().halt(exitCode);
         }
         long startNs = System.nanoTime();
@@ -101,12 +106,12 @@
         server.answerWithin(ANSWER_AFTER_SIGTERM_US);
         try {
             if (server.isShared()) {
-                // The next process has the entrance, so clients are sent there.
+                // The next process accepts on the same listener, so clients can reconnect there.
                 server.close();
             }
             Thread.sleep(ACCEPT_AFTER_SIGTERM_MS);
             server.close();
-            // A request that is read is answered, so connections end before the process does.
+            // Every request that was read is answered, so connections are closed before the process exits.
             for (long elapsedMs = 0;
                     elapsedMs < LONGEST_DEADLINE_MS
                             && (engine.inFlight() > 0
@@ -121,7 +126,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        // Halting waits 0.3 s for threads that are inside a socket.
+        // Halting waits 0.3 s for threads that are blocked in a socket call.
         engine.shutDown(List.of());
         closers.forEach(Runnable::run);
         System.err.println("magpiewheel: counters " + counters);
--- a/src/main/java/magpiewheel/Startup.java
+++ b/src/main/java/magpiewheel/Startup.java
@@ -41,14 +41,14 @@
 import magpiewheel.upstream.UpstreamPool;
 
 /**
- * Starts a front: builds its parts from its configuration, starts them in their order, and says that the front is up
- * once it has practised. Parts that are off are null.
+ * Starts a router: creates its components from the configuration, starts them in order, and reports the router as up
+ * after the warm-up. Components that are disabled are null.
  */
 final class Startup {
-    /** The buffers take at most one part in so many of the heap. */
+    /** Buffers take at most the heap size divided by this number. */
     private static final int BUFFER_HEAP_DIVISOR = 2;
 
-    /** Flows between their threads and the exporter, which looks every 50 ms: some 80,000 a second. */
+    /** Flow records queued for the exporter, which polls every 50 ms: enough for some 80,000 records per second. */
     private static final int FLOW_RING_SIZE = 4_096;
 
     private static final double BYTES_PER_KB = 1_000;
@@ -67,22 +67,22 @@
     private final Engine engine;
     private final Metering metering;
     private final FlowExporter exporter;
-    /** Whether the front has practised. */
+    /** Whether the warm-up is finished. */
     private final AtomicBoolean warmedUp = new AtomicBoolean();
-    /** What closes the sockets that are open until the process ends. */
+    /** Actions that close the sockets that stay open until the process ends. */
     private final List<Runnable> closers = new CopyOnWriteArrayList<>();
 
     private Startup(Map<String, String> env, Path appFile) throws IOException {
         counters = new Counters();
         reload = new Reload(env, counters);
-        // Before any file is read: a signal that nobody has taken over ends the process.
+        // Before any file is read: a SIGHUP without a handler terminates the process.
         reload.handleSignal();
         app = AppConfig.read(appFile);
         config = RouterConfig.read(env);
         settings = config.settings().routing();
         clock = app.pins() ? UnixClock.monotonic() : new UnixClock();
         workers = new WorkerPool();
-        // Half of the buffers for what is under way, half for copies of the front's own; with little memory, fewer.
+        // Half of the buffers serve requests in flight, half hold local copies; a small heap allows fewer buffers.
         int buffers = (int) Math.min(
                 app.buffers(), Runtime.getRuntime().maxMemory() / BUFFER_HEAP_DIVISOR / BufferPool.BUFFER_BYTES);
         pool = new BufferPool(buffers, counters);
@@ -100,7 +100,7 @@
         exporter = ring == null ? null : new FlowExporter(exportSettings(), ring, counters);
     }
 
-    /** Starts a front and returns it once it is up. */
+    /** Starts a router and returns its server once it is up. */
     static RespServer start(Map<String, String> env, Path appFile) throws IOException {
         return new Startup(env, appFile).run();
     }
@@ -118,7 +118,7 @@
         if (peers != null) {
             closers.add(peers::close);
         }
-        // From the first client on: one that ends before it is warm has requests in hand, too.
+        // Installed before the first client is accepted: requests can be in flight before the warm-up ends.
         addShutdownHook(server, engine, exporter, closers, counters);
         ListeningSocket listener = listener();
         if (!listener.isShared()) {
@@ -133,7 +133,7 @@
         }
         WarmUp.run(config, listener.isShared() ? null : server.address(), workers);
         if (listener.isShared()) {
-            // Only now: until then the process before this one serves them better.
+            // Not before the warm-up: until then the previous process serves clients better.
             server.start(listener);
         }
         warmedUp.set(true);
@@ -173,7 +173,10 @@
                 responseCache);
     }
 
-    /** What a front is told of regions; null where they are off, or can't be on, which is said. */
+    /**
+     * Returns the region settings, or null if regions are disabled or, with a log line, if their requirements are not
+     * met.
+     */
     private RegionConfig regions(MembershipConfig membership) {
         RegionConfig regions = app.regions() && peers != null
                 ? settings.regionConfig(membership.startedMs(), app.originTransfers())
@@ -230,7 +233,7 @@
         return stats;
     }
 
-    /** The list as the front was started with it, and purges in their place among its changes. */
+    /** Applies the endpoint lists and purges of the configuration in their order. */
     private void applyNotices() {
         boolean first = true;
         for (RouterConfig.Notice notice : config.notices()) {
@@ -250,7 +253,7 @@
         return notice.fullList() ? EndpointListMode.FULL : EndpointListMode.DELTA;
     }
 
-    /** Follows the notice board, as soon as one is named, and from then on the configuration's word on where it is. */
+    /** Starts the discovery client, which connects once the configuration names an address and follows its changes. */
     private DiscoveryClient startDiscovery() {
         DiscoveryClient discovery = new DiscoveryClient(
                 config.discoveryServer(), config.knownRevision(), engine, reload::discoveryLost, counters);
@@ -280,7 +283,7 @@
                 app.pins());
     }
 
-    // Static, so that what is kept for as long as the process runs holds neither the start nor its configuration.
+    // Static, so that objects that live as long as the process keep no reference to this object or its configuration.
 
     private static BooleanSupplier ready(AtomicBoolean warmedUp, Engine engine) {
         return () -> warmedUp.get() && engine.hasReadyEndpoint();
@@ -316,7 +319,7 @@
         System.err.println("magpiewheel: dns at " + dns.address());
     }
 
-    /** What the admin server reaches. */
+    /** The operations of the admin server. */
     private record AdminService(RespServer server, Engine engine, ServiceStats stats, BooleanSupplier ready)
             implements AdminServer.Service {
         @Override
--- a/src/main/java/magpiewheel/WarmUp.java
+++ b/src/main/java/magpiewheel/WarmUp.java
@@ -32,9 +32,9 @@
 import magpiewheel.upstream.UpstreamPool;
 
 /**
- * Serves made-up requests before the front says that it is up, on a module, an engine and connections of their own that
- * nobody else sees: else the first real ones, on one core and often with the clients of other fronts that are down,
- * wait for code to be compiled. No socket is opened but to the front's own address.
+ * Serves simulated requests before the router reports that it is up, with a separate routing module, engine and
+ * connections. Otherwise the first real requests would wait for code to be compiled, on one core and often together
+ * with the clients of other routers that are down. Sockets are opened only to the router's own address.
  */
 final class WarmUp {
     private static final int REQUESTS = 400;
@@ -48,8 +48,8 @@
     private WarmUp() {}
 
     /**
-     * Practises for a moment, also at the own address where it is given; what goes wrong in it costs nothing but the
-     * practice.
+     * Runs the warm-up for at most {@link #MAX_DURATION_MS}, also over sockets if {@code ownAddress} is not null. An
+     * error ends the warm-up only.
      */
     static void run(RouterConfig config, InetSocketAddress ownAddress, WorkerPool workers) {
         long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_DURATION_MS);
@@ -84,7 +84,7 @@
         }
     }
 
-    /** An engine and a module of their own, with nodes that are in memory. */
+    /** Creates a separate engine and routing module, with simulated caches. */
     private static Engine engine(
             RouterConfig config, WorkerPool workers, UnixClock clock, BufferPool pool, Counters counters) {
         RoutingSettings settings = config.settings().routing();
@@ -149,7 +149,7 @@
                 false);
     }
 
-    /** The frame of a made-up request of this class. */
+    /** Returns the frame of a simulated request of the named class. */
     private static String request(int number, String name) {
         String tag = Integer.toString(number);
         String fields = "trace=" + HexFormat.of().toHexDigits((long) number) + ",patience=900,entity="
@@ -159,7 +159,7 @@
                 + fields.length() + "\r\n" + fields + "\r\n$0\r\n\r\n";
     }
 
-    /** The front's own listener and the machine's sockets: how the front is, which is not up yet. */
+    /** Sends {@code STATUS} requests to the router's own listener, to warm up the code for real sockets. */
     private static void requestStatus(InetSocketAddress ownAddress, long deadlineNs) throws IOException {
         for (int i = 0; i < STATUS_REQUESTS && System.nanoTime() < deadlineNs; i++) {
             try (Socket socket = new Socket(ownAddress.getAddress(), ownAddress.getPort())) {
@@ -172,7 +172,7 @@
     }
 
     /**
-     * A connection without a network: what is given to it can be read, what is written to it goes to {@link #onWrite}.
+     * A connection without a network: bytes passed to {@link #enqueue} can be read, and writes go to {@link #onWrite}.
      */
     private abstract static class InMemorySocket extends Socket {
         private final ArrayDeque<byte[]> readQueue = new ArrayDeque<>();
@@ -232,7 +232,7 @@
 
                 @Override
                 public void write(byte[] bytes, int from, int count) {
-                    // Heads are what begins an answer or a request, and short.
+                    // Only the head at the start of a response or request is needed, and it is short.
                     onWrite(new String(bytes, from, Math.min(count, 64), StandardCharsets.ISO_8859_1));
                 }
             };
@@ -269,7 +269,7 @@
         }
     }
 
-    /** A client: it counts the answers. */
+    /** A client that limits its concurrent requests: each response frees a slot. */
     private static final class SimulatedClient extends InMemorySocket {
         private final Semaphore freeSlots = new Semaphore(MAX_CONCURRENT_REQUESTS);
 
@@ -289,7 +289,7 @@
         }
     }
 
-    /** A node that holds everything. */
+    /** A cache that answers every request with a hit. */
     private static final class SimulatedCache extends InMemorySocket {
         @Override
         void onWrite(String text) {
--- a/src/main/java/magpiewheel/config/AppConfig.java
+++ b/src/main/java/magpiewheel/config/AppConfig.java
@@ -15,8 +15,8 @@
 import magpiewheel.membership.MembershipConfig;
 
 /**
- * An application's configuration: the bounds of its front, pinned reads, DNS request routing and flow export (null
- * where it is off).
+ * The configuration of an application: connection and buffer limits, fleet options, reads with bounded staleness
+ * ({@code pins}), DNS request routing, and flow export (null when it is disabled).
  */
 public record AppConfig(
         int clients,
@@ -31,7 +31,7 @@
         InetSocketAddress dnsListen,
         String dnsZone,
         Flows flows) {
-    /** Flow export: the collectors, the best first, and the bounds of what waits for them. */
+    /** Flow export: the collectors in order of preference, and the limits on records that wait to be exported. */
     public record Flows(
             List<FlowExporter.Target> collectors,
             int domain,
@@ -42,7 +42,7 @@
             int drainPerS,
             int intervalMs) {}
 
-    /** What a value must be. */
+    /** Checks the type and range of the value of a key. */
     private interface ValueCheck {
         void check(Json json, String key) throws ConfigException;
     }
@@ -88,7 +88,11 @@
         return (json, key) -> json.integer(key, min, min, max);
     }
 
-    /** Reads a file; the first wrong key is named. */
+    /**
+     * Reads the configuration from a file.
+     *
+     * @throws ConfigException names the first invalid or unknown key
+     */
     public static AppConfig read(Path file) throws ConfigException {
         Json root = root(file);
         List<String> errors = errors(root);
@@ -114,7 +118,10 @@
                 flows.bool("enabled", false) ? flows(flows) : null);
     }
 
-    /** ms; 0 stands for quick beats where lookups name live fronts, and for few where only the module hears of them. */
+    /**
+     * Returns the heartbeat interval in ms. 0 selects the fast interval if DNS is enabled, since DNS answers list the
+     * live routers, and the slow one if only the routing module uses membership.
+     */
     private static int heartbeatMs(int configuredMs, boolean dns) {
         return configuredMs > 0
                 ? Math.max(MIN_HEARTBEAT_MS, configuredMs)
@@ -134,7 +141,8 @@
     }
 
     /**
-     * One collector or several, divided by commas: an address and a port, with {@code udp:} or {@code tcp:} before it.
+     * Parses one or more collectors, separated by commas: each an address and a port, with an optional prefix
+     * {@code udp:} (the default) or {@code tcp:}.
      */
     private static List<FlowExporter.Target> collectors(Json json, String key, String defaultValue)
             throws ConfigException {
@@ -172,7 +180,7 @@
         }
     }
 
-    /** A line for every wrong or unknown key of a file. */
+    /** Returns one line for each invalid or unknown key of a file; empty if the file is valid. */
     public static List<String> check(Path file) {
         try {
             return errors(root(file));
@@ -228,7 +236,11 @@
         }
     }
 
-    /** Writes the configuration of an application with every key at its preset; never over a file that exists. */
+    /**
+     * Writes a configuration file for an application with every key at its default value, and returns its path.
+     *
+     * @throws ConfigException if the name is invalid or the file exists; an existing file is never overwritten
+     */
     public static Path write(String application, Path folder) throws IOException {
         if (!application.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
             throw new ConfigException("APP", "a name of letters, digits, dots and dashes, got " + application);
--- a/src/main/java/magpiewheel/config/ConfigException.java
+++ b/src/main/java/magpiewheel/config/ConfigException.java
@@ -2,13 +2,13 @@
 
 import java.io.IOException;
 
-/** A value that can't be used; the message is one plain line that names its key. */
+/** An invalid configuration value; the message is a single line that names its key. */
 public final class ConfigException extends IOException {
     private static final long serialVersionUID = 1L;
 
     private final boolean transientFault;
 
-    /** The key and what was expected there. */
+    /** Creates the message from the key and the value that was expected for it. */
     public ConfigException(String key, String expected) {
         this(key + ": expected " + expected, false);
     }
@@ -22,12 +22,12 @@
         this.transientFault = transientFault;
     }
 
-    /** A file that could not be read, whatever it holds. */
+    /** Returns a transient error for a file that could not be read at all, as opposed to one with invalid content. */
     static ConfigException unreadable(String key, String file) {
         return new ConfigException(key + ": expected a file that can be read, got " + file, true);
     }
 
-    /** Whether the same file may be usable a moment later. */
+    /** Whether reading the same file again shortly afterwards may succeed. */
     boolean isTransient() {
         return transientFault;
     }
--- a/src/main/java/magpiewheel/config/ConfigTool.java
+++ b/src/main/java/magpiewheel/config/ConfigTool.java
@@ -10,7 +10,7 @@
 
     private ConfigTool() {}
 
-    /** Runs one of them; the exit code is 0, or 2 where something is wrong. */
+    /** Runs the command and returns the exit code: 0 on success, 2 on a usage error or an invalid configuration. */
     public static int run(String[] args) {
         String command = args.length == 3 ? args[1] : "";
         try {
--- a/src/main/java/magpiewheel/config/DescriptorShares.java
+++ b/src/main/java/magpiewheel/config/DescriptorShares.java
@@ -3,33 +3,34 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * How the descriptors of the process are shared out: so many connections from clients, to nodes, and from resolvers
- * over TCP. What the program itself opens comes first, so that discovery, other fronts and a reload find a descriptor
- * however many clients hold theirs.
+ * Divides the file descriptors of the process: maximum numbers of client connections, of connections to endpoints, and
+ * of TCP connections from DNS resolvers. Descriptors for the router itself are reserved first, so that discovery, peers
+ * and a configuration reload can always open one, however many clients are connected.
  */
 public record DescriptorShares(int clients, int endpointConnections, int resolvers) {
     /**
-     * Jar, class archive, logs, listeners, peers, board, what the virtual machine opens for itself (11), operators'
-     * calls.
+     * Descriptors for the jar, the class archive, logs, listeners, peers, discovery, the virtual machine itself (11)
+     * and requests to the admin server.
      */
     static final int RESERVED = 28;
-    /** Where lookups are answered: both listeners, and one each to turn a newcomer away. */
+    /** Descriptors for DNS: the UDP and TCP listeners, and for each one more to reject a new connection. */
     static final int DNS_RESERVED = 4;
-    /** Resolvers over TCP, where there is room for them. */
+    /** Maximum number of TCP connections from resolvers; fewer if descriptors are short. */
     private static final int MAX_RESOLVERS = 32;
 
     static final int MIN_ENDPOINT_CONNECTIONS = 8;
     /**
-     * Usual clients hold a third of the descriptors at most; for those who come and have asked nothing yet there is
-     * more.
+     * Maximum number of connections added to the clients' third of the descriptors, for clients that have connected but
+     * not yet sent a request.
      */
     private static final int MAX_NEW_CLIENTS = 20;
 
     private static final int CLIENT_SHARE_DIVISOR = 3;
 
     /**
-     * Shares out {@code sockets} descriptors, within the bounds of the application's configuration. {@code held} tells
-     * how many so many clients take, with those whose connections are ending.
+     * Divides {@code sockets} descriptors within the limits of the application's configuration.
+     * {@code descriptorsForClients} returns the descriptors that a number of clients can hold, including connections
+     * that are closing.
      */
     public static DescriptorShares of(int sockets, AppConfig app, IntUnaryOperator descriptorsForClients) {
         int remaining = sockets - RESERVED - (app.dns() ? DNS_RESERVED : 0);
@@ -37,7 +38,7 @@
         int spare = remaining - descriptorsForClients.applyAsInt(activeClients) - MIN_ENDPOINT_CONNECTIONS;
         int resolvers = app.dns() ? Math.max(1, Math.min(MAX_RESOLVERS, spare)) : 0;
         remaining -= resolvers;
-        // Newcomers get what is left at most: usual clients are owed their third.
+        // New clients get at most the remainder: the third for active clients is guaranteed.
         int newClients = MAX_NEW_CLIENTS;
         while (newClients > 0
                 && descriptorsForClients.applyAsInt(activeClients + newClients)
--- a/src/main/java/magpiewheel/config/Json.java
+++ b/src/main/java/magpiewheel/config/Json.java
@@ -11,11 +11,14 @@
 import com.google.gson.TypeAdapter;
 import java.io.IOException;
 
-/** Typed looks into a JSON object. Absent and null keys give the default; a wrong type names its key. */
+/**
+ * Typed access to a JSON object. An absent or null key gives the default value; a wrong type is an error that names the
+ * key.
+ */
 final class Json {
     private static final Gson GSON =
             new GsonBuilder().setStrictness(Strictness.STRICT).create();
-    /** us; far beyond any time, and still without an overflow when some are added up. */
+    /** Maximum time in us: longer than any real time, and small enough that a few can be added without overflow. */
     private static final long MAX_US = Long.MAX_VALUE / 4;
 
     private final JsonObject object;
@@ -90,7 +93,7 @@
         return value == null ? defaultValue : value.getAsDouble();
     }
 
-    /** A whole number of any size that 64 bits hold; a double would round what lies past 2^53. */
+    /** Returns a 64-bit integer. It is not read as a double, which would round values above 2^53. */
     long integer(String key, long defaultValue, long min, long max) throws ConfigException {
         double value = number(key, defaultValue);
         if (!(value >= min && value <= max)) {
@@ -107,12 +110,12 @@
         return (int) integer(key, defaultValue, -1, Integer.MAX_VALUE);
     }
 
-    /** A time in us; 0 where it is not told. */
+    /** Returns a time in us; 0 if the key is absent. */
     long micros(String key) throws ConfigException {
         return integer(key, 0, 0, MAX_US);
     }
 
-    /** A time in us that has to be told, and is longer than none. */
+    /** Returns a required time in us, greater than 0. */
     long positiveMicros(String key) throws ConfigException {
         return integer(key, 0, 1, MAX_US);
     }
@@ -141,7 +144,7 @@
         return value == null ? null : value.getAsJsonPrimitive();
     }
 
-    /** Numbers by place; what is not listed is 0. */
+    /** Returns a list of numbers, padded with 0 to {@code minLength}. */
     double[] numbers(String key, int minLength) throws ConfigException {
         JsonArray from = array(key);
         double[] all = new double[Math.max(minLength, from.size())];
@@ -162,7 +165,7 @@
                 && from.get(index).getAsBoolean();
     }
 
-    /** The key with the path to it. */
+    /** Returns the key with its path from the root. */
     String fullName(String key) {
         return path + key;
     }
--- a/src/main/java/magpiewheel/config/Reload.java
+++ b/src/main/java/magpiewheel/config/Reload.java
@@ -13,28 +13,29 @@
 import magpiewheel.engine.WorkerPool;
 
 /**
- * SIGHUP: the configuration file is read again and, only if all of it can be used, handed on. Without a handler the
- * virtual machine would end on that signal, and with it all requests in hand.
+ * Reads the configuration file again on SIGHUP and passes it to the listener only if all of it is valid. Without a
+ * handler the signal would terminate the virtual machine and all requests in flight.
  *
- * <p>The signal may never come: whoever starts a process can have it ignored ({@code nohup} does), and the virtual
- * machine leaves that as it is. So the file is also looked at when the board is lost, and read if it has changed.
+ * <p>The signal may not be delivered: the parent of the process can have it ignored ({@code nohup} does), and the
+ * virtual machine does not change that. The file is therefore also checked when the connection to discovery is lost,
+ * and read if it has changed.
  */
 public final class Reload extends Actor {
     private static final int MAILBOX = 4;
-    /** us; a file that could not be read at all is tried again after so long. */
+    /** us; delay before a file that could not be read at all is tried again. */
     private static final long RETRY_US = 200_000;
 
     private final Map<String, String> env;
     private final Counters counters;
     private Consumer<RouterConfig> listener;
-    /** Tells one text of the file from the next; what stands there before the first reading is none to read again. */
+    /** Identifies the version of the file that was read last; initially the one present at construction. */
     private String fileStamp;
-    /** ns; when a file that could not be read is tried again; the actor's alone. */
+    /** ns, by {@link System#nanoTime}; when an unreadable file is tried again. Used only by the actor. */
     private long retryAtNs;
 
     private boolean retryPending;
 
-    /** To be made before the configuration is read for the first time. */
+    /** Must be created before the configuration is first read, so that no later change of the file is missed. */
     public Reload(Map<String, String> env, Counters counters) {
         super("reload", MAILBOX, counters);
         this.env = env;
@@ -42,19 +43,19 @@
         fileStamp = fileStamp();
     }
 
-    /** From now on what is read is handed to {@code to}, also for a signal that came before. */
+    /** Starts the actor; {@code to} receives each valid configuration, including that of a signal received earlier. */
     public void listen(WorkerPool workers, Consumer<RouterConfig> to) {
         listener = to;
         start(workers);
     }
 
     /**
-     * From now on SIGHUP is heard; the reading waits for {@link #listen}. To be called before anything else: until then
-     * the virtual machine ends on that signal.
+     * Installs the SIGHUP handler; the file is not read before {@link #listen}. Must be called before anything else,
+     * since until then the signal terminates the virtual machine.
      */
     public void handleSignal() {
         try {
-            // By name: the compiler rejects the class as internal, though every Java 17 has it.
+            // Reflection: the compiler rejects the class as internal, although every Java 17 has it.
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object hangupHandler = Proxy.newProxyInstance(
@@ -72,7 +73,7 @@
         }
     }
 
-    /** The board can't be reached, or is silent: it may have moved without a word. */
+    /** Reads the file if it has changed: discovery is unreachable or silent, and its address may be a new one. */
     public void discoveryLost() {
         offer(() -> {
             if (!fileStamp().equals(fileStamp)) {
@@ -86,14 +87,14 @@
             BasicFileAttributes file = Files.readAttributes(Path.of(env.get("GW_CONFIG")), BasicFileAttributes.class);
             return file.lastModifiedTime() + " " + file.size() + " " + file.fileKey();
         } catch (IOException | RuntimeException e) {
-            // No such file: reading it says so, once.
+            // The file can't be accessed: the next read reports that, once.
             return "none";
         }
     }
 
     private Object invoked(Object proxy, String method, Object[] args) {
         if (method.equals("handle")) {
-            // With a full mailbox a signal is dropped: those before it have still to read the file.
+            // A signal is dropped if the mailbox is full: signals queued before it will still read the file.
             offer(this::read);
             return null;
         }
@@ -124,7 +125,7 @@
             counters.add(Counter.RELOADS);
             System.err.println("magpiewheel: configuration read again, board " + config.discoveryServer());
         } catch (ConfigException e) {
-            // Being replaced just now, or no descriptor was free: no further signal comes for the same file.
+            // The file is being replaced, or no descriptor was free: no further signal will arrive for the same file.
             retryPending = e.isTransient();
             retryAtNs = System.nanoTime() + RETRY_US * 1_000;
             if (!(wasRetry && retryPending)) {
--- a/src/main/java/magpiewheel/config/RequiredSettings.java
+++ b/src/main/java/magpiewheel/config/RequiredSettings.java
@@ -4,11 +4,15 @@
 import magpiewheel.routing.Idempotency;
 import magpiewheel.routing.RequestClass;
 
-/** What the settings of a site have to tell before a front can serve: without it, none of its requests could be. */
+/** Checks the settings that a router can't serve any request without. */
 final class RequiredSettings {
     private RequiredSettings() {}
 
-    /** Names the first key that is missing, or whose value leaves nothing to serve with. */
+    /**
+     * Checks the required keys.
+     *
+     * @throws ConfigException names the first key that is missing or has a value with which no request can be served
+     */
     static void check(Json settings, List<RequestClass> classes) throws ConfigException {
         settings.object("limits").integer("max_attempts", 0, 1, Integer.MAX_VALUE);
         Json rules = settings.object("rules");
--- a/src/main/java/magpiewheel/config/RouterConfig.java
+++ b/src/main/java/magpiewheel/config/RouterConfig.java
@@ -15,7 +15,7 @@
 import magpiewheel.routing.EndpointInfo;
 import magpiewheel.routing.EndpointState;
 
-/** What a front is told at its start: the environment, and the JSON file that it names. */
+/** The configuration of a router: the environment variables and the JSON file that {@code GW_CONFIG} names. */
 public record RouterConfig(
         String name,
         InetSocketAddress listen,
@@ -35,10 +35,17 @@
         Settings settings) {
     private static final int DEFAULT_SOCKETS = 1_024;
 
-    /** One event of the board: a list (with {@code nodes}) or a purge of an object or, with null, a group. */
+    /**
+     * A discovery event: an endpoint list (if {@code endpoints} is not null), or a purge of {@code object} or, if that
+     * is null, of {@code group}.
+     */
     public record Notice(boolean fullList, List<ListedEndpoint> endpoints, Long object, int group, long atMs) {}
 
-    /** Reads both; what can't be used is named in one line. */
+    /**
+     * Reads the environment and the file.
+     *
+     * @throws ConfigException names the first invalid key in a single line
+     */
     public static RouterConfig read(Map<String, String> env) throws ConfigException {
         String file = env.get("GW_CONFIG");
         if (file == null) {
@@ -83,7 +90,7 @@
                 settings);
     }
 
-    /** Whether clients come in by a listener that the platform holds; it can hand on descriptor 0 only. */
+    /** Whether the router accepts clients on a listening socket inherited from the platform, always as descriptor 0. */
     private static boolean inheritsListener(Map<String, String> env) throws ConfigException {
         String descriptor = env.getOrDefault("GW_SOCKET_FD", "");
         if (!descriptor.isEmpty() && !descriptor.equals("0")) {
@@ -96,7 +103,7 @@
         return hex("seed", root.string("seed", "0"));
     }
 
-    /** 64 bits in up to 16 hex digits. */
+    /** Parses an unsigned 64-bit number of up to 16 hex digits. */
     static long hex(String key, String text) throws ConfigException {
         try {
             if (text.startsWith("+") || text.startsWith("-")) {
@@ -112,7 +119,7 @@
         return root.has(key) ? address(key, root.string(key, null)) : null;
     }
 
-    /** An IPv4 address and a port. No name is looked up. */
+    /** Parses an IPv4 address and a port; host names are rejected, so there is no name lookup. */
     static InetSocketAddress address(String key, String text) throws ConfigException {
         int colon = text == null ? -1 : text.lastIndexOf(':');
         try {
@@ -122,7 +129,7 @@
                 return new InetSocketAddress(InetAddress.getByName(host), port);
             }
         } catch (IOException | RuntimeException e) {
-            // Named below.
+            // Reported below.
         }
         throw new ConfigException(key, "an IPv4 address and a port, got " + text);
     }
--- a/src/main/java/magpiewheel/config/Settings.java
+++ b/src/main/java/magpiewheel/config/Settings.java
@@ -18,8 +18,8 @@
 import magpiewheel.routing.WeightSource;
 
 /**
- * The settings that an instance is given, for the module and for the fronts; keys not known here are passed over. The
- * names are what requests and the list use where the module has numbers.
+ * The settings of a router instance, for the routing module and for the server around it; unknown keys are ignored. The
+ * lists of names map the names used in requests and endpoint lists to the indexes that the routing module uses.
  */
 public record Settings(
         RoutingSettings routing,
@@ -27,13 +27,13 @@
         List<String> zones,
         List<String> machineTypes,
         long idleCloseUs) {
-    /** What has room in the fronts' datagrams. */
+    /** Limited by the field size in the routers' datagrams. */
     private static final int MAX_INSTANCES = 65_535;
 
     private static final int MAX_ZONE = 254;
     private static final Map<String, SiblingFills> SIBLING_FILLS =
             Map.of("off", SiblingFills.OFF, "location", SiblingFills.LOCATION, "any", SiblingFills.ANY);
-    /** Whether the notes of answers tell all. */
+    /** Whether responses carry the detailed cache status. */
     private static final Map<String, Boolean> CACHE_STATUS_DETAIL = Map.of("all", true, "hit", false, "off", false);
 
     private static final Map<String, WeightSource> WEIGHT_SOURCES = Map.of(
@@ -67,7 +67,11 @@
             "x1 a cache: transfers",
             LoadMetric.LINK_UTILIZATION);
 
-    /** Reads them from their JSON. */
+    /**
+     * Parses the settings from JSON.
+     *
+     * @throws ConfigException names the first invalid key
+     */
     public static Settings parse(String text) throws ConfigException {
         return of(Json.parse(text, "settings"));
     }
@@ -115,7 +119,7 @@
                 .build();
     }
 
-    /** The place of a kind among the machine types, or -1 where there is none. */
+    /** Returns an index into the machine types, or -1 if the key is absent. */
     private static int machineType(Json root, Json extra, String key) throws ConfigException {
         int types = root.array("machine_types").size();
         return (int) extra.integer(key, -1, -1, types == 0 ? Integer.MAX_VALUE : types - 1);
@@ -152,7 +156,7 @@
         return new SafetyLimits(drainNoticeUs, purgeNoticeUs, purgeCompletionUs, cache, parent);
     }
 
-    /** No decision needs these, but a wrong type among them is an error of the settings all the same. */
+    /** Checks the types of keys that no decision uses: a wrong type is an error for these, too. */
     private static void checkUnused(Json json, Json extra) throws ConfigException {
         extra.number("root_fall_multiple", 0);
         extra.micros("root_fall_us");
@@ -198,7 +202,7 @@
         return List.copyOf(all);
     }
 
-    /** What x0 and x1 mean stands in the settings, in words. */
+    /** Returns the metrics of the load report; the settings describe the meaning of x0 and x1 in text. */
     private static List<LoadMetric> loadMetrics(Json report, Json extra) throws ConfigException {
         List<LoadMetric> all = new ArrayList<>();
         for (String name : names(report, "names")) {
--- a/src/main/java/magpiewheel/package-info.java
+++ b/src/main/java/magpiewheel/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The program's entry: {@link magpiewheel.Main} runs its commands and ends a front on SIGTERM, {@code Startup} wires
- * the parts of a front together, and {@code WarmUp} has the real code compiled by made-up requests before {@code UP}.
+ * The program's entry point: {@link magpiewheel.Main} runs the commands and shuts the router down on SIGTERM,
+ * {@code Startup} creates and connects the components of a router, and {@code WarmUp} sends simulated requests through
+ * the real code, so that it is compiled before the router reports {@code UP}.
  */
 package magpiewheel;
