--- a/src/main/java/magpiewheel/Main.java
+++ b/src/main/java/magpiewheel/Main.java
@@ -37,10 +37,10 @@
     /**
      * ms; by then every accepted request is answered: clients that are still sending a request don't delay the exit.
      */
-    private static final long MAX_IDLE_CLIENT_WAIT_MS = 3_500;
+    private static final long MAX_CLIENT_WAIT_MS = 3_500;
 
     private static final int EXIT_INVALID = 2;
-    private static final long FLOW_EXPORT_END_MS = 300;
+    private static final long MAX_FLOW_EXPORT_MS = 300;
     /** Exit code of the process; 0 for a planned shutdown. */
     private static volatile int exitCode;
 
@@ -116,12 +116,12 @@
                     elapsedMs < LONGEST_DEADLINE_MS
                             && (engine.inFlight() > 0
                                     || server.busy()
-                                    || server.hasClients() && elapsedMs < MAX_IDLE_CLIENT_WAIT_MS);
+                                    || server.hasClients() && elapsedMs < MAX_CLIENT_WAIT_MS);
                     elapsedMs = (System.nanoTime() - startNs) / 1_000_000) {
                 Thread.sleep(10);
             }
             if (exporter != null) {
-                exporter.end(FLOW_EXPORT_END_MS);
+                exporter.end(MAX_FLOW_EXPORT_MS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/magpiewheel/config/DescriptorShares.java
+++ b/src/main/java/magpiewheel/config/DescriptorShares.java
@@ -13,7 +13,7 @@
      * and requests to the admin server.
      */
     static final int RESERVED = 28;
-    /** Descriptors for DNS: the UDP and TCP listeners, and for each one more to reject a new connection. */
+    /** Descriptors for DNS: the UDP and TCP listeners, and two to accept and reject excess connections. */
     static final int DNS_RESERVED = 4;
     /** Maximum number of TCP connections from resolvers; fewer if descriptors are short. */
     private static final int MAX_RESOLVERS = 32;
