--- a/src/main/java/magpiewheel/Startup.java
+++ b/src/main/java/magpiewheel/Startup.java
@@ -183,7 +183,7 @@
                 : null;
         if (app.regions() && regions == null) {
             System.err.println(
-                    "magpiewheel: fleet.regions needs peers, parents and branches that are attached to a hub: off");
+                    "magpiewheel: regions disabled: fleet.regions needs peers, parents and branches attached to a hub");
         }
         return regions;
     }
--- a/src/main/java/magpiewheel/WarmUp.java
+++ b/src/main/java/magpiewheel/WarmUp.java
@@ -59,7 +59,7 @@
                 requestStatus(ownAddress, deadlineNs);
             }
         } catch (IOException | RuntimeException e) {
-            System.err.println("magpiewheel: practice ended early: " + e);
+            System.err.println("magpiewheel: warm-up ended early: " + e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/magpiewheel/config/AppConfig.java
+++ b/src/main/java/magpiewheel/config/AppConfig.java
@@ -55,7 +55,7 @@
     private static final ValueCheck ZONE = (json, key) -> {
         if (!json.string(key, "")
                 .matches("(?i)[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?(\\.[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?){0,8}")) {
-            throw json.invalid(key, "a domain name without the last dot");
+            throw json.invalid(key, "a domain name without the trailing dot");
         }
     };
     private static final ValueCheck COLLECTORS = (json, key) -> collectors(json, key, null);
@@ -153,7 +153,7 @@
             targets.add(new FlowExporter.Target(tcp, RouterConfig.address(json.fullName(key), address)));
         }
         if (targets.size() > MAX_COLLECTORS) {
-            throw json.invalid(key, MAX_COLLECTORS + " collectors at most");
+            throw json.invalid(key, "at most " + MAX_COLLECTORS + " collectors");
         }
         return List.copyOf(targets);
     }
@@ -230,7 +230,7 @@
     private static void addUnknownKeys(Json json, Set<String> known, List<String> errors) {
         for (String key : json.keys()) {
             if (!known.contains(key)) {
-                errors.add(json.invalid(key, "no such key; known are " + String.join(", ", known))
+                errors.add(json.invalid(key, "no such key; known keys are " + String.join(", ", known))
                         .getMessage());
             }
         }
--- a/src/main/java/magpiewheel/config/ConfigTool.java
+++ b/src/main/java/magpiewheel/config/ConfigTool.java
@@ -22,7 +22,7 @@
                     if (!errors.isEmpty()) {
                         return EXIT_INVALID;
                     }
-                    System.out.println(args[2] + " is in order");
+                    System.out.println(args[2] + " is valid");
                 }
                 default -> {
                     System.err.println("usage: magpiewheel.jar config write APP | config check FILE");
--- a/src/main/java/magpiewheel/config/RequiredSettings.java
+++ b/src/main/java/magpiewheel/config/RequiredSettings.java
@@ -17,7 +17,7 @@
         settings.object("limits").integer("max_attempts", 0, 1, Integer.MAX_VALUE);
         Json rules = settings.object("rules");
         if (!rules.has("drain_grace_us")) {
-            throw rules.invalid("drain_grace_us", "a time, 0 for at once");
+            throw rules.invalid("drain_grace_us", "a time in us, 0 for none");
         }
         for (int i = 0; i < classes.size(); i++) {
             Json profile = settings.item("profiles", i);
