--- a/src/test/java/magpiewheel/config/DescriptorSharesTest.java
+++ b/src/test/java/magpiewheel/config/DescriptorSharesTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How descriptors are shared out, at every limit that a configuration may name. */
+/** Checks how the file descriptors are divided, for descriptor limits from 64 to 1,024. */
 public class DescriptorSharesTest {
     private static final String OFF = "{}";
     private static final String DNS = "{\"dns\":{\"enabled\":true}}";
@@ -37,29 +37,29 @@
         };
     }
 
-    /** The shares at a few limits, from the least that is allowed to the largest. */
+    /** Exact shares at a few descriptor limits, from the minimum of 64 to the default of 1,024. */
     @Test(dataProvider = "limits")
-    public void descriptorsAreSharedOut(int sockets, String text, int clients, int nodes, int resolvers)
+    public void dividesDescriptors(int sockets, String text, int clients, int endpointConnections, int resolvers)
             throws Exception {
         assertEquals(
                 DescriptorShares.of(sockets, app(text), RespServer::descriptors),
-                new DescriptorShares(clients, nodes, resolvers));
+                new DescriptorShares(clients, endpointConnections, resolvers));
     }
 
     /**
-     * Usual clients hold a third and no more: that, connections that are ending, the program's own and a few to nodes
-     * always find room.
+     * Clients are always allowed a third of the descriptors (or the configured maximum, if lower), and the sum of all
+     * shares, of connections that are closing and of the router's own descriptors stays within the limit.
      */
     @Test(dataProvider = "configurations")
-    public void noLimitIsSharedOutTwice(String text) throws Exception {
+    public void sharesNeverExceedTheDescriptorLimit(String text) throws Exception {
         AppConfig app = app(text);
-        int own = DescriptorShares.RESERVED + (app.dns() ? DescriptorShares.DNS_RESERVED : 0);
+        int reserved = DescriptorShares.RESERVED + (app.dns() ? DescriptorShares.DNS_RESERVED : 0);
         for (int sockets = 64; sockets <= 1_024; sockets++) {
             DescriptorShares shares = DescriptorShares.of(sockets, app, RespServer::descriptors);
             int shared = RespServer.descriptors(shares.clients()) + shares.endpointConnections() + shares.resolvers();
             assertTrue(shares.clients() >= Math.min(app.clients(), sockets / 3), "clients at " + sockets);
             assertTrue(shares.resolvers() > 0 || !app.dns(), "resolvers at " + sockets);
-            assertTrue(shared + own <= sockets, "more than there are at " + sockets);
+            assertTrue(shared + reserved <= sockets, "descriptor limit exceeded at " + sockets);
         }
     }
 
--- a/src/test/java/magpiewheel/config/SettingsTest.java
+++ b/src/test/java/magpiewheel/config/SettingsTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What the settings of a site may say, in all combinations of their words, and what stops the start. */
+/** Checks that the settings accept all combinations of valid values, and that an invalid value prevents the start. */
 public class SettingsTest {
     private static final String SITE = """
             {"azs":["hub","office"],"machine_types":["small","large","parent","origin"],"me":0,"instances":2,"zone":1,
@@ -30,8 +30,8 @@
         return JsonParser.parseString(SITE).getAsJsonObject();
     }
 
-    /** The object that holds the last key of a path such as {@code profiles.1.effect}. */
-    private static JsonObject holder(JsonObject root, String[] path) {
+    /** Returns the object that contains the last key of a path such as {@code profiles.1.effect}. */
+    private static JsonObject parentOf(JsonObject root, String[] path) {
         JsonElement at = root;
         for (int i = 0; i + 1 < path.length; i++) {
             at = at.isJsonArray()
@@ -41,22 +41,22 @@
         return at.getAsJsonObject();
     }
 
-    /** The site with another value at a path, given as JSON; null takes the key away. */
+    /** Returns the settings with the value at a path replaced by the given JSON; null removes the key. */
     private static String with(String path, String value) {
         JsonObject root = site();
         String[] keys = path.split("\\.");
-        JsonObject holder = holder(root, keys);
+        JsonObject parent = parentOf(root, keys);
         String last = keys[keys.length - 1];
         if (value == null) {
-            holder.remove(last);
+            parent.remove(last);
         } else {
-            holder.add(last, JsonParser.parseString(value));
+            parent.add(last, JsonParser.parseString(value));
         }
         return root.toString();
     }
 
     @DataProvider
-    Object[][] unusable() {
+    Object[][] invalidValues() {
         return new Object[][] {
             {"extra.sideways", "\"moon\"", "extra.sideways"},
             {"extra.detail", "\"most\"", "extra.detail"},
@@ -78,39 +78,39 @@
         };
     }
 
-    /** What a front that starts does with its settings. */
-    private static Settings started(String text) throws ConfigException {
+    /** Parses and checks the settings as a router does at its start. */
+    private static Settings parseAndCheck(String text) throws ConfigException {
         Json root = Json.parse(text, "settings");
         Settings settings = Settings.of(root);
         RequiredSettings.check(root, settings.routing().requestClasses());
         return settings;
     }
 
-    /** One line names the key. */
-    @Test(dataProvider = "unusable")
-    public void whatTheProgramCannotDoIsNamed(String path, String value, String key) {
+    /** The error is a single line that starts with the key. */
+    @Test(dataProvider = "invalidValues")
+    public void invalidValueIsReportedWithItsKey(String path, String value, String key) {
         String text = with(path, value);
         String message =
-                expectThrows(ConfigException.class, () -> started(text)).getMessage();
+                expectThrows(ConfigException.class, () -> parseAndCheck(text)).getMessage();
         assertEquals(message.split("[: ]")[0], key, message);
         assertEquals(message.lines().count(), 1);
     }
 
-    /** What the build trains the class archive with: refused, the archive would lack all that serves. */
+    /** The build creates the class archive with this file; if rejected, the archive would lack the serving classes. */
     @Test
-    public void theTrainingsConfigurationIsTaken() throws Exception {
-        RouterConfig trained = RouterConfig.read(Map.of("GW_CONFIG", "deploy/train.json"));
-        assertEquals(trained.settings().classes(), List.of("v"));
+    public void trainingConfigurationIsValid() throws Exception {
+        RouterConfig config = RouterConfig.read(Map.of("GW_CONFIG", "deploy/train.json"));
+        assertEquals(config.settings().classes(), List.of("v"));
     }
 
     @DataProvider
-    Object[][] words() {
+    Object[][] validCombinations() {
         List<Object[]> all = new ArrayList<>();
         for (String siblings : List.of("off", "location", "any")) {
-            for (String notes : List.of("off", "hit", "all")) {
+            for (String detail : List.of("off", "hit", "all")) {
                 for (String effect : List.of("pure", "token", "side_effect")) {
                     for (boolean flag : new boolean[] {false, true}) {
-                        all.add(new Object[] {siblings, notes, effect, flag});
+                        all.add(new Object[] {siblings, detail, effect, flag});
                     }
                 }
             }
@@ -118,19 +118,20 @@
         return all.toArray(Object[][]::new);
     }
 
-    /** All combinations of the words of both deployments are taken, and come out as they went in. */
-    @Test(dataProvider = "words")
-    public void whatThePageAllowsIsTaken(String siblings, String notes, String effect, boolean flag) throws Exception {
+    /** All combinations of the values of both deployments are accepted, and the parsed settings match them. */
+    @Test(dataProvider = "validCombinations")
+    public void allCombinationsOfValidValuesAreAccepted(String siblings, String detail, String effect, boolean flag)
+            throws Exception {
         JsonObject root = site();
         root.getAsJsonObject("extra").addProperty("sideways", siblings);
-        root.getAsJsonObject("extra").addProperty("detail", notes);
+        root.getAsJsonObject("extra").addProperty("detail", detail);
         root.getAsJsonObject("extra").addProperty("joins", flag);
         root.getAsJsonObject("extra").addProperty("may_pass_by", !flag);
         root.getAsJsonObject("limits").addProperty("may_duplicate", flag);
         root.getAsJsonArray("profiles").get(1).getAsJsonObject().addProperty("effect", effect);
-        Settings settings = started(root.toString());
+        Settings settings = parseAndCheck(root.toString());
         assertEquals(settings.routing().siblingFills().name().toLowerCase(Locale.ROOT), siblings);
-        assertEquals(settings.routing().detailedCacheStatus(), notes.equals("all"));
+        assertEquals(settings.routing().detailedCacheStatus(), detail.equals("all"));
         assertEquals(settings.routing().cachesJoinFills(), flag);
         assertEquals(settings.routing().mayBypassCaches(), !flag);
         assertEquals(settings.routing().limits().mayHedge(), flag);
