--- a/src/main/java/magpiewheel/Startup.java
+++ b/src/main/java/magpiewheel/Startup.java
@@ -320,7 +320,7 @@
     }
 
     /** The operations of the admin server. */
-    private record AdminService(RespServer server, Engine engine, ServiceStats stats, BooleanSupplier ready)
+    private record AdminService(RespServer server, Engine engine, ServiceStats serviceStats, BooleanSupplier ready)
             implements AdminServer.Service {
         @Override
         public boolean serving() {
@@ -329,7 +329,7 @@
 
         @Override
         public String stats() {
-            return stats.format(server.inFlight());
+            return serviceStats.format(server.inFlight());
         }
 
         @Override
