--- a/src/test/java/magpiewheel/resp/RespServerTest.java
+++ b/src/test/java/magpiewheel/resp/RespServerTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -45,6 +46,7 @@
     private static final class SlowEntrance extends ListeningSocket {
         private final ServerSocketChannel listener = ServerSocketChannel.open();
         private final Selector arrivals = Selector.open();
+        private final CountDownLatch accepting = new CountDownLatch(1);
         private final CountDownLatch ended = new CountDownLatch(1);
         private boolean late;
 
@@ -63,6 +65,7 @@
         Socket accept(int waitMs) throws IOException {
             if (!late) {
                 late = true;
+                accepting.countDown();
                 awaitTheEnd();
                 arrivals.select(WAIT_MS);
                 throw new SocketTimeoutException();
@@ -102,6 +105,7 @@
             client.connect(entrance.address());
             client.setSoTimeout(WAIT_MS);
             client.getOutputStream().write("*2\r\n$6\r\nSTATUS\r\n$1\r\n7\r\n".getBytes(StandardCharsets.ISO_8859_1));
+            assertTrue(entrance.accepting.await(WAIT_MS, TimeUnit.MILLISECONDS), "the server has not begun to accept");
             front.close();
             entrance.ended.countDown();
             String answer = "*4\r\n$1\r\n7\r\n$4\r\nDOWN\r\n$0\r\n\r\n$0\r\n\r\n";
