--- a/src/main/java/magpiewheel/resp/ListeningSocket.java
+++ b/src/main/java/magpiewheel/resp/ListeningSocket.java
@@ -85,7 +85,7 @@
                 selector.selectedKeys().clear();
                 SocketChannel client = listener.accept();
                 if (client == null) {
-                    throw new SocketTimeoutException("nobody, or another process was faster");
+                    throw new SocketTimeoutException("no connection to accept, or another process accepted it");
                 }
                 return client.socket();
             }
--- a/src/main/java/magpiewheel/resp/RespParser.java
+++ b/src/main/java/magpiewheel/resp/RespParser.java
@@ -85,7 +85,7 @@
         frameStartedAt = System.nanoTime() | 1;
         int parts = readNumber('*');
         if (parts < 2 || parts > MAX_ARRAY_LENGTH) {
-            throw new MalformedFrameException("an array of " + parts);
+            throw new MalformedFrameException("array of " + parts + " elements");
         }
         String[] words = {"", "", "", ""};
         Body body = null;
@@ -93,7 +93,7 @@
         for (int i = 0; i < parts; i++) {
             int length = readNumber('$');
             if (length < 0 || length > (i == BODY_INDEX ? MAX_BODY_BYTES : MAX_STRING_BYTES)) {
-                throw new MalformedFrameException("a part of " + length + " bytes");
+                throw new MalformedFrameException("bulk string of " + length + " bytes");
             }
             if (i < BODY_INDEX) {
                 words[i] = new String(readBytes(length), StandardCharsets.ISO_8859_1);
@@ -121,7 +121,7 @@
         if (body != null) {
             body.release();
         }
-        throw new MalformedFrameException("the tag " + text);
+        throw new MalformedFrameException("invalid request tag: " + text);
     }
 
     private void readBody(Body body, int length) throws IOException {
@@ -160,7 +160,7 @@
     private void readLineEnd(Body body) throws IOException {
         try {
             if (readByte() != '\r' || readByte() != '\n') {
-                throw new MalformedFrameException("a part without its line end");
+                throw new MalformedFrameException("bulk string without CRLF at its end");
             }
         } catch (IOException e) {
             if (body != null) {
@@ -172,19 +172,19 @@
 
     private int readNumber(char marker) throws IOException {
         if (readByte() != marker) {
-            throw new MalformedFrameException("no " + marker);
+            throw new MalformedFrameException("expected type byte " + marker);
         }
         int value = 0;
         for (int digits = 0; ; digits++) {
             int next = readByte();
             if (next == '\r' && digits > 0) {
                 if (readByte() != '\n') {
-                    throw new MalformedFrameException("a number without its line end");
+                    throw new MalformedFrameException("length without LF after CR");
                 }
                 return value;
             }
             if (next < '0' || next > '9' || digits >= MAX_NUMBER_DIGITS || value > MAX_BODY_BYTES) {
-                throw new MalformedFrameException("a number that is none");
+                throw new MalformedFrameException("invalid length");
             }
             value = value * 10 + next - '0';
         }
