--- a/src/test/java/magpiewheel/resp/AbandonedRequestTest.java
+++ b/src/test/java/magpiewheel/resp/AbandonedRequestTest.java
@@ -167,7 +167,7 @@
 
     /** The connection's actor is inside a write that its client does not take, and hears of nothing. */
     @Test(dataProvider = "leaving")
-    public void aLeaveCountsWhileAnAnswerIsStuck(Leaving how) throws Exception {
+    public void aCancelOrDisconnectTakesEffectWhileAResponseIsBlocked(Leaving how) throws Exception {
         Attempt first = ask(1);
         Attempt second = ask(2);
         engine.attemptEnded(first, new UpstreamOutcome(AttemptResult.OK, CacheStatus.HIT, 0, null, "aa", true, 0, 1));
--- a/src/test/java/magpiewheel/resp/ClientConnectionTest.java
+++ b/src/test/java/magpiewheel/resp/ClientConnectionTest.java
@@ -67,7 +67,7 @@
      * came again, 800 in a second.
      */
     @Test
-    void aConnectionWithARequestOnItsWayIsNeverSpare() throws Exception {
+    void aConnectionWithARequestInTransitIsNotEvicted() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket client = new Socket(listener.getInetAddress(), listener.getLocalPort());
                 Socket accepted = listener.accept()) {
@@ -209,12 +209,12 @@
 
     /** The client sends such a request again, elsewhere: sent on as well, it would be in work twice. */
     @Test
-    void aRequestReadBehindTheEndOfARestingConnectionIsNotSentOn() throws Exception {
+    void aRequestReadAfterAnEvictionIsNotPassedOn() throws Exception {
         assertEquals(0, requestsThatCross(ClientConnection::evict));
     }
 
     @Test
-    void aRequestReadBehindTheLeaveIsNotSentOn() throws Exception {
+    void aRequestReadAfterADrainIsNotPassedOn() throws Exception {
         assertEquals(0, requestsThatCross(client -> {
             client.drainIfUnused();
             return client.halfClosed();
@@ -222,7 +222,7 @@
     }
 
     @Test
-    void aRequestReadBehindTheEndOfASilentConnectionIsNotSentOn() throws Exception {
+    void aRequestReadAfterARequestTimeoutIsNotPassedOn() throws Exception {
         long later = 3 * SECOND;
         assertEquals(0, requestsThatCross(client -> {
             client.sweep(System.nanoTime() + later);
@@ -231,7 +231,7 @@
     }
 
     @Test
-    void aRequestReadBehindTheEndOfAnIdleConnectionIsNotSentOn() throws Exception {
+    void aRequestReadAfterAnIdleTimeoutIsNotPassedOn() throws Exception {
         long later = 11 * SECOND;
         assertEquals(0, requestsThatCross(client -> {
             client.sweep(System.nanoTime() + later);
@@ -241,7 +241,7 @@
 
     /** A crowd that says nothing must not hold the places for long; a newcomer's request is on its way for a moment. */
     @Test
-    void aNewcomerIsSparedForAMomentOnly() throws Exception {
+    void aNewConnectionIsEvictableOnlyAfterTheGracePeriod() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket client = new Socket(listener.getInetAddress(), listener.getLocalPort());
                 Socket accepted = listener.accept()) {
@@ -351,7 +351,7 @@
 
     /** Behind an answer that the client does not read, the engine would hear seconds late that nobody waits. */
     @Test
-    void aRequestIsGivenUpWhileAnAnswerIsStuck() throws Exception {
+    void aRequestIsCancelledWhileAResponseIsBlocked() throws Exception {
         StuckAnswer answer = new StuckAnswer();
         answer.client.send("NEVERMIND", "1");
         assertTrue(answer.givenUp.await(10, TimeUnit.SECONDS), "the engine hears of it behind the answer only");
@@ -360,7 +360,7 @@
 
     /** A client that goes resets the answer that is being written to it: nobody waits for what it asked behind that. */
     @Test
-    void whatWaitsBehindAnAnswerThatFailsIsNotSentOn() throws Exception {
+    void requestsQueuedBehindAFailedResponseAreNotPassedOn() throws Exception {
         StuckAnswer answer = new StuckAnswer();
         answer.ask("3");
         answer.client.send("NEVERMIND", "1");
--- a/src/test/java/magpiewheel/resp/RequestFieldsTest.java
+++ b/src/test/java/magpiewheel/resp/RequestFieldsTest.java
@@ -75,7 +75,7 @@
                 ID + ",=3",
                 ID + ",piece"
             })
-    void whatANodeCouldNotReadIsNoRequest(String fields) throws InvalidHintException {
+    void fieldsThatAnEndpointCannotParseAreRejected(String fields) throws InvalidHintException {
         assertNull(read("video", fields));
     }
 
--- a/src/test/java/magpiewheel/resp/RespServerTest.java
+++ b/src/test/java/magpiewheel/resp/RespServerTest.java
@@ -43,14 +43,14 @@
             false);
 
     /** A listener that is slow: it lets nobody in until the front has been told to end and somebody waits. */
-    private static final class SlowEntrance extends ListeningSocket {
+    private static final class SlowListeningSocket extends ListeningSocket {
         private final ServerSocketChannel listener = ServerSocketChannel.open();
         private final Selector arrivals = Selector.open();
         private final CountDownLatch accepting = new CountDownLatch(1);
         private final CountDownLatch ended = new CountDownLatch(1);
         private boolean late;
 
-        SlowEntrance() throws IOException {
+        SlowListeningSocket() throws IOException {
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             listener.configureBlocking(false);
             listener.register(arrivals, SelectionKey.OP_ACCEPT);
@@ -98,8 +98,8 @@
 
     /** The machine accepted it: closed with the listener, its connection would be reset, and its request lost. */
     @Test
-    void whoWaitsInTheQueueAtTheEndIsStillServed() throws Exception {
-        SlowEntrance entrance = new SlowEntrance();
+    void aConnectionInTheListenQueueAtShutdownIsServed() throws Exception {
+        SlowListeningSocket entrance = new SlowListeningSocket();
         front.start(entrance);
         try (Socket client = new Socket()) {
             client.connect(entrance.address());
@@ -118,7 +118,7 @@
 
     /** SIGTERM may come before the front has opened its entrance: then nobody is owed anything. */
     @Test
-    void aFrontThatEndsBeforeItBeganHoldsNobodyUp() {
+    void aServerClosedBeforeItStartedIsNotBusy() {
         front.answerWithin(1_000_000);
         front.close();
         assertFalse(front.isShared());
