--- a/src/test/java/magpiewheel/membership/SimulatedLinks.java
+++ b/src/test/java/magpiewheel/membership/SimulatedLinks.java
@@ -58,7 +58,7 @@
 
     /** Splits the fleet into sides, given for each member. */
     void split(int... sides) {
-        System.arraycopy(sides, 0, sideOf, 0, sides.length);
+        System.arraycopy(sides, 0, sideOf, 0, sideOf.length);
     }
 
     /** Restores all links and removes all filters; killed processes stay dead. */
